--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -79,10 +79,10 @@
 func (p *recordingHandler) text(i int) string { return p.received[p.conns[i].id].String() }
 
 // startHandler starts a recordingHandler on a machine.
-func startHandler(t assert.TestingT, w *Network, ip string, o ProcessOptions) *recordingHandler {
+func startHandler(t assert.TestingT, network *Network, ip string, o ProcessOptions) *recordingHandler {
 	p := &recordingHandler{t: t, received: map[uint64]*bytes.Buffer{}, closed: map[uint64]error{}}
 	o.Name = ip
-	p.process = w.Machine(ip).Process(o)
+	p.process = network.Machine(ip).Process(o)
 	assert.NoError(t, p.process.Run(p))
 	return p
 }
@@ -90,31 +90,31 @@
 const serverAddress = "10.0.0.2:80"
 
 // connectPair starts two handlers, of which the first dials the second, and returns the dial's results.
-func connectPair(t assert.TestingT, w *Network, o, server ProcessOptions) (a, b *recordingHandler, up *[]error) {
+func connectPair(t assert.TestingT, network *Network, client, server ProcessOptions) (a, b *recordingHandler, dialResults *[]error) {
 	server.Listen = []string{serverAddress}
-	a, b = startHandler(t, w, "10.0.0.1", o), startHandler(t, w, "10.0.0.2", server)
-	up = &[]error{}
-	a.process.Dial(serverAddress, w.Now()+3, "mine", func(err error) { *up = append(*up, err) })
-	w.RunUntil(w.Now() + 0.1)
-	return a, b, up
+	a, b = startHandler(t, network, "10.0.0.1", client), startHandler(t, network, "10.0.0.2", server)
+	dialResults = &[]error{}
+	a.process.Dial(serverAddress, network.Now()+3, "mine", func(err error) { *dialResults = append(*dialResults, err) })
+	network.RunUntil(network.Now() + 0.1)
+	return a, b, dialResults
 }
 
 // Written bytes arrive complete and in order, however segments are split, lost and delayed and however slowly they are read;
 // each side gets one end.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(rapid.Uint64().Draw(t, "seed"), startTime)
-		w.SplitProbability = rapid.Float64Range(0, 1).Draw(t, "cuts")
-		w.Path.LossProbability = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "loss")
+		network := New(rapid.Uint64().Draw(t, "seed"), startTime)
+		network.SplitProbability = rapid.Float64Range(0, 1).Draw(t, "cuts")
+		network.Path.LossProbability = rapid.SampledFrom([]float64{0, 0, 0.1}).Draw(t, "loss")
 		options := func() ProcessOptions {
 			return ProcessOptions{SendBuffer: rapid.IntRange(1, 500).Draw(t, "send"), ReceiveBuffer: rapid.IntRange(1, 500).Draw(t, "receive"),
 				MaxWakeDelaySeconds: rapid.Float64Range(0, 0.001).Draw(t, "wake"), CallSeconds: rapid.Float64Range(0, 0.0001).Draw(t, "call"), Shuffle: true,
 				ReadRate: rapid.SampledFrom([]float64{0, 5000}).Draw(t, "rate")}
 		}
-		a, b, up := connectPair(t, w, options(), options())
-		w.RunUntil(w.Now() + 5)
+		a, b, dialResults := connectPair(t, network, options(), options())
+		network.RunUntil(network.Now() + 5)
 		if len(b.conns) == 0 {
-			require.Len(t, *up, 1)
+			require.Len(t, *dialResults, 1)
 			return // the dial was lost on the way
 		}
 		ends := []*Conn{a.conns[0], b.conns[0]}
@@ -124,9 +124,9 @@
 			side := rapid.IntRange(0, 1).Draw(t, "side")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				ends[side].process.Stall(w.Now() + rapid.Float64Range(0, 0.1).Draw(t, "stall"))
+				ends[side].process.Stall(network.Now() + rapid.Float64Range(0, 0.1).Draw(t, "stall"))
 			case 1:
-				w.SetPartitioned(machines[side], machines[1-side], rapid.Bool().Draw(t, "cut"))
+				network.SetPartitioned(machines[side], machines[1-side], rapid.Bool().Draw(t, "cut"))
 			default:
 				data := rapid.SliceOfN(rapid.Byte(), 1, 300).Draw(t, "data")
 				n, err := ends[side].Write(data)
@@ -134,11 +134,11 @@
 				require.Equal(t, len(data), n)
 				sent[side].Write(data)
 			}
-			w.RunUntil(w.Now() + rapid.Float64Range(0, 0.01).Draw(t, "time"))
+			network.RunUntil(network.Now() + rapid.Float64Range(0, 0.01).Draw(t, "time"))
 		}
-		w.SetPartitioned(machines[0], machines[1], false)
-		w.SetPartitioned(machines[1], machines[0], false)
-		w.RunUntil(w.Now() + 40)
+		network.SetPartitioned(machines[0], machines[1], false)
+		network.SetPartitioned(machines[1], machines[0], false)
+		network.RunUntil(network.Now() + 40)
 		assert.Equal(t, sent[0].Bytes(), b.received[ends[0].id].Bytes())
 		assert.Equal(t, sent[1].Bytes(), a.received[ends[0].id].Bytes())
 		assert.Zero(t, ends[0].OutboundBuffered()+ends[1].OutboundBuffered())
@@ -146,7 +146,7 @@
 		_, err := ends[0].Write(last)
 		require.NoError(t, err)
 		ends[0].process.Close(ends[0]) // behind what the socket has taken
-		w.RunUntil(w.Now() + 40)
+		network.RunUntil(network.Now() + 40)
 		assert.Equal(t, append(sent[0].Bytes(), last...), b.received[ends[0].id].Bytes())
 		assert.Equal(t, map[uint64]error{ends[0].id: nil}, a.closed)
 		assert.ErrorIs(t, b.closed[ends[0].id], io.EOF)
@@ -159,87 +159,87 @@
 func TestConnectionEnds(t *testing.T) {
 	write := func(p *recordingHandler, text string) { _, _ = p.conns[0].Write([]byte(text)) }
 	for name, c := range map[string]struct {
-		play     func(w *Network, a, b *recordingHandler)
-		heard    string // by the dialing side
-		a, b     error  // what the sides are told
-		aUntold  bool
-		bUntold  bool
-		bReceive string
+		play        func(network *Network, a, b *recordingHandler)
+		received    string // by the dialing side
+		a, b        error  // of Handler.Closed
+		aUnnotified bool
+		bUnnotified bool
+		bReceive    string
 	}{
-		"FIN behind an answer": {play: func(w *Network, a, b *recordingHandler) {
+		"FIN behind an answer": {play: func(network *Network, a, b *recordingHandler) {
 			write(a, "ask")
-			w.RunUntil(w.Now() + 0.1)
+			network.RunUntil(network.Now() + 0.1)
 			write(b, "answer")
 			b.process.Close(b.conns[0])
-		}, heard: "answer", a: io.EOF, bReceive: "ask"},
-		"half a close ends it, too": {play: func(w *Network, a, b *recordingHandler) { b.process.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
-		"closing with unread bytes resets": {play: func(w *Network, a, b *recordingHandler) {
-			b.process.Stall(w.Now() + 0.2)
+		}, received: "answer", a: io.EOF, bReceive: "ask"},
+		"CloseWrite ends both directions": {play: func(network *Network, a, b *recordingHandler) { b.process.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
+		"closing with unread bytes resets": {play: func(network *Network, a, b *recordingHandler) {
+			b.process.Stall(network.Now() + 0.2)
 			write(a, "ask")
-			w.RunUntil(w.Now() + 0.1)
+			network.RunUntil(network.Now() + 0.1)
 			b.process.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"a reset destroys what the socket still holds": {play: func(w *Network, a, b *recordingHandler) {
-			w.SetPartitioned(b.process.machine, a.process.machine, true)
+		"a reset drops unsent bytes": {play: func(network *Network, a, b *recordingHandler) {
+			network.SetPartitioned(b.process.machine, a.process.machine, true)
 			write(b, "answer")
-			w.RunUntil(w.Now() + 0.05)
-			w.SetPartitioned(b.process.machine, a.process.machine, false)
+			network.RunUntil(network.Now() + 0.05)
+			network.SetPartitioned(b.process.machine, a.process.machine, false)
 			write(a, "more")
-			b.process.Stall(w.Now() + 0.05)
-			w.RunUntil(w.Now() + 0.01)
+			b.process.Stall(network.Now() + 0.05)
+			network.RunUntil(network.Now() + 0.01)
 			b.process.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"bytes before a reset are read": {play: func(w *Network, a, b *recordingHandler) {
-			a.process.Stall(w.Now() + 0.2)
+		"bytes before a reset are read": {play: func(network *Network, a, b *recordingHandler) {
+			a.process.Stall(network.Now() + 0.2)
 			write(b, "answer")
 			b.process.Kill()
-		}, heard: "answer", a: syscall.ECONNRESET, bUntold: true},
-		"bytes for what is closed are answered with a reset": {play: func(w *Network, a, b *recordingHandler) {
-			a.process.Stall(w.Now() + 0.2)
+		}, received: "answer", a: syscall.ECONNRESET, bUnnotified: true},
+		"bytes for a closed socket are answered with a reset": {play: func(network *Network, a, b *recordingHandler) {
+			a.process.Stall(network.Now() + 0.2)
 			b.process.Close(b.conns[0])
-			w.RunUntil(w.Now() + 0.1)
+			network.RunUntil(network.Now() + 0.1)
 			write(a, "late")
 		}, a: syscall.ECONNRESET},
-		"a machine that vanishes says nothing": {play: func(w *Network, a, b *recordingHandler) {
+		"a machine that is powered off sends nothing": {play: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
-			w.RunUntil(w.Now() + 20)
+			network.RunUntil(network.Now() + 20)
 			write(a, "anybody?")
-		}, aUntold: true, bUntold: true},
-		"one that is back resets what is written": {play: func(w *Network, a, b *recordingHandler) {
+		}, aUnnotified: true, bUnnotified: true},
+		"a machine that is powered on again resets": {play: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
-			w.RunUntil(w.Now() + 20)
+			network.RunUntil(network.Now() + 20)
 			b.process.machine.PowerOn()
-			w.RunUntil(w.Now() + 20)
+			network.RunUntil(network.Now() + 20)
 			assert.Empty(t, a.closed)
 			write(a, "anybody?")
-		}, a: syscall.ECONNRESET, bUntold: true},
-		"also what was written meanwhile": {play: func(w *Network, a, b *recordingHandler) {
+		}, a: syscall.ECONNRESET, bUnnotified: true},
+		"bytes written while it was off are answered with a reset": {play: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
 			write(a, "anybody?")
-			w.RunUntil(w.Now() + 20)
+			network.RunUntil(network.Now() + 20)
 			b.process.machine.PowerOn()
-		}, a: syscall.ECONNRESET, bUntold: true},
-		"a link that is silent stays open": {play: func(w *Network, a, b *recordingHandler) {
-			w.Blackhole(a.conns[0])
+		}, a: syscall.ECONNRESET, bUnnotified: true},
+		"a blackholed connection stays open": {play: func(network *Network, a, b *recordingHandler) {
+			network.Blackhole(a.conns[0])
 			write(a, "anybody?")
-		}, aUntold: true, bUntold: true},
-		"a reset from between": {play: func(w *Network, a, b *recordingHandler) { w.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
-		"a loop that ends":     {play: func(w *Network, a, b *recordingHandler) { b.process.Stop() }, a: io.EOF},
+		}, aUnnotified: true, bUnnotified: true},
+		"a reset by a middlebox": {play: func(network *Network, a, b *recordingHandler) { network.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
+		"a loop that stops":      {play: func(network *Network, a, b *recordingHandler) { b.process.Stop() }, a: io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := New(1, startTime)
-			a, b, up := connectPair(t, w, ProcessOptions{}, ProcessOptions{})
-			require.Equal(t, []error{nil}, *up)
+			network := New(1, startTime)
+			a, b, dialResults := connectPair(t, network, ProcessOptions{}, ProcessOptions{})
+			require.Equal(t, []error{nil}, *dialResults)
 			assert.Equal(t, "mine", a.conns[0].Context())
 			assert.Equal(t, serverAddress, a.conns[0].RemoteAddr().String())
-			c.play(w, a, b)
-			w.RunUntil(w.Now() + 30)
+			c.play(network, a, b)
+			network.RunUntil(network.Now() + 30)
 			for side, p := range []*recordingHandler{a, b} {
-				err, told := p.closed[a.conns[0].id]
-				assert.NotEqual(t, []bool{c.aUntold, c.bUntold}[side], told)
+				err, notified := p.closed[a.conns[0].id]
+				assert.NotEqual(t, []bool{c.aUnnotified, c.bUnnotified}[side], notified)
 				assert.ErrorIs(t, err, []error{c.a, c.b}[side])
 			}
-			assert.Equal(t, c.heard, a.text(0))
+			assert.Equal(t, c.received, a.text(0))
 			if c.bReceive != "" {
 				assert.Equal(t, c.bReceive, b.text(0))
 			}
@@ -249,62 +249,62 @@
 
 // Each way for a dial to fail reports its own error, at its own time.
 func TestDialResults(t *testing.T) {
-	var w *Network
+	var network *Network
 	var a, b *recordingHandler
 	for name, c := range map[string]struct {
 		prepare func()
 		want    error
 		at      float64 // when the dial ends, from its beginning
 	}{
-		"refused":              {func() { b.process.StopListening(func() {}) }, syscall.ECONNREFUSED, 0.001},
-		"refused by the dead":  {func() { b.process.Kill() }, syscall.ECONNREFUSED, 0.001},
-		"never up":             {func() { b.process.machine.PowerOff() }, syscall.ETIMEDOUT, 2.5},
-		"no way back":          {func() { w.SetPartitioned(b.process.machine, a.process.machine, true) }, syscall.ETIMEDOUT, 2.5},
-		"back without program": {func() { b.process.machine.PowerOff(); w.Schedule(w.Now()+0.5, b.process.machine.PowerOn) }, syscall.ECONNREFUSED, 1.001},
-		"up once the way is": {func() {
-			w.SetPartitioned(a.process.machine, b.process.machine, true)
-			w.Schedule(w.Now()+0.5, func() { w.SetPartitioned(a.process.machine, b.process.machine, false) })
+		"refused":                        {func() { b.process.StopListening(func() {}) }, syscall.ECONNREFUSED, 0.001},
+		"refused after a kill":           {func() { b.process.Kill() }, syscall.ECONNREFUSED, 0.001},
+		"powered off":                    {func() { b.process.machine.PowerOff() }, syscall.ETIMEDOUT, 2.5},
+		"SYN-ACK lost":                   {func() { network.SetPartitioned(b.process.machine, a.process.machine, true) }, syscall.ETIMEDOUT, 2.5},
+		"powered on without the program": {func() { b.process.machine.PowerOff(); network.Schedule(network.Now()+0.5, b.process.machine.PowerOn) }, syscall.ECONNREFUSED, 1.001},
+		"SYN retried after a partition": {func() {
+			network.SetPartitioned(a.process.machine, b.process.machine, true)
+			network.Schedule(network.Now()+0.5, func() { network.SetPartitioned(a.process.machine, b.process.machine, false) })
 		}, nil, 1.001},
-		"stalled, yet up": {func() { b.process.Stall(w.Now() + 20) }, nil, 0.001},
+		"listener stalled": {func() { b.process.Stall(network.Now() + 20) }, nil, 0.001},
 		"reused address": {func() {
 			b.process.Kill()
-			startHandler(t, w, "10.0.0.2", ProcessOptions{Listen: []string{serverAddress}})
+			startHandler(t, network, "10.0.0.2", ProcessOptions{Listen: []string{serverAddress}})
 		}, nil, 0.001},
 		"out of descriptors": {func() { a.process.options.MaxDescriptors = 1 }, syscall.EMFILE, 0},
 		"backlog full": {func() {
 			b.process.options.MaxDescriptors = 2
 			b.process.listeners[0].backlog = 3
 			for range 4 {
-				a.process.Dial(serverAddress, w.Now()+20, nil, func(error) {})
-				w.RunUntil(w.Now() + 0.01)
+				a.process.Dial(serverAddress, network.Now()+20, nil, func(error) {})
+				network.RunUntil(network.Now() + 0.01)
 			}
 			assert.Len(t, b.process.listeners[0].queue, 3)
 		}, syscall.ETIMEDOUT, 2.5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w = New(2, startTime)
-			a, b, _ = connectPair(t, w, ProcessOptions{}, ProcessOptions{})
+			network = New(2, startTime)
+			a, b, _ = connectPair(t, network, ProcessOptions{}, ProcessOptions{})
 			c.prepare()
-			start := w.Now()
+			start := network.Now()
 			calls := 0
 			a.process.Dial(serverAddress, start+2.5, nil, func(err error) {
 				calls++
 				assert.ErrorIs(t, err, c.want)
-				assert.InDelta(t, c.at, w.Now()-start, 0.002)
+				assert.InDelta(t, c.at, network.Now()-start, 0.002)
 			})
-			w.RunUntil(start + 10)
+			network.RunUntil(start + 10)
 			assert.Equal(t, 1, calls)
 		})
 	}
-	w = New(3, startTime)
-	a, b, _ = connectPair(t, w, ProcessOptions{}, ProcessOptions{})
+	network = New(3, startTime)
+	a, b, _ = connectPair(t, network, ProcessOptions{}, ProcessOptions{})
 	assert.Error(t, b.process.machine.Process(ProcessOptions{Listen: []string{serverAddress}}).Run(a), "the address is in use")
 	var ends []error
-	cancel := a.process.Dial(serverAddress, w.Now()+1, nil, func(err error) { ends = append(ends, err) })
+	cancel := a.process.Dial(serverAddress, network.Now()+1, nil, func(err error) { ends = append(ends, err) })
 	cancel()
 	cancel()
 	assert.Empty(t, ends)
-	w.RunUntil(w.Now() + 5)
+	network.RunUntil(network.Now() + 5)
 	assert.Equal(t, []error{errDialCancelled}, ends)
 	assert.Len(t, b.conns, 1)
 	assert.Equal(t, 1, a.process.descriptors)
@@ -313,48 +313,48 @@
 // A peer that doesn't read fills its receive window, then the send buffer, then the event loop's buffer; once it reads, sending
 // continues.
 func TestBackpressureOfSlowReader(t *testing.T) {
-	w := New(4, startTime)
-	a, b, _ := connectPair(t, w, ProcessOptions{SendBuffer: 1000}, ProcessOptions{ReceiveBuffer: 500})
+	network := New(4, startTime)
+	a, b, _ := connectPair(t, network, ProcessOptions{SendBuffer: 1000}, ProcessOptions{ReceiveBuffer: 500})
 	b.process.SetConnReadRate(b.conns[0], -1)
 	_, err := a.conns[0].Write(make([]byte, 10_000))
 	require.NoError(t, err)
 	assert.Equal(t, 9_000, a.conns[0].OutboundBuffered())
-	w.RunUntil(w.Now() + 10)
+	network.RunUntil(network.Now() + 10)
 	assert.Equal(t, 8_500, a.conns[0].OutboundBuffered())
 	assert.False(t, b.process.NothingToRead(b.conns[0]))
 	b.process.SetConnReadRate(b.conns[0], 1000)
-	start := w.Now()
+	start := network.Now()
 	for a.conns[0].OutboundBuffered() > 0 {
-		require.True(t, w.Step())
+		require.True(t, network.Step())
 	}
-	assert.InDelta(t, 8.5, w.Now()-start, 0.2)
-	w.RunUntil(w.Now() + 3)
+	assert.InDelta(t, 8.5, network.Now()-start, 0.2)
+	network.RunUntil(network.Now() + 3)
 	assert.Len(t, b.text(0), 10_000)
 	assert.True(t, b.process.NothingToRead(b.conns[0]))
-	// At the end it still shows what was never sent.
+	// In Closed, OutboundBuffered still returns what was never sent.
 	b.process.SetConnReadRate(b.conns[0], -1)
 	_, err = a.conns[0].Write(make([]byte, 10_000))
 	require.NoError(t, err)
 	left := 0
 	a.onClosed = func(c netio.Conn) { left = c.OutboundBuffered() }
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	b.process.Kill()
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, 8_500, left)
 	assert.ErrorIs(t, a.closed[a.conns[0].id], syscall.EPIPE)
 }
 
 // Connections above the limit of descriptors wait in the accept queue until one is free.
 func TestConnectionsWaitInBacklogForDescriptor(t *testing.T) {
-	w := New(5, startTime)
-	a, b, _ := connectPair(t, w, ProcessOptions{}, ProcessOptions{MaxDescriptors: 3, ReservedDescriptors: 1})
-	a.process.Dial(serverAddress, w.Now()+1, nil, func(err error) { assert.NoError(t, err) })
-	w.RunUntil(w.Now() + 1)
+	network := New(5, startTime)
+	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{MaxDescriptors: 3, ReservedDescriptors: 1})
+	a.process.Dial(serverAddress, network.Now()+1, nil, func(err error) { assert.NoError(t, err) })
+	network.RunUntil(network.Now() + 1)
 	assert.Len(t, b.conns, 1)
 	assert.Equal(t, 1, b.process.DescriptorFailures())
 	_, _ = a.conns[1].Write([]byte("early"))
 	b.process.Close(b.conns[0])
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	require.Len(t, b.conns, 2)
 	assert.Equal(t, "early", b.text(1))
 	now, most := b.process.Descriptors()
@@ -363,19 +363,19 @@
 
 // A stalled event loop handles all that has arrived in one turn after the stall, the alarm last.
 func TestStalledLoopHandlesAllAtOnce(t *testing.T) {
-	w := New(6, startTime)
-	a, b, _ := connectPair(t, w, ProcessOptions{}, ProcessOptions{})
+	network := New(6, startTime)
+	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{})
 	b.calls = nil
-	b.process.Stall(w.Now() + 1)
-	b.process.SetAlarm(w.Now() + 0.1)
+	b.process.Stall(network.Now() + 1)
+	b.process.SetAlarm(network.Now() + 0.1)
 	b.process.Post(func() { b.calls = append(b.calls, "post") })
 	_, _ = a.conns[0].Write([]byte("one"))
-	w.RunUntil(w.Now() + 0.5)
+	network.RunUntil(network.Now() + 0.5)
 	_, _ = a.conns[0].Write([]byte("two"))
 	a.process.Close(a.conns[0])
-	w.RunUntil(w.Now() + 0.4)
+	network.RunUntil(network.Now() + 0.4)
 	assert.Empty(t, b.calls)
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "post", "alarm"}, b.calls)
 	assert.InDelta(t, startTime+0.6, b.conns[0].PeerWrote(), 1e-3) // the time of "two"
 	assert.Equal(t, b.conns[0].PeerWrote(), b.conns[0].PeerEnded())
@@ -384,9 +384,9 @@
 
 // Posts, yields, alarms and closes are called in the order that netio.EventLoop specifies.
 func TestOrderOfCalls(t *testing.T) {
-	w := New(7, startTime)
-	a, b, _ := connectPair(t, w, ProcessOptions{}, ProcessOptions{})
-	// Closed comes within Close, and what is posted after the present call, in order.
+	network := New(7, startTime)
+	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{})
+	// Closed is called within Close, and posts after the present call, in order.
 	b.onData = func(c netio.Conn, _ []byte) {
 		b.process.Post(func() {
 			b.calls = append(b.calls, "first")
@@ -401,11 +401,11 @@
 	}
 	_, _ = a.conns[0].Write([]byte("go"))
 	b.calls = nil
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "end of call", "first", "second", "third"}, b.calls)
-	// What yields comes once all that had come has been looked at, also what came while posts took their time.
-	a.process.Dial(serverAddress, w.Now()+1, nil, func(error) {})
-	w.RunUntil(w.Now() + 1)
+	// A yielded function is called after all pending events, also those that arrived during posts.
+	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
+	network.RunUntil(network.Now() + 1)
 	b.calls, b.onData = nil, nil
 	b.process.options.CallSeconds = 0.01
 	b.process.Post(func() {
@@ -413,32 +413,32 @@
 		b.process.Yield(func() { b.calls = append(b.calls, "yield") })
 	})
 	_, _ = a.conns[1].Write([]byte("came meanwhile"))
-	w.RunUntil(w.Now() + 1)
+	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"post", "traffic", "yield"}, b.calls)
 	b.process.options.CallSeconds = 0
-	// The latest alarm counts, and it rings once.
+	// Only the latest alarm is called, once.
 	b.calls = nil
-	start := w.Now()
+	start := network.Now()
 	b.process.SetAlarm(start + 1)
 	b.process.SetAlarm(start + 3)
 	b.process.SetAlarm(start + 2)
-	b.onAlarm = func() { assert.InDelta(t, start+2, w.Now(), 1e-6) }
-	w.RunUntil(start + 5)
+	b.onAlarm = func() { assert.InDelta(t, start+2, network.Now(), 1e-6) }
+	network.RunUntil(start + 5)
 	assert.Equal(t, []string{"alarm"}, b.calls)
 	b.process.SetAlarm(math.NaN())
-	// A connection that is turned away is closed with nothing of it read.
+	// A rejected connection is closed with nothing of it read.
 	b.refuse, b.calls = true, nil
-	a.process.Dial(serverAddress, w.Now()+1, nil, func(error) {})
-	w.RunUntil(w.Now() + 1)
+	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
+	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"open", "closed"}, b.calls)
-	// Write tells the end at once where the connection has broken and the loop has not been told.
+	// Write on a broken connection returns the error, and closes it, before the loop has noticed.
 	b.refuse = false
-	a.process.Dial(serverAddress, w.Now()+1, nil, func(error) {})
-	w.RunUntil(w.Now() + 1)
+	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
+	network.RunUntil(network.Now() + 1)
 	b.calls = nil
-	b.process.Stall(w.Now() + 1)
+	b.process.Stall(network.Now() + 1)
 	a.process.Kill()
-	w.RunUntil(w.Now() + 0.5)
+	network.RunUntil(network.Now() + 0.5)
 	last := b.conns[len(b.conns)-1]
 	assert.False(t, b.process.NothingToRead(last))
 	_, err := last.Write([]byte("x"))
@@ -448,12 +448,12 @@
 
 // runEchoDay runs echoing programs through a partition and a kill, and returns the history's hash.
 func runEchoDay(seed uint64) uint64 {
-	w := New(seed, startTime)
-	w.SplitProbability = 0.5
-	server := startHandler(discardT{}, w, "10.0.0.2", ProcessOptions{Listen: []string{serverAddress}, Shuffle: true, MaxWakeDelaySeconds: 1e-4})
+	network := New(seed, startTime)
+	network.SplitProbability = 0.5
+	server := startHandler(discardT{}, network, "10.0.0.2", ProcessOptions{Listen: []string{serverAddress}, Shuffle: true, MaxWakeDelaySeconds: 1e-4})
 	server.onData = func(c netio.Conn, data []byte) { _, _ = c.Write(data) }
 	for _, ip := range []string{"10.0.0.3", "10.0.0.4", "10.0.0.5"} {
-		p := startHandler(discardT{}, w, ip, ProcessOptions{Shuffle: true, MaxWakeDelaySeconds: 1e-4})
+		p := startHandler(discardT{}, network, ip, ProcessOptions{Shuffle: true, MaxWakeDelaySeconds: 1e-4})
 		p.onData = server.onData
 		for range 5 {
 			p.process.Dial(serverAddress, startTime+5, nil, func(err error) {
@@ -463,13 +463,13 @@
 			})
 		}
 	}
-	w.RunUntil(startTime + 0.5)
-	w.SetPartitioned(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), true)
-	w.RunUntil(startTime + 0.8)
-	w.SetPartitioned(w.Machine("10.0.0.3"), w.Machine("10.0.0.2"), false)
-	w.Machine("10.0.0.4").processes[0].Kill()
-	w.RunUntil(startTime + 2)
-	return w.Hash()
+	network.RunUntil(startTime + 0.5)
+	network.SetPartitioned(network.Machine("10.0.0.3"), network.Machine("10.0.0.2"), true)
+	network.RunUntil(startTime + 0.8)
+	network.SetPartitioned(network.Machine("10.0.0.3"), network.Machine("10.0.0.2"), false)
+	network.Machine("10.0.0.4").processes[0].Kill()
+	network.RunUntil(startTime + 2)
+	return network.Hash()
 }
 
 // discardT is a TestingT for runs whose assertions don't matter.
--- a/internal/sim/agents.go
+++ b/internal/sim/agents.go
@@ -44,24 +44,24 @@
 		a.current = &workRecord{plan: r.Plan, server: i, agent: a.name, token: r.Token}
 		d.startWork(a.current)
 	}
-	has, lasts := a.current, d.spec.WorkSeconds*(0.5+0.7*d.rng.Float64())
+	work, workSeconds := a.current, d.spec.WorkSeconds*(0.5+0.7*d.rng.Float64())
 	if a.isReliable {
-		lasts = d.spec.WorkSeconds
+		workSeconds = d.spec.WorkSeconds
 	}
 	now := d.day.network.Now()
 	if a.isReliable || d.rng.IntN(2) == 0 {
 		d.day.faults.StopServer(i, now)
 	}
 	if !a.isReliable && d.rng.IntN(8) == 0 { // it crashes, and polls again later
-		d.after(lasts/2, func() { d.after(1+5*d.rng.Float64(), a.poll) })
+		d.after(workSeconds/2, func() { d.after(1+5*d.rng.Float64(), a.poll) })
 		return
 	}
-	d.after(lasts, func() {
+	d.after(workSeconds, func() {
 		d.day.faults.StartServer(i, d.day.network.Now())
 		d.after(0.2, func() {
-			has.isDone, has.hasFailed = true, !a.isReliable && d.rng.IntN(20) == 0
+			work.isDone, work.hasFailed = true, !a.isReliable && d.rng.IntN(20) == 0
 			d.servers[i].work = nil
-			d.trace("%s has worked on %s under %d", a.name, d.servers[i].name, has.token)
+			d.trace("%s has worked on %s under %d", a.name, d.servers[i].name, work.token)
 			a.reportCompletion()
 		})
 	})
@@ -69,9 +69,9 @@
 
 // reportCompletion reports the end of the maintenance until that is answered.
 func (a *simulatedAgent) reportCompletion() {
-	d, has := a.driver, a.current
-	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: d.servers[has.server].name, Token: has.token, Agent: a.name}
-	if has.hasFailed {
+	d, work := a.driver, a.current
+	cmd := maintenance.Command{Kind: maintenance.CompleteServer, Server: d.servers[work.server].name, Token: work.token, Agent: a.name}
+	if work.hasFailed {
 		cmd.Kind = maintenance.FailServer
 	}
 	d.submit(cmd, 10, func(r maintenance.Reply, answered bool) {
--- a/internal/sim/hosts.go
+++ b/internal/sim/hosts.go
@@ -22,7 +22,7 @@
 func (d *day) createMachines() {
 	sites := map[*virtual.Machine]int{} // for lookups, never iterated
 	var all []*virtual.Machine
-	place := func(ip string, site int) *virtual.Machine {
+	addMachine := func(ip string, site int) *virtual.Machine {
 		vm := d.network.Machine(ip)
 		if _, known := sites[vm]; !known {
 			sites[vm] = site
@@ -31,19 +31,19 @@
 		return vm
 	}
 	for i, s := range d.spec.Sidecars {
-		d.sidecars = append(d.sidecars, &simulatedSidecar{day: d, number: i, spec: s, vm: place(s.IP, s.Site),
+		d.sidecars = append(d.sidecars, &simulatedSidecar{day: d, number: i, spec: s, vm: addMachine(s.IP, s.Site),
 			stallRand: rand.New(rand.NewPCG(d.spec.Seed, uint64(i)+0x7374))})
 	}
 	for _, m := range d.environment.Machines() {
-		d.machines = append(d.machines, &machine{Machine: m, vm: place(m.IP, m.Site)})
+		d.machines = append(d.machines, &machine{Machine: m, vm: addMachine(m.IP, m.Site)})
 	}
 	for _, a := range all {
 		for _, b := range all {
-			way := d.spec.ClientPathSeconds
+			latencySeconds := d.spec.ClientPathSeconds
 			if a != b {
-				way = d.spec.PathBetween(sites[a], sites[b])
+				latencySeconds = d.spec.PathBetween(sites[a], sites[b])
 			}
-			d.network.SetPath(a, b, virtual.Path{LatencySeconds: way, JitterSeconds: way * d.spec.Jitter})
+			d.network.SetPath(a, b, virtual.Path{LatencySeconds: latencySeconds, JitterSeconds: latencySeconds * d.spec.Jitter})
 		}
 	}
 }
@@ -167,23 +167,23 @@
 
 // RestoreTraffic implements environment.Hosts.
 func (d *day) RestoreTraffic(from, to string) {
-	way := [2]string{from, to}
-	if d.dropCounts[way]--; d.dropCounts[way] == 0 {
+	path := [2]string{from, to}
+	if d.dropCounts[path]--; d.dropCounts[path] == 0 {
 		d.network.SetPartitioned(d.network.Machine(from), d.network.Machine(to), false)
 	}
 }
 
 // DelayConnects implements environment.Hosts.
-func (d *day) DelayConnects(ip string, share, mostS float64) {
-	d.network.Machine(ip).SetHandshakeDelay(share, mostS)
+func (d *day) DelayConnects(ip string, share, maxSeconds float64) {
+	d.network.Machine(ip).SetHandshakeDelay(share, maxSeconds)
 }
 
 // ResetConnections implements environment.Hosts.
 func (d *day) ResetConnections(a, b string) {
-	far := d.network.Machine(b)
+	peerMachine := d.network.Machine(b)
 	for _, p := range d.processes(a) {
 		for _, c := range p.Conns() {
-			if peer := c.Peer(); peer != nil && peer.Process().Machine() == far {
+			if peer := c.Peer(); peer != nil && peer.Process().Machine() == peerMachine {
 				d.network.Reset(c)
 			}
 		}
--- a/internal/sim/listrelay.go
+++ b/internal/sim/listrelay.go
@@ -31,15 +31,15 @@
 		return l.ListReceiver.ApplyList(raw)
 	}
 	d := l.sidecar.day
-	named := map[string]int{} // index of an entry + 1 by server; for lookups, never iterated
+	indexByName := map[string]int{} // index of an entry + 1 by server; for lookups, never iterated
 	for i, e := range list.Endpoints {
-		named[e.Name] = i + 1
+		indexByName[e.Name] = i + 1
 	}
-	for box := range d.spec.Servers {
-		e := checker.Event{Kind: checker.EntryRelayed, At: d.network.Now(), Sidecar: int32(l.sidecar.number), Server: int32(box), ListIndex: list.Index, Status: checker.Deleted}
-		if i := named[d.spec.Servers[box].Name]; i > 0 {
-			said := &list.Endpoints[i-1]
-			e.Status, e.ServingSince, e.Address = statuses[said.Status], said.SinceMS/1000, said.Address
+	for server := range d.spec.Servers {
+		e := checker.Event{Kind: checker.EntryRelayed, At: d.network.Now(), Sidecar: int32(l.sidecar.number), Server: int32(server), ListIndex: list.Index, Status: checker.Deleted}
+		if i := indexByName[d.spec.Servers[server].Name]; i > 0 {
+			entry := &list.Endpoints[i-1]
+			e.Status, e.ServingSince, e.Address = statuses[entry.Status], entry.SinceMS/1000, entry.Address
 		} else if !list.Snapshot {
 			continue
 		}
--- a/internal/sim/maintenance.go
+++ b/internal/sim/maintenance.go
@@ -73,20 +73,20 @@
 
 // scheduleRandom draws the day's agents, plans and commands.
 func (d *maintenanceDriver) scheduleRandom() {
-	between := func(least, most float64) float64 { return least + (most-least)*d.rng.Float64() }
-	d.spec = maintenance.Spec{WorkSeconds: between(1, 8), QuietSeconds: between(0.5, 1.5), WarmUpSeconds: between(1, 4), DeadMemberSeconds: deadMemberSeconds, RejectionBudget: between(0.1, 1)}
+	uniform := func(low, high float64) float64 { return low + (high-low)*d.rng.Float64() }
+	d.spec = maintenance.Spec{WorkSeconds: uniform(1, 8), QuietSeconds: uniform(0.5, 1.5), WarmUpSeconds: uniform(1, 4), DeadMemberSeconds: deadMemberSeconds, RejectionBudget: uniform(0.1, 1)}
 	for i := range 1 + d.rng.IntN(2) {
-		m := &simulatedAgent{driver: d, name: fmt.Sprint("mechanic-", i)}
-		d.agents = append(d.agents, m)
-		d.after(between(2, 6), m.poll)
+		agent := &simulatedAgent{driver: d, name: fmt.Sprint("mechanic-", i)}
+		d.agents = append(d.agents, agent)
+		d.after(uniform(2, 6), agent.poll)
 	}
-	d.after(between(5, 12), d.submitRandomPlan)
+	d.after(uniform(5, 12), d.submitRandomPlan)
 	if d.rng.IntN(2) == 0 {
-		d.after(between(8, 40), d.submitRandomPlan)
+		d.after(uniform(8, 40), d.submitRandomPlan)
 	}
 	if d.rng.Float64() < operatorDayShare {
 		for range 1 + d.rng.IntN(4) {
-			d.after(between(10, 70), d.submitRandomCommand)
+			d.after(uniform(10, 70), d.submitRandomCommand)
 		}
 	}
 }
@@ -128,20 +128,20 @@
 
 // submitRandomPlan submits a plan for some of the servers.
 func (d *maintenanceDriver) submitRandomPlan() {
-	s := d.spec
+	spec := d.spec
 	d.submittedPlans++
-	s.Name = fmt.Sprint("plan-", d.submittedPlans)
+	spec.Name = fmt.Sprint("plan-", d.submittedPlans)
 	if d.rng.IntN(3) == 0 {
-		s.Sites = []string{d.day.spec.Sites[d.rng.IntN(len(d.day.spec.Sites))]}
+		spec.Sites = []string{d.day.spec.Sites[d.rng.IntN(len(d.day.spec.Sites))]}
 	} else {
 		for _, i := range d.rng.Perm(d.day.spec.InitialServers)[:3+d.rng.IntN(8)] {
-			s.Servers = append(s.Servers, d.servers[i].name)
+			spec.Servers = append(spec.Servers, d.servers[i].name)
 		}
 	}
-	s.MaxConcurrent, s.MaxPerSite = 1+d.rng.IntN(3), 1+d.rng.IntN(2)
-	s.MinCapacity = 0.6 * d.rng.Float64()
-	d.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 25, func(r maintenance.Reply, answered bool) {
-		d.trace("plan %s: %d %s %s, answered %t", s.Name, r.Plan, r.Err, r.Text, answered)
+	spec.MaxConcurrent, spec.MaxPerSite = 1+d.rng.IntN(3), 1+d.rng.IntN(2)
+	spec.MinCapacity = 0.6 * d.rng.Float64()
+	d.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &spec}, 25, func(r maintenance.Reply, answered bool) {
+		d.trace("plan %s: %d %s %s, answered %t", spec.Name, r.Plan, r.Err, r.Text, answered)
 	})
 }
 
@@ -194,21 +194,21 @@
 }
 
 // restoreRecord gives a starting sidecar the latest record of its peers, as its process queries it before it listens.
-func (d *maintenanceDriver) restoreRecord(s *simulatedSidecar, f *coordination.Node) {
+func (d *maintenanceDriver) restoreRecord(s *simulatedSidecar, node *coordination.Node) {
 	var latest *coordination.MaintenanceRecord
-	asked := false
-	for i, o := range d.day.sidecars {
-		if i >= 3 || o == s || o.process == nil || !o.process.IsRunning() || o.isSuspended || o.node == nil || d.isPartitioned(s, o) {
+	queried := false
+	for i, peer := range d.day.sidecars {
+		if i >= 3 || peer == s || peer.process == nil || !peer.process.IsRunning() || peer.isSuspended || peer.node == nil || d.isPartitioned(s, peer) {
 			continue
 		}
-		k := o.node.MaintenanceRecord()
-		asked = true
-		if k != nil && (latest == nil || k.Epoch > latest.Epoch || k.Epoch == latest.Epoch && k.Version > latest.Version) {
-			latest = k
+		record := peer.node.MaintenanceRecord()
+		queried = true
+		if record != nil && (latest == nil || record.Epoch > latest.Epoch || record.Epoch == latest.Epoch && record.Version > latest.Version) {
+			latest = record
 		}
 	}
 	if latest != nil {
-		f.LearnMaintenance(latest)
+		node.LearnMaintenance(latest)
 	}
-	s.startedBlind, s.isStateDamaged = !asked && (s.isStateDamaged || s.state.Data == nil), false
+	s.startedBlind, s.isStateDamaged = !queried && (s.isStateDamaged || s.state.Data == nil), false
 }
--- a/internal/sim/maintenancecheck.go
+++ b/internal/sim/maintenancecheck.go
@@ -22,18 +22,18 @@
 func (d *maintenanceDriver) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.AttemptReceived:
-		b := &d.servers[e.Server]
-		b.lastAttemptAt, b.lastAttemptBy = e.At, e.Sidecar
+		server := &d.servers[e.Server]
+		server.lastAttemptAt, server.lastAttemptBy = e.At, e.Sidecar
 		if e.Request != 0 {
 			d.attempts[e.Connection] = attemptRoute{e.Server, e.Sidecar}
-			b.inFlight[e.Connection] = true
+			server.inFlight[e.Connection] = true
 		}
-		if b.work != nil && !d.mayReceive(b, e.Sidecar) {
-			d.reportViolation(checker.OccupiedInvariant, "%s gets a request from sidecar %d while %s works on it", b.name, e.Sidecar, b.work.agent)
+		if server.work != nil && !d.mayReceive(server, e.Sidecar) {
+			d.reportViolation(checker.OccupiedInvariant, "%s gets a request from sidecar %d while %s works on it", server.name, e.Sidecar, server.work.agent)
 		}
 	case checker.ResponseSent, checker.ConnectionClosed:
-		if to, out := d.attempts[e.Connection]; out {
-			delete(d.servers[to.server].inFlight, e.Connection)
+		if route, isInFlight := d.attempts[e.Connection]; isInFlight {
+			delete(d.servers[route.server].inFlight, e.Connection)
 			delete(d.attempts, e.Connection)
 		}
 	case checker.ServerStopped:
@@ -47,8 +47,8 @@
 
 // mayReceive reports whether a sidecar may send to a server under maintenance: an operator has allowed it, the sidecar has been
 // isolated for so long that the fleet considers it dead, or it started without state and peers to query.
-func (d *maintenanceDriver) mayReceive(b *serverState, sidecar int32) bool {
-	if b.isExcused || sidecar < 0 || b.uncordonedBy[sidecar] {
+func (d *maintenanceDriver) mayReceive(server *serverState, sidecar int32) bool {
+	if server.isExcused || sidecar < 0 || server.uncordonedBy[sidecar] {
 		return true
 	}
 	s := d.day.sidecars[sidecar]
@@ -56,41 +56,41 @@
 }
 
 // startWork checks that a server's maintenance may start, and records it.
-func (d *maintenanceDriver) startWork(k *workRecord) {
-	b, now := &d.servers[k.server], d.day.network.Now()
-	d.trace("%s works on %s under %d", k.agent, b.name, k.token)
-	for link := range b.inFlight { // the order has no effect on the outcome
-		if to := d.attempts[link]; !d.mayReceive(b, to.sidecar) {
-			d.reportViolation(checker.OccupiedInvariant, "%s is worked on with an execution out there", b.name)
+func (d *maintenanceDriver) startWork(work *workRecord) {
+	server, now := &d.servers[work.server], d.day.network.Now()
+	d.trace("%s works on %s under %d", work.agent, server.name, work.token)
+	for link := range server.inFlight { // the order has no effect on the outcome
+		if route := d.attempts[link]; !d.mayReceive(server, route.sidecar) {
+			d.reportViolation(checker.OccupiedInvariant, "%s is worked on with an execution out there", server.name)
 			break
 		}
 	}
-	if settle := d.spec.QuietSeconds; b.lastAttemptAt > 0 && now-b.lastAttemptAt < settle-requestTransitSeconds && !d.mayReceive(b, b.lastAttemptBy) {
-		d.reportViolation(checker.OccupiedInvariant, "%s got a request %.3f s before it is worked on, %.3f must be", b.name, now-b.lastAttemptAt, settle)
+	if quietSeconds := d.spec.QuietSeconds; server.lastAttemptAt > 0 && now-server.lastAttemptAt < quietSeconds-requestTransitSeconds && !d.mayReceive(server, server.lastAttemptBy) {
+		d.reportViolation(checker.OccupiedInvariant, "%s got a request %.3f s before it is worked on, %.3f must be", server.name, now-server.lastAttemptAt, quietSeconds)
 	}
-	if k.token <= d.lastToken {
-		d.reportViolation(checker.RepeatInvariant, "%s is handed over under %d after one under %d", b.name, k.token, d.lastToken)
+	if work.token <= d.lastToken {
+		d.reportViolation(checker.RepeatInvariant, "%s is handed over under %d after one under %d", server.name, work.token, d.lastToken)
 	}
-	d.lastToken = max(d.lastToken, k.token)
-	at, site := 1, 1
-	for _, o := range d.works {
-		if o.plan != k.plan {
+	d.lastToken = max(d.lastToken, work.token)
+	inProgress, inSite := 1, 1
+	for _, other := range d.works {
+		if other.plan != work.plan {
 			continue
 		}
-		if o.server == k.server {
-			d.reportViolation(checker.RepeatInvariant, "%s is worked on twice for plan %d", b.name, k.plan)
+		if other.server == work.server {
+			d.reportViolation(checker.RepeatInvariant, "%s is worked on twice for plan %d", server.name, work.plan)
 		}
-		if !o.isDone {
-			if at++; d.servers[o.server].site == b.site {
-				site++
+		if !other.isDone {
+			if inProgress++; d.servers[other.server].site == server.site {
+				inSite++
 			}
 		}
 	}
-	if p := d.planNumbered(k.plan); p != nil && (at > p.Spec.MaxConcurrent || site > max(p.Spec.MaxPerSite, 1)) {
-		d.reportViolation(checker.BudgetInvariant, "%d boxes of plan %d are worked on, %d of site %s", at, k.plan, site, b.site)
+	if p := d.planNumbered(work.plan); p != nil && (inProgress > p.Spec.MaxConcurrent || inSite > max(p.Spec.MaxPerSite, 1)) {
+		d.reportViolation(checker.BudgetInvariant, "%d boxes of plan %d are worked on, %d of site %s", inProgress, work.plan, inSite, server.site)
 	}
-	d.works = append(d.works, k)
-	b.work = k
+	d.works = append(d.works, work)
+	server.work = work
 	if d.strategy == nil && d.rng.IntN(3) == 0 {
 		d.after(d.spec.WorkSeconds*d.rng.Float64(), func() { d.restartSidecar(d.rng.IntN(len(d.day.sidecars))) })
 	}
@@ -114,27 +114,27 @@
 func (d *maintenanceDriver) observeFleet() {
 	now := d.day.network.Now()
 	for _, s := range d.day.sidecars {
-		heard := 0
-		for _, o := range d.day.sidecars {
-			if o != s && o.process != nil && o.process.IsRunning() && !o.isSuspended && !d.isPartitioned(s, o) {
-				heard++
+		reachable := 0
+		for _, peer := range d.day.sidecars {
+			if peer != s && peer.process != nil && peer.process.IsRunning() && !peer.isSuspended && !d.isPartitioned(s, peer) {
+				reachable++
 			}
 		}
-		up := s.process != nil && s.process.IsRunning() && !s.isSuspended
-		if up && 2*heard >= len(d.day.sidecars)-1 {
+		isUp := s.process != nil && s.process.IsRunning() && !s.isSuspended
+		if isUp && 2*reachable >= len(d.day.sidecars)-1 {
 			s.isolatedSince = 0
 		} else if s.isolatedSince == 0 {
 			s.isolatedSince = now
 		}
-		if !up || s.node == nil {
+		if !isUp || s.node == nil {
 			continue
 		}
-		if k := s.node.MaintenanceRecord(); k != nil && (k.Epoch > d.epoch || k.Epoch == d.epoch && k.Version > d.version) {
-			if state, err := maintenance.Decode(k.Body); err == nil {
-				d.epoch, d.version, d.latest = k.Epoch, k.Version, state
+		if record := s.node.MaintenanceRecord(); record != nil && (record.Epoch > d.epoch || record.Epoch == d.epoch && record.Version > d.version) {
+			if state, err := maintenance.Decode(record.Body); err == nil {
+				d.epoch, d.version, d.latest = record.Epoch, record.Version, state
 				d.checkBudgets()
 			} else {
-				d.reportViolation(checker.RecordInvariant, "version %d: %v", k.Version, err)
+				d.reportViolation(checker.RecordInvariant, "version %d: %v", record.Version, err)
 			}
 		}
 	}
@@ -159,20 +159,20 @@
 		if d.strategy != nil && p.Ended && d.endedAt == 0 {
 			d.endedAt = d.day.network.Now()
 		}
-		at, sites := 0, map[string]int{}
+		out, outBySite := 0, map[string]int{}
 		stages := make([]byte, 0, len(p.Servers))
 		for _, b := range p.Servers {
 			stages = append(stages, "wlrTcdsX"[b.Stage])
 			if b.Stage >= maintenance.Draining && b.Stage <= maintenance.WarmingUp {
-				at++
-				sites[b.Site]++
-				if sites[b.Site] > max(p.Spec.MaxPerSite, 1) {
-					d.reportViolation(checker.BudgetInvariant, "%d of site %s are out for plan %d", sites[b.Site], b.Site, p.Number)
+				out++
+				outBySite[b.Site]++
+				if outBySite[b.Site] > max(p.Spec.MaxPerSite, 1) {
+					d.reportViolation(checker.BudgetInvariant, "%d of site %s are out for plan %d", outBySite[b.Site], b.Site, p.Number)
 				}
 			}
 		}
-		if at > p.Spec.MaxConcurrent {
-			d.reportViolation(checker.BudgetInvariant, "%d boxes are out for plan %d", at, p.Number)
+		if out > p.Spec.MaxConcurrent {
+			d.reportViolation(checker.BudgetInvariant, "%d boxes are out for plan %d", out, p.Number)
 		}
 		line += fmt.Sprintf(" %d:%s", p.Number, stages)
 	}
@@ -184,11 +184,11 @@
 	for i := range d.latest.Plans {
 		p := &d.latest.Plans[i]
 		for _, b := range p.Servers {
-			done := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name && k.isDone })
-			had := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name })
+			wasDone := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name && k.isDone })
+			wasStarted := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name })
 			switch {
-			case b.Stage == maintenance.Done && !done, b.Stage < maintenance.InMaintenance && had, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
-				d.reportViolation(checker.RecordInvariant, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, had, done)
+			case b.Stage == maintenance.Done && !wasDone, b.Stage < maintenance.InMaintenance && wasStarted, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
+				d.reportViolation(checker.RecordInvariant, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, wasStarted, wasDone)
 			}
 		}
 	}
--- a/internal/sim/peerfaults.go
+++ b/internal/sim/peerfaults.go
@@ -19,16 +19,16 @@
 func (d *day) HoldPeerTraffic(from, to int, on bool) { d.DropPeerTraffic(from, to, on) }
 
 // LimitPeerTraffic implements environment.Hosts.
-func (d *day) LimitPeerTraffic(from, to int, perS float64) {
-	way := [2]int{from, to}
-	switch was := d.peerRates[way]; {
-	case was == 0 && perS > 0:
+func (d *day) LimitPeerTraffic(from, to int, bytesPerSecond float64) {
+	path := [2]int{from, to}
+	switch before := d.peerRates[path]; {
+	case before == 0 && bytesPerSecond > 0:
 		d.activePeerFaults++
-	case was > 0 && perS == 0:
+	case before > 0 && bytesPerSecond == 0:
 		d.activePeerFaults--
 	}
-	d.peerRates[way] = perS
-	d.network.SetRate(d.network.Machine(d.peerIP(from)), d.network.Machine(d.peerIP(to)), perS)
+	d.peerRates[path] = bytesPerSecond
+	d.network.SetRate(d.network.Machine(d.peerIP(from)), d.network.Machine(d.peerIP(to)), bytesPerSecond)
 	d.lastFaultAt = d.network.Now()
 }
 
--- a/internal/sim/resources.go
+++ b/internal/sim/resources.go
@@ -14,34 +14,34 @@
 		if s.process == nil || !s.process.IsRunning() {
 			continue
 		}
-		held, most := s.process.Descriptors()
-		if denied := s.process.DescriptorFailures(); denied > s.reportedFailures {
-			most, s.reportedFailures = d.spec.MaxDescriptors+denied-s.reportedFailures, denied
+		current, peak := s.process.Descriptors()
+		if failures := s.process.DescriptorFailures(); failures > s.reportedFailures {
+			peak, s.reportedFailures = d.spec.MaxDescriptors+failures-s.reportedFailures, failures
 		}
-		if most != s.reportedDescriptors {
-			s.reportedDescriptors = most
-			d.observeNow(checker.Event{Kind: checker.DescriptorsCounted, Sidecar: int32(s.number), Count: int32(max(held, most))})
+		if peak != s.reportedDescriptors {
+			s.reportedDescriptors = peak
+			d.observeNow(checker.Event{Kind: checker.DescriptorsCounted, Sidecar: int32(s.number), Count: int32(max(current, peak))})
 		}
 	}
 }
 
-// reportLeftovers reports what sidecars still hold at the day's end.
+// reportLeftovers reports the resources that sidecars still use at the day's end.
 func (d *day) reportLeftovers() {
 	for _, s := range d.sidecars {
 		if s.process == nil || !s.process.IsRunning() {
 			continue
 		}
-		held := s.program.Leftovers()
+		leftovers := s.program.Leftovers()
 		unsent := 0
 		for _, c := range s.process.Conns() {
-			if _, peer := c.Context().(*peers.Link); !peer { // they are never at rest; what waits on them is looked at all day long
+			if _, peer := c.Context().(*peers.Link); !peer { // they are never idle; checkPeerQueues checks their queues
 				unsent += c.OutboundBuffered()
 			}
 		}
-		held = append(held, Leftover{"dials", excess(s.process.Dialing(), idleConns)}, Leftover{"bytes that are not sent", unsent})
-		for _, h := range held {
-			if h.Count != 0 {
-				d.observeNow(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(h.Count), Text: h.Name})
+		leftovers = append(leftovers, Leftover{"dials", excess(s.process.Dialing(), idleConns)}, Leftover{"bytes that are not sent", unsent})
+		for _, leftover := range leftovers {
+			if leftover.Count != 0 {
+				d.observeNow(checker.Event{Kind: checker.LeftoversCounted, Sidecar: int32(s.number), Count: int32(leftover.Count), Text: leftover.Name})
 			}
 		}
 	}
--- a/internal/sim/stalledpeer.go
+++ b/internal/sim/stalledpeer.go
@@ -57,7 +57,7 @@
 }
 
 // QueryWithoutReading implements environment.Hosts by a stalledPeer on a machine of its own.
-func (d *day) QueryWithoutReading(sidecar int, perS, until float64) {
+func (d *day) QueryWithoutReading(sidecar int, queriesPerSecond, until float64) {
 	d.stalledPeers++
 	d.activePeerFaults++ // until the peer exits
 	vm := d.network.Machine(fmt.Sprintf("10.9.0.%d", d.stalledPeers))
@@ -65,10 +65,10 @@
 		d.activePeerFaults--
 		d.lastFaultAt = d.network.Now()
 	}})
-	h := &stalledPeer{loop: p, address: peersAddress(&d.sidecars[sidecar].spec), requestsPerSecond: perS, until: until}
+	peer := &stalledPeer{loop: p, address: peersAddress(&d.sidecars[sidecar].spec), requestsPerSecond: queriesPerSecond, until: until}
 	var err error
-	if h.hello, h.request, err = stalledpeer.Frames(fleetName, h.address); err == nil {
-		err = p.Run(h)
+	if peer.hello, peer.request, err = stalledpeer.Frames(fleetName, peer.address); err == nil {
+		err = p.Run(peer)
 	}
 	if err != nil {
 		panic(err) // the frames are constant, and it opens no listener
--- a/internal/sim/strategies.go
+++ b/internal/sim/strategies.go
@@ -63,17 +63,17 @@
 	default:
 		d.spec = maintenance.Spec{WorkSeconds: planWorkSeconds, QuietSeconds: 1, DeadMemberSeconds: deadMemberSeconds, RejectionBudget: 0.1, MaxRejection: planMaxRejection, MinCapacity: 0.6}
 		for i := range strategy.MaxConcurrent {
-			m := &simulatedAgent{driver: d, name: fmt.Sprint("mechanic-", i), isReliable: true}
-			d.agents = append(d.agents, m)
-			d.after(planStartSeconds-1, m.poll)
+			agent := &simulatedAgent{driver: d, name: fmt.Sprint("mechanic-", i), isReliable: true}
+			d.agents = append(d.agents, agent)
+			d.after(planStartSeconds-1, agent.poll)
 		}
 		d.after(planStartSeconds, func() {
-			s := d.spec
-			s.Name, s.MaxConcurrent, s.MaxPerSite = "all", strategy.MaxConcurrent, strategy.MaxPerSite
+			spec := d.spec
+			spec.Name, spec.MaxConcurrent, spec.MaxPerSite = "all", strategy.MaxConcurrent, strategy.MaxPerSite
 			for i := range d.day.spec.InitialServers {
-				s.Servers = append(s.Servers, d.servers[i].name)
+				spec.Servers = append(spec.Servers, d.servers[i].name)
 			}
-			d.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &s}, 60, func(r maintenance.Reply, answered bool) { d.trace("%d %s, %t", r.Plan, r.Err, answered) })
+			d.submit(maintenance.Command{Kind: maintenance.SubmitPlan, Spec: &spec}, 60, func(r maintenance.Reply, answered bool) { d.trace("%d %s, %t", r.Plan, r.Err, answered) })
 		})
 	}
 }
@@ -130,33 +130,33 @@
 		lengthSeconds = planStartSeconds + 120 + 75*float64(servers)
 	}
 	ranges.LengthSeconds = environment.Range{Min: lengthSeconds, Max: lengthSeconds}
-	o := Options{FleetMode: FleetWithMaintenance, CustomRanges: &ranges, Maintenance: strategy}
-	d := environment.Draw(seed, ranges)
-	s := environment.Script{Seed: seed}
+	options := Options{FleetMode: FleetWithMaintenance, CustomRanges: &ranges, Maintenance: strategy}
+	drawn := environment.Draw(seed, ranges)
+	script := environment.Script{Seed: seed}
 	if hang {
 		var names []string
 		for i := range servers / 5 {
-			names = append(names, d.Servers[i*5].Name)
+			names = append(names, drawn.Servers[i*5].Name)
 		}
-		s.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: planStartSeconds + 20, DurationSeconds: 40, Servers: names}}
+		script.Faults = []environment.Fault{{Kind: environment.Hang, AtSeconds: planStartSeconds + 20, DurationSeconds: 40, Servers: names}}
 	}
-	meter := &serviceMeter{classes: d.Rules().Classes, requests: map[uint64]*meteredRequest{}, start: d.Start}
-	o.Observer = meter
-	played, err := newDay(s, o)
+	meter := &serviceMeter{classes: drawn.Rules().Classes, requests: map[uint64]*meteredRequest{}, start: drawn.Start}
+	options.Observer = meter
+	day, err := newDay(script, options)
 	if err != nil {
 		return nil, err
 	}
-	played.run("")
-	result := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(played.checker.Violations()), meter: meter, WorstService: 1}
+	day.run("")
+	result := &MaintenanceResult{TotalSeconds: math.NaN(), Violations: len(day.checker.Violations()), meter: meter, WorstService: 1}
 	end := int(lengthSeconds)
-	if at := played.maintenance.endedAt; at > 0 {
-		result.TotalSeconds = at - d.Start - planStartSeconds
-		end = int(at-d.Start) + 1
+	if at := day.maintenance.endedAt; at > 0 {
+		result.TotalSeconds = at - drawn.Start - planStartSeconds
+		end = int(at-drawn.Start) + 1
 	}
 	result.Service = meter.service(int(planStartSeconds), end)
 	for i := int(planStartSeconds); i+10 <= end; i++ {
-		if s := meter.service(i, i+10); s < result.WorstService {
-			result.WorstService, result.WorstAt = s, i
+		if script := meter.service(i, i+10); script < result.WorstService {
+			result.WorstService, result.WorstAt = script, i
 		}
 	}
 	for i := int(planStartSeconds); i < min(end, len(meter.rejected)); i++ {
