--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -179,7 +179,7 @@
 	if after, advised := strings.CutPrefix(e.Error(), "throttled; retry-after="); advised {
 		h.Set("Retry-After", after)
 	}
-	status := map[int32]int{thrift.LoadShedding: 503, thrift.TimedOutException: 504, thrift.UnknownMethod: 404, thrift.InternalError: 502}[e.TypeId()]
+	status := map[thrift.ExceptionType]int{thrift.LoadShedding: 503, thrift.TimedOutException: 504, thrift.UnknownMethod: 404, thrift.InternalError: 502}[thrift.ExceptionType(e.TypeId())]
 	if strings.Contains(e.Error(), "open call") {
 		status = 409
 	}
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -258,7 +258,7 @@
 					return 200
 				}
 				kind, _, _ := m.DecodeException()
-				return map[int32]int{thrift.LoadShedding: 503, thrift.InternalError: 502, thrift.TimedOutException: 504}[kind]
+				return map[thrift.ExceptionType]int{thrift.LoadShedding: 503, thrift.InternalError: 502, thrift.TimedOutException: 504}[kind]
 			}}
 	}
 	return all
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -140,13 +140,13 @@
 }
 
 // reject answers a call without submitting it. Such a call has not run.
-func (c *clientConn) reject(kind int32, reason string) {
+func (c *clientConn) reject(kind thrift.ExceptionType, reason string) {
 	c.CountMalformed()
 	c.respondException(kind, reason)
 }
 
 // rejectAndClose answers a malformed message as the last on its connection.
-func (c *clientConn) rejectAndClose(kind int32, reason string) {
+func (c *clientConn) rejectAndClose(kind thrift.ExceptionType, reason string) {
 	c.SetKeepAlive(false)
 	c.reject(kind, reason)
 }
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -48,7 +48,7 @@
 }
 
 // respondException writes a TApplicationException, or nothing for a one-way call.
-func (c *clientConn) respondException(kind int32, text string) {
+func (c *clientConn) respondException(kind thrift.ExceptionType, text string) {
 	dst, _, connected := c.BeginResponse(false)
 	if !connected {
 		return
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -92,7 +92,7 @@
 		require.NoError(t, err)
 		kind, text, err := m.DecodeException()
 		require.NoError(t, err)
-		assert.Equal(t, []any{Exception, int32(-9), int32(LoadShedding), "throttled"}, []any{m.Kind, m.Seq, kind, string(text)})
+		assert.Equal(t, []any{Exception, int32(-9), LoadShedding, "throttled"}, []any{m.Kind, m.Seq, kind, string(text)})
 	}
 }
 
