--- a/internal/ci/knownred/list.go
+++ b/internal/ci/knownred/list.go
@@ -1,5 +1,5 @@
 // Package knownred decides whether a run of the tests passes where some tests fail for a fault that is known. Such tests are
-// listed in a file; the package reads the list, the events of go test -json, and says what stands against passing.
+// listed in a file; the package reads the list, the events of go test -json, and returns why the run fails.
 package knownred
 
 import (
@@ -12,8 +12,8 @@
 // FileName is the name of the list, at the root of the repository. A repository without the file has no known failures.
 const FileName = "KNOWN-RED.txt"
 
-// MostEntries is how many tests may be listed.
-const MostEntries = 3
+// MaxEntries is how many tests may be listed.
+const MaxEntries = 3
 
 // Entry is one listed test.
 type Entry struct {
@@ -42,7 +42,7 @@
 )
 
 // Parse reads a list: one test on each line, as "test | cause | issue" or with tabs between the three. A package may stand
-// before the test, with a space between. All faults of the list are told in one error.
+// before the test, with a space between. All faults of the list are returned in one error.
 func Parse(text string) ([]Entry, error) {
 	var entries []Entry
 	var faults []error
@@ -60,8 +60,8 @@
 		}
 		entries = append(entries, entry)
 	}
-	if len(entries) > MostEntries {
-		faults = append(faults, fmt.Errorf("%s: %d tests are listed, %d at most", FileName, len(entries), MostEntries))
+	if len(entries) > MaxEntries {
+		faults = append(faults, fmt.Errorf("%s: %d tests are listed, %d at most", FileName, len(entries), MaxEntries))
 	}
 	return entries, errors.Join(faults...)
 }
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Verdict says whether a run passes, and why.
+// Verdict tells whether a run passes, and why.
 type Verdict struct {
 	PassedOver []string // listed tests that failed
 	Passed     []string // listed tests that passed: their lines can go
-	Problems   []string // what stands against passing
+	Problems   []string // why the run fails
 }
 
 // OK reports whether the run passes.
@@ -18,19 +18,19 @@
 // failedExit is the status with which go test ends where tests or builds have failed.
 const failedExit = 1
 
-// Verdict judges the run once go test has ended with an exit status.
+// Verdict evaluates the run after go test has ended with an exit status.
 func (r *Run) Verdict(exitStatus int) *Verdict {
 	v := &Verdict{Problems: r.problems}
 	if r.buildFails {
 		v.problem("a package could not be built")
 	}
 	for _, path := range r.order {
-		r.judgePackage(v, r.packages[path])
+		r.checkPackage(v, r.packages[path])
 	}
 	for _, e := range r.entries {
-		r.judgeEntry(v, e)
+		r.checkEntry(v, e)
 	}
-	r.judgeExit(v, exitStatus)
+	r.checkExit(v, exitStatus)
 	return v
 }
 
@@ -38,8 +38,8 @@
 	v.Problems = append(v.Problems, fmt.Sprintf(format, args...))
 }
 
-// judgePackage names what is wrong with a package beside the failures of listed tests.
-func (r *Run) judgePackage(v *Verdict, p *packageRun) {
+// checkPackage records the problems of a package other than failures of listed tests.
+func (r *Run) checkPackage(v *Verdict, p *packageRun) {
 	switch {
 	case p.result == "":
 		v.problem("%s has no result", p.path)
@@ -54,12 +54,12 @@
 	case p.afterEnd:
 		v.problem("%s printed more after its tests had failed", p.path)
 	}
-	r.judgeTests(v, p)
-	r.judgeRaces(v, p)
+	r.checkTests(v, p)
+	r.checkRaces(v, p)
 }
 
-// judgeTests names the tests of a failed package that stand against passing.
-func (r *Run) judgeTests(v *Verdict, p *packageRun) {
+// checkTests records the failed tests of a package that are not listed.
+func (r *Run) checkTests(v *Verdict, p *packageRun) {
 	failures := 0
 	for _, test := range p.order {
 		switch p.results[test] {
@@ -77,9 +77,9 @@
 	}
 }
 
-// judgeRaces names data races that were reported outside of listed tests. Danger: one that no test has reported changes
+// checkRaces records data races that were reported outside of listed tests. Danger: one that no test has reported changes
 // nothing but the exit status of the test binary, and go test ends the same way where a listed test has failed.
-func (r *Run) judgeRaces(v *Verdict, p *packageRun) {
+func (r *Run) checkRaces(v *Verdict, p *packageRun) {
 	for _, l := range p.output {
 		switch {
 		case strings.Contains(l.text, raceOutside):
@@ -117,8 +117,8 @@
 	return below > 0
 }
 
-// judgeEntry says how a listed test has fared. One that was not run, or skipped, shows nothing of its fault.
-func (r *Run) judgeEntry(v *Verdict, e Entry) {
+// checkEntry records the result of a listed test. One that was not run, or was skipped, is a problem: it says nothing of its fault.
+func (r *Run) checkEntry(v *Verdict, e Entry) {
 	var packages []string
 	result := ""
 	for _, path := range r.order {
@@ -143,8 +143,8 @@
 	}
 }
 
-// judgeExit compares the exit status with the results. Danger: a failure that no event tells of would be lost.
-func (r *Run) judgeExit(v *Verdict, exitStatus int) {
+// checkExit compares the exit status with the results. Danger: a failure without an event would be lost otherwise.
+func (r *Run) checkExit(v *Verdict, exitStatus int) {
 	tests, failures := 0, 0
 	for _, p := range r.packages {
 		tests += len(p.order)
--- a/internal/simulatorwire/frame.go
+++ b/internal/simulatorwire/frame.go
@@ -100,8 +100,8 @@
 	if err := r.fill(size); err != nil {
 		return Batch{}, fmt.Errorf("frame of %d bytes: %w", size, err)
 	}
-	cut := count * eventSize
-	return Batch{Now: now, Count: count, records: r.buf[:cut], tail: r.buf[cut:]}, nil
+	recordBytes := count * eventSize
+	return Batch{Now: now, Count: count, records: r.buf[:recordBytes], tail: r.buf[recordBytes:]}, nil
 }
 
 // fill reads size bytes, taking memory only as bytes arrive.
@@ -198,11 +198,11 @@
 
 // DecodeInbound reads an Inbound record.
 func DecodeInbound(r Record) policy.Request {
-	marks := r[40]
+	flags := r[40]
 	return policy.Request{
 		ID: le.Uint32(r[6:]), Class: int(le.Uint16(r[10:])), Tenant: int(le.Uint32(r[12:])),
 		Key: le.Uint64(r[16:]), Deadline: float(r[24:]), WorkSeconds: float(r[32:]),
-		HasWork: marks&1 != 0, Repeat: marks&2 != 0,
+		HasWork: flags&1 != 0, Repeat: flags&2 != 0,
 	}
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Error is what is wrong with a file.
+// Error is a fault of a TOML file, with its place.
 type Error struct {
 	File      string
 	Line, Col int
@@ -21,6 +21,7 @@
 	Why       string
 }
 
+// Error returns file, line, column, field and reason in one line.
 func (e *Error) Error() string {
 	field := ""
 	if e.Field != "" {
