--- a/cmd/hazellab/demo_test.go
+++ b/cmd/hazellab/demo_test.go
@@ -19,10 +19,10 @@
 	"hazelwheel/internal/lab/process"
 )
 
-// The demo shows what goes wrong and that it is mended, and ends by itself with all rules kept. No process stays.
+// The demo shows the faults and the recovery from them, and ends by itself without a violation. No process is left.
 func TestDemo(t *testing.T) {
 	t.Parallel()
-	binary := built(t)
+	binary := sidecarProgram(t)
 	for try := 1; ; try++ {
 		began := time.Now()
 		p := start(t, "demo", "--binary", binary)
@@ -38,10 +38,10 @@
 			require.Fail(t, "the demo ended without a sidecar", p.out.String()+p.err.String())
 		}
 		<-ended
-		gone(t, pids)
+		waitForExit(t, pids)
 		out := p.out.String()
 		if strings.Contains(out, "too busy") && try < 3 {
-			continue // what was seen is the machine, as it says
+			continue // attributed to the machine
 		}
 		assert.Less(t, time.Since(began), 20*time.Second)
 		for _, text := range []string{"2 boxes hang", "they answer again", "site-a is lost", "site-a returns"} {
@@ -59,12 +59,12 @@
 	}
 }
 
-// A sidecar that ends unasked breaks a rule: the demo says which, and ends with 1.
-func TestDemoBrokenRule(t *testing.T) {
+// A sidecar that exits by itself is a violation: the demo names it and ends with 1.
+func TestDemoFailsOnViolation(t *testing.T) {
 	t.Parallel()
 	script := filepath.Join(t.TempDir(), "sidecar")
-	writeProgram(t, script, "#!/bin/sh\nexec timeout -s KILL 3 "+built(t)+" \"$@\"\n")
-	code, out, log := ends(t, "demo", "--binary", script)
+	writeProgram(t, script, "#!/bin/sh\nexec timeout -s KILL 3 "+sidecarProgram(t)+" \"$@\"\n")
+	code, out, log := runToEnd(t, "demo", "--binary", script)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "no-crash")
 	assert.Contains(t, log, "a rule was broken")
@@ -76,41 +76,41 @@
 	return fmt.Sprintf("127.0.0.1:%d", port)
 }
 
-// A world is served to a sidecar that somebody else runs, and troubles come to it while it is.
-func TestServe(t *testing.T) {
+// An environment is run for a sidecar that is started apart, and faults are injected into it meanwhile.
+func TestServeRunsEnvironmentForSidecar(t *testing.T) {
 	t.Parallel()
 	dir, listen, control := t.TempDir(), freeAddress(t), freeAddress(t)
 	file, config := filepath.Join(dir, "world.toml"), filepath.Join(dir, "sidecar.json")
 	require.NoError(t, os.WriteFile(file, []byte("seed = 3\nsidecars = 1\nboxes = 4\n"), 0o644))
 	world := start(t, "serve", "--config", config, "--listen", listen, "--control", control, file)
 	eventually(t, "the control", func() bool { c, err := net.Dial("tcp", control); return err == nil && c.Close() == nil })
-	eventually(t, "the configuration", func() bool { // Danger: it is written about when the control listens
-		return exec.Command(built(t), "check", "--config", config).Run() == nil
+	eventually(t, "the configuration", func() bool { // Danger: the configuration may be written after the control address listens
+		return exec.Command(sidecarProgram(t), "check", "--config", config).Run() == nil
 	})
-	sidecar := exec.Command(built(t), "serve", "--config", config)
+	sidecar := exec.Command(sidecarProgram(t), "serve", "--config", config)
 	require.NoError(t, sidecar.Start())
 	t.Cleanup(func() { _ = sidecar.Process.Kill(); _ = sidecar.Wait() })
 	eventually(t, "the sidecar", func() bool { c, err := net.Dial("tcp", listen); return err == nil && c.Close() == nil })
 
 	ask := func() *load.Result {
-		code, out, log := ends(t, "load", "--target", listen, "--rate", "40", "--for", "2s", "--links", "8", "--slack", "2s", "--json", "-")
+		code, out, log := runToEnd(t, "load", "--target", listen, "--rate", "40", "--for", "2s", "--links", "8", "--slack", "2s", "--json", "-")
 		require.Equal(t, 0, code, log)
 		var r load.Result
 		require.NoError(t, json.Unmarshal([]byte(out), &r))
 		return &r
 	}
 	calm := ask()
-	for try := 1; calm.Share(load.Served) <= 0.97 && try < 4; try++ { // a busy machine is no world's fault
+	for try := 1; calm.Share(load.Served) <= 0.97 && try < 4; try++ { // retried, as a busy machine may be too slow
 		calm = ask()
 	}
 	require.Greater(t, calm.Share(load.Served), 0.97, "%+v %s %s", calm.Counts, world.out.String(), world.err.String())
-	code, _, log := ends(t, "trouble", "hang", "--control", control, "--for", "60s", "--box", "0", "--box", "1", "--box", "2", "--box", "3")
+	code, _, log := runToEnd(t, "trouble", "hang", "--control", control, "--for", "60s", "--box", "0", "--box", "1", "--box", "2", "--box", "3")
 	require.Equal(t, 0, code, log)
 	hung := ask()
 	assert.Less(t, hung.Share(load.Served), 0.1, "%+v", hung.Counts)
 
 	for _, c := range []struct{ args, says string }{{"plague", "kind"}, {"--box s-0 hang", "boxes"}, {"--for -1s --box 1 hang", "for_s"}} {
-		code, _, log = ends(t, append([]string{"trouble", "--control", control}, strings.Fields(c.args)...)...)
+		code, _, log = runToEnd(t, append([]string{"trouble", "--control", control}, strings.Fields(c.args)...)...)
 		assert.Equal(t, 2, code, c.args)
 		assert.Contains(t, log, c.says)
 	}
@@ -120,7 +120,7 @@
 
 	bad := filepath.Join(dir, "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("seed = 3\nboxs = 4\n"), 0o644))
-	code, _, log = ends(t, "serve", bad)
+	code, _, log = runToEnd(t, "serve", bad)
 	assert.Equal(t, 2, code)
 	assert.Equal(t, fmt.Sprintf("hazellab: %s:2:1: boxs: no such field\n", bad), log)
 }
--- a/cmd/hazellab/experiment_test.go
+++ b/cmd/hazellab/experiment_test.go
@@ -40,7 +40,7 @@
 classes = [{name = "latest-reading", share = 3}, {name = "raise-alert", share = 1}]
 `
 
-// experimentFile writes one and returns its path and a folder for its figures.
+// experimentFile writes the file of an experiment and returns its path and a folder for the figures.
 func experimentFile(t *testing.T, text string) (path, folder string) {
 	dir := t.TempDir()
 	path = filepath.Join(dir, "x.toml")
@@ -70,16 +70,16 @@
 	return all
 }
 
-// gone waits until none of some processes is left.
-func gone(t *testing.T, pids map[int]string) {
+// waitForExit waits until none of the processes is left.
+func waitForExit(t *testing.T, pids map[int]string) {
 	require.NotEmpty(t, pids)
 	for pid, line := range pids {
 		eventually(t, "the end of "+line, func() bool { return syscall.Kill(pid, 0) != nil })
 	}
 }
 
-// running starts an experiment and returns it once its second run sends.
-func running(t *testing.T) (p *program, folder string, pids map[int]string) {
+// startExperiment starts an experiment and returns it once its second run sends.
+func startExperiment(t *testing.T) (p *program, folder string, pids map[int]string) {
 	path, folder := experimentFile(t, smallExperiment)
 	p = start(t, "experiment", "--out", folder, path)
 	eventually(t, "the second run's load", func() bool {
@@ -91,8 +91,8 @@
 	return p, folder, pids
 }
 
-// kept checks that an experiment's folder holds its first run whole and says that it is partial.
-func kept(t *testing.T, folder, why string) *experiment.Data {
+// requirePartialData checks that the folder of an experiment holds its first run completely and is marked as partial.
+func requirePartialData(t *testing.T, folder, why string) *experiment.Data {
 	data, err := experiment.Open(folder)
 	require.NoError(t, err)
 	assert.True(t, data.Partial)
@@ -105,8 +105,8 @@
 	return data
 }
 
-// Ctrl-C ends an experiment in order, and a kill ends it at once: neither loses what was measured, or leaves a process.
-func TestExperimentCutOff(t *testing.T) {
+// An experiment that is interrupted or killed keeps the completed runs and leaves no process.
+func TestInterruptedExperimentKeepsItsRuns(t *testing.T) {
 	for _, c := range []struct {
 		signal syscall.Signal
 		code   int
@@ -114,12 +114,12 @@
 	}{{syscall.SIGINT, 1, "context canceled"}, {syscall.SIGKILL, -1, "cut off"}} {
 		t.Run(c.signal.String(), func(t *testing.T) {
 			t.Parallel()
-			p, folder, pids := running(t)
+			p, folder, pids := startExperiment(t)
 			require.NoError(t, p.Process.Signal(c.signal))
 			_ = p.Wait()
 			assert.Equal(t, c.code, p.ProcessState.ExitCode())
-			gone(t, pids)
-			data := kept(t, folder, c.why)
+			waitForExit(t, pids)
+			data := requirePartialData(t, folder, c.why)
 			if c.signal == syscall.SIGINT {
 				require.Len(t, data.Records, 2)
 				assert.True(t, data.Records[1].Partial)
@@ -129,10 +129,10 @@
 	}
 }
 
-// A balancer that dies in a run spoils that run alone, which says so.
-func TestBalancerDies(t *testing.T) {
+// A balancer that crashes fails only the run, which records it.
+func TestBalancerCrashFailsOneRun(t *testing.T) {
 	t.Parallel()
-	p, folder, pids := running(t)
+	p, folder, pids := startExperiment(t)
 	for pid, line := range pids {
 		if strings.Contains(line, " proxy ") {
 			require.NoError(t, syscall.Kill(pid, syscall.SIGKILL))
@@ -140,7 +140,7 @@
 	}
 	_ = p.Wait()
 	assert.Equal(t, 1, p.ProcessState.ExitCode())
-	data := kept(t, folder, "1 of 4 runs failed")
+	data := requirePartialData(t, folder, "1 of 4 runs failed")
 	require.Len(t, data.Records, 4)
 	for i, r := range data.Records {
 		assert.Equal(t, i == 1, r.Partial)
@@ -150,8 +150,8 @@
 	assert.Equal(t, 3, data.Done)
 }
 
-// A disk that is full ends the experiment, with what was written before.
-func TestDiskFull(t *testing.T) {
+// A full disk ends the experiment and keeps the runs before.
+func TestFullDiskEndsExperiment(t *testing.T) {
 	t.Parallel()
 	path, folder := experimentFile(t, smallExperiment)
 	p := start(t, "experiment", "--out", folder, path)
@@ -162,11 +162,11 @@
 	_ = p.Wait()
 	assert.Equal(t, 1, p.ProcessState.ExitCode())
 	assert.Contains(t, p.err.String(), "no space left on device")
-	kept(t, folder, "no space left on device")
+	requirePartialData(t, folder, "no space left on device")
 }
 
-// A port that another process has taken in the meantime costs a try, not the run.
-func TestPortTakenInTheMeantime(t *testing.T) {
+// A port that another process has taken in the meantime is retried within the run.
+func TestTakenPortIsRetried(t *testing.T) {
 	t.Parallel()
 	path, folder := experimentFile(t, strings.Replace(smallExperiment, "repeats = 2", "repeats = 1", 1))
 	script := filepath.Join(filepath.Dir(path), "lab")
@@ -184,27 +184,27 @@
 	assert.DirExists(t, script+".tried")
 }
 
-// What is wrong with a file is one line and exit code 2, and nothing has begun.
-func TestBadExperiment(t *testing.T) {
+// A fault in the file is reported in one line with exit code 2, before anything is started.
+func TestInvalidExperimentIsUsageError(t *testing.T) {
 	t.Parallel()
 	path, folder := experimentFile(t, strings.Replace(smallExperiment, "rate = 200", "rate = -200", 1))
-	code, _, log := ends(t, "experiment", "--out", folder, path)
+	code, _, log := runToEnd(t, "experiment", "--out", folder, path)
 	assert.Equal(t, 2, code)
 	assert.Equal(t, "hazellab: "+path+":18:1: load[0].rate: not 0 to 10,000,000\n", log)
 	assert.NoDirExists(t, folder)
 }
 
-// Figures are never mixed with those of another experiment.
-func TestFolderInUse(t *testing.T) {
+// A folder with the figures of another experiment is rejected.
+func TestUsedFolderIsRejected(t *testing.T) {
 	t.Parallel()
 	path, _ := experimentFile(t, smallExperiment)
-	code, _, log := ends(t, "experiment", "--out", filepath.Dir(path), path)
+	code, _, log := runToEnd(t, "experiment", "--out", filepath.Dir(path), path)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, log, "there is something in it already")
 }
 
-// One small experiment from its file to its pages and the verdict: the sidecar against a plain balancer, with a box that
-// hangs. What compare says of two that are the same program is for its own tests: here each run takes seconds.
+// One small experiment from its file to the pages and the comparison: the sidecar and a plain balancer, with a server that hangs. The
+// comparison of two equal programs has tests of its own: here each run takes seconds.
 func TestExperimentEndToEnd(t *testing.T) {
 	t.Parallel()
 	text := strings.NewReplacer("repeats = 2", "repeats = 5", `name = "random"`, `name = "sidecar"`,
@@ -214,11 +214,11 @@
 events = [{kind = "hang", at = "200ms", for = "700ms", boxes = [1]}]
 `
 	path, folder := experimentFile(t, text)
-	code, out, log := ends(t, "experiment", "--out", folder, path)
+	code, out, log := runToEnd(t, "experiment", "--out", folder, path)
 	require.Equal(t, 0, code, log)
 	assert.Contains(t, out, "10 of 10 runs whole")
 
-	code, _, log = ends(t, "report", "--pictures", folder)
+	code, _, log = runToEnd(t, "report", "--pictures", folder)
 	require.Equal(t, 0, code, log)
 	assert.FileExists(t, filepath.Join(folder, "small-3-boxes-200-s-a-box-hangs-service.svg"))
 	page, err := os.ReadFile(filepath.Join(folder, "report.html"))
@@ -231,17 +231,17 @@
 
 	assert.Contains(t, string(table), "hazelwheel/internal/sidecar.", "the profile")
 
-	// What the plain balancer sends to the box that hangs comes late or never, and holds up the rest. Danger: a busy machine
-	// has single runs stray, and of a figure that does nothing is said then; never do all of them.
-	code, out, _ = ends(t, "compare", folder+":round robin", folder+":sidecar")
+	// Requests of the plain balancer to the server that hangs are late or lost, and delay the rest. Danger: on a busy machine single runs
+	// deviate, and then a figure has no verdict; but not all figures do.
+	code, out, _ = runToEnd(t, "compare", folder+":round robin", folder+":sidecar")
 	require.Equal(t, 0, code)
 	const service = `(?m)^\|[^|]*\| (served %|failed %|served/s|p50 ms|p99 ms) \|.*\| `
 	assert.Regexp(t, service+`better \|$`, out)
 	assert.NotRegexp(t, service+`worse \|$`, out)
 
-	code, _, log = ends(t, "compare", folder+":round robin", folder+":nobody")
+	code, _, log = runToEnd(t, "compare", folder+":round robin", folder+":nobody")
 	assert.Equal(t, 2, code)
 	assert.Contains(t, log, `no balancer "nobody"`)
-	code, _, _ = ends(t, "report", t.TempDir())
+	code, _, _ = runToEnd(t, "report", t.TempDir())
 	assert.Equal(t, 2, code)
 }
--- a/cmd/hazellab/main_test.go
+++ b/cmd/hazellab/main_test.go
@@ -21,16 +21,16 @@
 	"hazelwheel/internal/lab/load"
 )
 
-// scratch is a folder for what the tests share.
+// scratch is the folder of files that the tests share.
 var scratch string
 
-// The tests start this test binary again as the program.
+// TestMain runs the program in place of the tests where the environment asks for it: the tests start this binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_HAZELLAB") != "" {
 		main()
 		return
 	}
-	_ = os.Setenv("RUN_HAZELLAB", "1") // of the children, and theirs
+	_ = os.Setenv("RUN_HAZELLAB", "1") // for the children and their children
 	var err error
 	if scratch, err = os.MkdirTemp("", "hazellab"); err != nil {
 		panic(err)
@@ -40,13 +40,13 @@
 	os.Exit(code)
 }
 
-// program is a command of the laboratory that runs.
+// program is a running command of the laboratory.
 type program struct {
 	*exec.Cmd
 	out, err output
 }
 
-// output is what a program has written, also while it runs.
+// output collects what a program writes. It may be read while the program runs.
 type output struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -68,7 +68,7 @@
 	return startWith(t, nil, args...)
 }
 
-// startWith starts a command with more in its environment.
+// startWith starts a command with additions to its environment.
 func startWith(t *testing.T, env []string, args ...string) *program {
 	p := &program{Cmd: exec.Command(os.Args[0], args...)}
 	p.Env = append(os.Environ(), env...)
@@ -78,15 +78,15 @@
 	return p
 }
 
-// ends waits for a command and returns its exit code.
-func ends(t *testing.T, args ...string) (code int, out, log string) {
+// runToEnd runs a command and returns its exit code, standard output and standard error.
+func runToEnd(t *testing.T, args ...string) (code int, out, log string) {
 	p := start(t, args...)
 	_ = p.Wait()
 	return p.ProcessState.ExitCode(), p.out.String(), p.err.String()
 }
 
-// A client that is itself stopped for half a second shows it as waiting, not as requests that were never due.
-func TestClientThatStalls(t *testing.T) {
+// A load generator that is stopped for half a second counts the requests that were due meanwhile, with their waiting time.
+func TestStalledLoadCountsWaitingTime(t *testing.T) {
 	t.Parallel()
 	const stall = 500 * time.Millisecond
 	box := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Content-Length", "0") }))
@@ -107,8 +107,8 @@
 	assert.Less(t, r.P50, 0.5*float64(stall/time.Millisecond))
 }
 
-// A server that breaks a rule ends the load with 1, which says what it saw; with no slack nothing is judged.
-func TestLoadJudges(t *testing.T) {
+// A server that violates an invariant makes load end with 1 and print the violation; without slack nothing is checked.
+func TestLoadFailsOnViolation(t *testing.T) {
 	t.Parallel()
 	twice := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -117,16 +117,16 @@
 		}
 		defer conn.Close()
 		const answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-		_, _ = conn.Write([]byte(answer + answer)) // who is gone needs no answer
+		_, _ = conn.Write([]byte(answer + answer)) // the client may have closed the connection
 	}))
 	defer twice.Close()
 	ask := []string{"load", "--target", twice.Listener.Addr().String(), "--rate", "50", "--for", "200ms", "--links", "2"}
-	code, out, log := ends(t, ask...)
+	code, out, log := runToEnd(t, ask...)
 	assert.Equal(t, 1, code, log)
 	assert.Contains(t, out, "one-answer: a second answer, of status 200")
 	assert.Equal(t, "hazellab: a rule was broken\n", log)
 
-	code, out, log = ends(t, append(ask, "--json", "-")...)
+	code, out, log = runToEnd(t, append(ask, "--json", "-")...)
 	assert.Equal(t, 1, code, log)
 	var r load.Result
 	require.NoError(t, json.Unmarshal([]byte(out), &r))
@@ -134,13 +134,13 @@
 	assert.NotEmpty(t, r.Findings)
 	assert.EqualValues(t, len(r.Findings), r.Breaks)
 
-	code, out, log = ends(t, append(ask, "--slack", "0")...)
+	code, out, log = runToEnd(t, append(ask, "--slack", "0")...)
 	assert.Equal(t, 0, code, log)
 	assert.NotContains(t, out, "judged")
 }
 
-// What a command is told wrong is one line that names it, and exit code 2.
-func TestBadFlags(t *testing.T) {
+// An invalid flag is reported in one line that names it, with exit code 2.
+func TestInvalidFlagsAreUsageErrors(t *testing.T) {
 	for _, c := range []struct{ args, says string }{
 		{"load --rate=-5", "rate"},
 		{"load --rate ten", "rate"},
@@ -162,7 +162,7 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			t.Parallel()
-			code, _, log := ends(t, strings.Fields(c.args)...)
+			code, _, log := runToEnd(t, strings.Fields(c.args)...)
 			assert.Equal(t, 2, code, log)
 			assert.Equal(t, 1, strings.Count(log, "\n"), log)
 			assert.Contains(t, log, c.says)
@@ -170,18 +170,18 @@
 	}
 }
 
-// A port that is taken is told, and ends the command with 1.
-func TestPortTaken(t *testing.T) {
+// A port in use is reported and ends the command with 1.
+func TestTakenPortFailsCommand(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	code, _, log := ends(t, "standin", "--discovery", l.Addr().String(), "--port", "9337", "--base", "127.77.0.1")
+	code, _, log := runToEnd(t, "standin", "--discovery", l.Addr().String(), "--port", "9337", "--base", "127.77.0.1")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, log, "address already in use")
 }
 
-// What is wrong with a plan, or with what is said beside it, is one line and exit code 2.
-func TestFleetPlanIsRead(t *testing.T) {
+// A fault in a plan or in the flags that go with it is reported in one line with exit code 2.
+func TestInvalidPlanIsUsageError(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "plan.toml")
 	require.NoError(t, os.WriteFile(file, []byte("name = 'n'\nsites = ['*']\ntakes = '1s'\nat_once = 0\nkeep = 0.5\n"), 0o600))
@@ -192,7 +192,7 @@
 		"takes: -1s is less than nothing":         {"mechanic", "--ops", "127.0.0.1:1", "--name", "anna", "--takes", "-1s"},
 		"load: 3 is not 0 to 2":                   {"fleet", "--load", "3"},
 	} {
-		code, _, log := ends(t, args...)
+		code, _, log := runToEnd(t, args...)
 		assert.Equal(t, 2, code, args)
 		assert.Equal(t, "hazellab: "+want+"\n", log)
 	}
--- a/cmd/hazellab/overload_test.go
+++ b/cmd/hazellab/overload_test.go
@@ -16,8 +16,8 @@
 	"hazelwheel/internal/lab/overload"
 )
 
-// build builds the sidecar, once for all tests.
-var build = sync.OnceValues(func() (string, error) {
+// buildSidecar builds the sidecar, once for all tests.
+var buildSidecar = sync.OnceValues(func() (string, error) {
 	binary := filepath.Join(scratch, "hazelwheel")
 	if raw, err := exec.Command("go", "build", "-o", binary, "../hazelwheel").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w: %s", err, raw)
@@ -25,35 +25,35 @@
 	return binary, nil
 })
 
-// built returns the sidecar's file.
-func built(t *testing.T) string {
-	binary, err := build()
+// sidecarProgram returns the file of the sidecar's program.
+func sidecarProgram(t *testing.T) string {
+	binary, err := buildSidecar()
 	require.NoError(t, err)
 	return binary
 }
 
-// writeProgram writes a program. Danger: a child that another test starts meanwhile would hold the file open for writing, and a
-// program that is being written can't be started.
+// writeProgram writes an executable. Danger: a child that another test starts meanwhile would inherit the file open for writing, and a
+// file that is open for writing can't be executed.
 func writeProgram(t *testing.T, path, text string) {
 	syscall.ForkLock.RLock()
 	defer syscall.ForkLock.RUnlock()
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o755))
 }
 
-// One measurement end to end: two programs in turns, of which one does not last. That is told as what it is, and the other
-// is measured all the same. No process stays.
-func TestPressure(t *testing.T) {
+// One measurement end to end: two programs in turn, of which one crashes. The crash is reported, and the other is still measured. No
+// process is left.
+func TestOverloadMeasurement(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
 	short := filepath.Join(dir, "short-lived")
-	writeProgram(t, short, "#!/bin/sh\nexec timeout -s KILL 1 "+built(t)+" \"$@\"\n")
+	writeProgram(t, short, "#!/bin/sh\nexec timeout -s KILL 1 "+sidecarProgram(t)+" \"$@\"\n")
 	path := filepath.Join(dir, "rows.json")
-	p := start(t, "pressure", "--binary", built(t), "--vs", short, "--only", "flood: brief$", "--cores", "none", "--json", path)
+	p := start(t, "pressure", "--binary", sidecarProgram(t), "--vs", short, "--only", "flood: brief$", "--cores", "none", "--json", path)
 	var pids map[int]string
 	eventually(t, "the sidecar and what is round it", func() bool { pids = children(p.Process.Pid); return len(pids) >= 4 })
 	_ = p.Wait()
 	require.Equal(t, 0, p.ProcessState.ExitCode(), p.err.String())
-	gone(t, pids)
+	waitForExit(t, pids)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
 	var rows []overload.Row
--- a/cmd/hazellab/sim_test.go
+++ b/cmd/hazellab/sim_test.go
@@ -13,8 +13,8 @@
 	"hazelwheel/internal/sim"
 )
 
-// What a simulation is told wrong is one line that names it, and exit code 2; of a script with file, line and field.
-func TestBadSimulations(t *testing.T) {
+// An invalid flag or script is reported in one line with exit code 2; a fault in a script with file, line and field.
+func TestInvalidSimulationsAreUsageErrors(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "day.toml")
 	require.NoError(t, os.WriteFile(script, []byte("seed = 1\n\n[[trouble]]\nkind = 'hang'\nat_s = 3.0\nfor_s = -1.0\nboxes = ['s-4da2ca63']\n"), 0o600))
 	for _, c := range []struct{ args, says string }{
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			t.Parallel()
-			code, _, log := ends(t, strings.Fields(c.args)...)
+			code, _, log := runToEnd(t, strings.Fields(c.args)...)
 			assert.Equal(t, 2, code, log)
 			assert.Equal(t, 1, strings.Count(log, "\n"), log)
 			assert.Contains(t, log, c.says)
@@ -40,9 +40,9 @@
 	}
 }
 
-// Days that keep the rules end with 0, broken ones with 1 and the line that replays them; and a range is the same history
-// in another process, on one core or many.
-func TestSimulations(t *testing.T) {
+// Days without violations end with 0, others with 1 and the command line that replays them. A range of seeds has the same history in another
+// process, on one core or many.
+func TestSimulationsAreReproducible(t *testing.T) {
 	t.Parallel()
 	var all [2]sim.Tally
 	for i, c := range []struct{ cores, jobs string }{{"1", "1"}, {"8", "8"}} {
@@ -56,17 +56,17 @@
 
 	var owned [2]string
 	for i, jobs := range []string{"1", "3"} {
-		code, out, log := ends(t, "owners", "--seeds", "1-3", "--jobs", jobs)
+		code, out, log := runToEnd(t, "owners", "--seeds", "1-3", "--jobs", jobs)
 		require.Equal(t, 0, code, log)
 		assert.Contains(t, out, "3 seeds, 0 rules broken")
 		_, owned[i], _ = strings.Cut(out, "history")
 	}
 	assert.Equal(t, owned[0], owned[1])
 
-	code, out, _ := ends(t, "sim", "--seeds", "1-1", "--core", "random")
+	code, out, _ := runToEnd(t, "sim", "--seeds", "1-1", "--core", "random")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "replay with: hazellab sim --seed 1 --trace")
-	code, out, _ = ends(t, "sim", "--seed", "1", "--core", "random", "--trace")
+	code, out, _ = runToEnd(t, "sim", "--seed", "1", "--core", "random", "--trace")
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "BROKEN one-answer")
 }
