--- a/internal/http1/errors.go
+++ b/internal/http1/errors.go
@@ -8,6 +8,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("http: %s (%d)", e.Reason, e.Status) }
 
 // malformed returns the error of a message that breaks the syntax.
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -129,8 +129,8 @@
 func isToken[T ~string | ~[]byte](b T) bool {
 	for i := range len(b) {
 		c := b[i]
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
+		isAlphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !isAlphanumeric && strings.IndexByte("!#$%&'*+-.^_`|~", c) < 0 {
 			return false
 		}
 	}
--- a/internal/netio/sockets/handler.go
+++ b/internal/netio/sockets/handler.go
@@ -99,12 +99,17 @@
 // is normal here; so its warnings are logged at debug level.
 type gnetLogger struct{ log *slog.Logger }
 
+// Debugf logs at debug level.
 func (g gnetLogger) Debugf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
 
+// Infof logs at debug level.
 func (g gnetLogger) Infof(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
 
+// Warnf logs at debug level.
 func (g gnetLogger) Warnf(format string, args ...any) { g.log.Debug(fmt.Sprintf(format, args...)) }
 
+// Errorf logs at error level.
 func (g gnetLogger) Errorf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
 
+// Fatalf logs at error level.
 func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Error(fmt.Sprintf(format, args...)) }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -18,10 +18,10 @@
 
 // Save implements coordination.Store.
 func (d simulatedDisk) Save(data []byte, done func(error)) {
-	s, life := d.sidecar, d.sidecar.process
+	s, process := d.sidecar, d.sidecar.process
 	kept := append([]byte(nil), data...)
 	s.day.network.Schedule(s.day.network.Now()+d.writeSeconds, func() {
-		if s.process == life && life.IsRunning() {
+		if s.process == process && process.IsRunning() {
 			var err error
 			if s.isDiskFull {
 				err = errDiskFull
--- a/internal/sim/fleetcheck.go
+++ b/internal/sim/fleetcheck.go
@@ -122,13 +122,13 @@
 
 // checkIncarnations reports a member that a process has seen dead or left and sees again in the same incarnation.
 func (d *day) checkIncarnations(s *simulatedSidecar, seen *coordination.Status) {
-	if s.goneInStart != s.starts {
-		s.goneIncarnations, s.goneInStart = map[string]uint64{}, s.starts
+	if s.deadInStart != s.starts {
+		s.deadIncarnations, s.deadInStart = map[string]uint64{}, s.starts
 	}
 	for _, m := range seen.Members {
 		if m.State == "dead" || m.State == "left" {
-			s.goneIncarnations[m.ID] = m.Incarnation
-		} else if was, ok := s.goneIncarnations[m.ID]; ok && m.Incarnation <= was && !d.fleetReported {
+			s.deadIncarnations[m.ID] = m.Incarnation
+		} else if was, ok := s.deadIncarnations[m.ID]; ok && m.Incarnation <= was && !d.fleetReported {
 			d.fleetReported = true
 			d.observeNow(checker.Event{Kind: checker.FleetInvariantBroken, Sidecar: int32(s.number), Status: checker.IncarnationInvariant,
 				Text: fmt.Sprintf("%s holds %s for %s by the incarnation %d by which it was gone", s.spec.Name, m.Name, m.State, m.Incarnation)})
--- a/internal/sim/hosts.go
+++ b/internal/sim/hosts.go
@@ -142,7 +142,7 @@
 func (d *day) Now() float64 { return d.network.Now() }
 
 // Cordon implements environment.Hosts by the sidecar's admin commands; yes is called if the sidecar accepts.
-func (d *day) Cordon(sidecar int, box string, on bool, yes func()) {
+func (d *day) Cordon(sidecar int, server string, on bool, accepted func()) {
 	s := d.sidecars[sidecar]
 	if s.process == nil || !s.process.IsRunning() {
 		return
@@ -152,8 +152,8 @@
 		if on {
 			call = s.program.CordonServer
 		}
-		if call(box) == nil {
-			yes()
+		if call(server) == nil {
+			accepted()
 		}
 	})
 }
--- a/internal/sim/maintenance.go
+++ b/internal/sim/maintenance.go
@@ -17,7 +17,7 @@
 	agents           []*simulatedAgent
 	servers          []serverState
 	attempts         map[uint64]attemptRoute // in flight, by connection; for lookups, never iterated
-	works            []*workRecord           // by agents so far
+	records          []*workRecord           // by agents so far
 	lastToken        uint64                  // of the last grant
 	latest           maintenance.State       // the latest record of any sidecar
 	epoch            uint64
--- a/internal/sim/maintenancecheck.go
+++ b/internal/sim/maintenancecheck.go
@@ -73,7 +73,7 @@
 	}
 	d.lastToken = max(d.lastToken, work.token)
 	inProgress, inSite := 1, 1
-	for _, other := range d.works {
+	for _, other := range d.records {
 		if other.plan != work.plan {
 			continue
 		}
@@ -89,7 +89,7 @@
 	if p := d.planNumbered(work.plan); p != nil && (inProgress > p.Spec.MaxConcurrent || inSite > max(p.Spec.MaxPerSite, 1)) {
 		d.reportViolation(checker.BudgetInvariant, "%d boxes of plan %d are worked on, %d of site %s", inProgress, work.plan, inSite, server.site)
 	}
-	d.works = append(d.works, work)
+	d.records = append(d.records, work)
 	server.work = work
 	if d.strategy == nil && d.rng.IntN(3) == 0 {
 		d.after(d.spec.WorkSeconds*d.rng.Float64(), func() { d.restartSidecar(d.rng.IntN(len(d.day.sidecars))) })
@@ -184,8 +184,8 @@
 	for i := range d.latest.Plans {
 		p := &d.latest.Plans[i]
 		for _, b := range p.Servers {
-			wasDone := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name && k.isDone })
-			wasStarted := slices.ContainsFunc(d.works, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name })
+			wasDone := slices.ContainsFunc(d.records, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name && k.isDone })
+			wasStarted := slices.ContainsFunc(d.records, func(k *workRecord) bool { return k.plan == p.Number && d.servers[k.server].name == b.Name })
 			switch {
 			case b.Stage == maintenance.Done && !wasDone, b.Stage < maintenance.InMaintenance && wasStarted, (b.Stage == maintenance.Skipped || b.Stage == maintenance.Lost) && b.Reason == "":
 				d.reportViolation(checker.RecordInvariant, "%s of plan %d is at stage %d for %q; worked on: %t, to the end: %t", b.Name, p.Number, b.Stage, b.Reason, wasStarted, wasDone)
@@ -194,9 +194,9 @@
 	}
 }
 
-// completedWorks returns the number of servers whose maintenance was completed.
-func (d *maintenanceDriver) completedWorks() (n int) {
-	for _, k := range d.works {
+// completedCount returns the number of servers whose maintenance was completed.
+func (d *maintenanceDriver) completedCount() (n int) {
+	for _, k := range d.records {
 		if k.isDone {
 			n++
 		}
--- a/internal/sim/plainbalancer.go
+++ b/internal/sim/plainbalancer.go
@@ -15,23 +15,23 @@
 )
 
 // Selector selects one of the servers that are ready; outstanding returns how many requests the balancer has at a server.
-type Selector func(rng *rand.Rand, boxes []uint32, out func(box uint32) int) uint32
+type Selector func(rng *rand.Rand, servers []uint32, outstanding func(server uint32) int) uint32
 
 // Random selects any server with equal probability.
-func Random(rng *rand.Rand, boxes []uint32, _ func(uint32) int) uint32 {
-	return boxes[rng.IntN(len(boxes))]
+func Random(rng *rand.Rand, servers []uint32, _ func(uint32) int) uint32 {
+	return servers[rng.IntN(len(servers))]
 }
 
 // LeastOutstanding selects a server with the fewest outstanding requests, at random among equals.
-func LeastOutstanding(rng *rand.Rand, boxes []uint32, out func(uint32) int) uint32 {
-	best, ties := boxes[0], 1
-	for _, b := range boxes[1:] {
-		switch n := out(b); {
-		case n < out(best):
-			best, ties = b, 1
-		case n == out(best):
+func LeastOutstanding(rng *rand.Rand, servers []uint32, outstanding func(uint32) int) uint32 {
+	best, ties := servers[0], 1
+	for _, server := range servers[1:] {
+		switch n := outstanding(server); {
+		case n < outstanding(best):
+			best, ties = server, 1
+		case n == outstanding(best):
 			if ties++; rng.IntN(ties) == 0 {
-				best = b
+				best = server
 			}
 		}
 	}
@@ -248,12 +248,12 @@
 // handleRequests handles the next requests of a client, one at a time.
 func (p *plainBalancer) handleRequests(l *plainConn) {
 	for l.conn != nil && l.current == nil {
-		whole, err := l.request.Next(&l.buf)
+		isComplete, err := l.request.Next(&l.buf)
 		if err != nil {
 			p.loop.Close(l.conn)
 			return
 		}
-		if !whole {
+		if !isComplete {
 			return
 		}
 		r := &l.request
@@ -270,7 +270,7 @@
 
 // forward sends a request to a server, on an idle connection if there is one.
 func (p *plainBalancer) forward(l *plainConn, r *http1.RequestParser) {
-	host := p.selectServer(p.rng, p.serving, func(box uint32) int { return p.outstanding[box] })
+	host := p.selectServer(p.rng, p.serving, func(server uint32) int { return p.outstanding[server] })
 	a := &plainRequest{client: l, serverID: host, deadline: p.loop.Now() + 3, text: http1.AppendRequest(nil, r.Method, r.Target, r.Header.EndToEnd(), r.Body)}
 	l.current = a
 	p.outstanding[host]++
--- a/internal/sim/servicemeter.go
+++ b/internal/sim/servicemeter.go
@@ -58,14 +58,14 @@
 
 // service returns the earned share of the weight requested between two seconds.
 func (m *serviceMeter) service(from, to int) float64 {
-	worth, earned := 0.0, 0.0
+	weight, earnedWeight := 0.0, 0.0
 	for i := from; i < min(to, len(m.weight)); i++ {
-		if worth += m.weight[i]; i < len(m.earnedWeight) {
-			earned += m.earnedWeight[i]
+		if weight += m.weight[i]; i < len(m.earnedWeight) {
+			earnedWeight += m.earnedWeight[i]
 		}
 	}
-	if worth == 0 {
+	if weight == 0 {
 		return 1
 	}
-	return earned / worth
+	return earnedWeight / weight
 }
--- a/internal/sim/sidecar.go
+++ b/internal/sim/sidecar.go
@@ -30,8 +30,8 @@
 	state            coordination.SavedState // on its disk
 	oldStates        [][]byte                // earlier states of its disk, the oldest first
 	starts           int                     // of its process so far
-	goneIncarnations map[string]uint64       // by member ID, the incarnation in which the present process has seen it dead or left; for lookups, never iterated
-	goneInStart      int                     // value of starts that goneIncarnations belongs to
+	deadIncarnations map[string]uint64       // by member ID, the incarnation in which the present process has seen it dead or left; for lookups, never iterated
+	deadInStart      int                     // value of starts that deadIncarnations belongs to
 	isSuspended      bool
 	isStateDamaged   bool    // its disk was lost, torn or restored since its last start
 	startedBlind     bool    // its present process knew no maintenance record and could query nobody
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -28,7 +28,7 @@
 	d.run(options.StopAtRule)
 	worked := 0
 	if d.maintenance != nil {
-		worked = d.maintenance.completedWorks()
+		worked = d.maintenance.completedCount()
 	}
 	return &Result{ServersMaintained: worked, Seed: script.Seed, Hash: d.network.Hash(), Steps: d.network.Steps(), Start: d.spec.Start, SimulatedSeconds: d.network.Now() - d.spec.Start,
 		Violations: d.checker.Violations(), Report: d.checker.Report(), MaxToken: d.maxToken}, nil
--- a/internal/sim/tally.go
+++ b/internal/sim/tally.go
@@ -33,15 +33,15 @@
 
 // ClassTally is the service of a class of requests over many days.
 type ClassTally struct {
-	Name     string  `json:"name"`
-	Requests int     `json:"asked"`
-	InTarget int     `json:"in_aim"`
-	Late     int     `json:"late"`
-	Rejected int     `json:"refused"`
-	Failed   int     `json:"failed"`
-	Service  float64 `json:"service"` // earned weight over requested weight
-	worth    float64
-	earned   float64
+	Name         string  `json:"name"`
+	Requests     int     `json:"asked"`
+	InTarget     int     `json:"in_aim"`
+	Late         int     `json:"late"`
+	Rejected     int     `json:"refused"`
+	Failed       int     `json:"failed"`
+	Service      float64 `json:"service"` // earned weight over requested weight
+	weight       float64
+	earnedWeight float64
 }
 
 // maxListedSeeds is the number of seeds listed for a violated rule.
@@ -79,9 +79,9 @@
 		}
 		k := &t.Classes[i]
 		k.Requests, k.InTarget, k.Late, k.Rejected, k.Failed = k.Requests+c.Requests, k.InTarget+c.InTarget, k.Late+c.Late, k.Rejected+c.Rejected, k.Failed+c.Failed
-		k.worth, k.earned = k.worth+c.Weight, k.earned+c.EarnedWeight
-		if k.worth > 0 {
-			k.Service = k.earned / k.worth
+		k.weight, k.earnedWeight = k.weight+c.Weight, k.earnedWeight+c.EarnedWeight
+		if k.weight > 0 {
+			k.Service = k.earnedWeight / k.weight
 		}
 	}
 	p, q := &t.Costs, &r.Report.Costs
