--- a/internal/lab/realtime/board.go
+++ b/internal/lab/realtime/board.go
@@ -58,7 +58,7 @@
 	return &(*s)[i]
 }
 
-// See takes an event.
+// Observe implements checker.Observer: it counts an event for the board.
 func (b *Board) Observe(e checker.Event) {
 	switch e.Kind {
 	case checker.RequestStarted:
