--- a/internal/environment/clientconn.go
+++ b/internal/environment/clientconn.go
@@ -131,7 +131,7 @@
 	} else {
 		out = append(strconv.AppendInt(out, max(1, int64(wait*1e3)), 10), "m\r\n"...)
 	}
-	if op.requests > 1 && a.spec.MarksRetries {
+	if op.requests > 1 && a.spec.FlagsRetries {
 		out = append(out, fieldRetry+": 1\r\n"...)
 	}
 	if a.batch != nil {
@@ -268,11 +268,11 @@
 // pendingRequestID returns the id of a request that is in flight; false: none is known to be.
 //
 // Danger: a request that is still on its way to the sidecar could arrive after another client's request with its id, and
-// would then be the second one. Only requests sent settledS ago count.
+// would then be the second one. Only requests sent at least arrivalSeconds ago count.
 func (a *Application) pendingRequestID() (uint64, bool) {
-	const settledS = 0.005
+	const arrivalSeconds = 0.005
 	op := a.lastSent
-	if op == nil || op.isFinished || op.conn == nil || op.conn.operation != op || op.sentAt > a.net.Now()-settledS {
+	if op == nil || op.isFinished || op.conn == nil || op.conn.operation != op || op.sentAt > a.net.Now()-arrivalSeconds {
 		return 0, false
 	}
 	return op.request, true
--- a/internal/environment/configuration.go
+++ b/internal/environment/configuration.go
@@ -59,7 +59,7 @@
 		how = "inline"
 	}
 	return object{
-		"classes": classes, "clients": object{"marksRetry": d.Clients.MarksRetries}, "dcs": d.Sites, "hostTypes": d.ServerKinds,
+		"classes": classes, "clients": object{"marksRetry": d.Clients.FlagsRetries}, "dcs": d.Sites, "hostTypes": d.ServerKinds,
 		"deductions": object{"crossZone": 0.06, "probe": 0.0081, "waste": 0.02, "lateFail": 0.055},
 		"discovery":  "on_request", "locality": d.Sidecars[sidecar].Site,
 		"limits": object{"cancel": true, "connIdleS": d.ConnIdleSeconds, "connectTimeoutS": connectTimeoutSeconds, "maxRetryAfterS": maxRetryAfterSeconds,
--- a/internal/environment/day.go
+++ b/internal/environment/day.go
@@ -72,7 +72,7 @@
 	AttemptTimeoutShare, BackoffSeconds             float64
 	RetryAfterShare, ImpatientShare                 float64
 	MaxConnections                                  int  // of one application
-	MarksRetries                                    bool // retries carry a mark
+	FlagsRetries                                    bool // retries carry a header field
 	MaxRetryAfterSeconds                            float64
 }
 
@@ -129,8 +129,8 @@
 }
 
 // callSeconds returns how long discovery takes to serve a call, by the number of servers.
-func (r *DiscoverySpec) callSeconds(boxes int) float64 {
-	return (1 + float64(boxes)/r.EntriesPerCall) / r.CallsPerSecond
+func (r *DiscoverySpec) callSeconds(servers int) float64 {
+	return (1 + float64(servers)/r.EntriesPerCall) / r.CallsPerSecond
 }
 
 // Figures of the deployment that are not drawn.
@@ -198,16 +198,16 @@
 
 // Shorten reduces the sidecars, servers and length of the day; 0 keeps all. What stays is as drawn. Shrinking a script uses
 // it to find the smallest day that still shows a violation.
-func (d *Day) Shorten(sidecars, boxes int, lengthSeconds float64) {
+func (d *Day) Shorten(sidecars, servers int, lengthSeconds float64) {
 	if sidecars > 0 && sidecars < len(d.Sidecars) {
 		d.Sidecars = d.Sidecars[:sidecars]
 	}
-	if boxes > 0 && boxes < d.InitialServers {
-		d.Servers = append(d.Servers[:boxes:boxes], d.Servers[d.InitialServers:]...)
+	if servers > 0 && servers < d.InitialServers {
+		d.Servers = append(d.Servers[:servers:servers], d.Servers[d.InitialServers:]...)
 		for i := range d.Servers {
 			d.Servers[i].Number = i
 		}
-		d.InitialServers = boxes
+		d.InitialServers = servers
 	}
 	if lengthSeconds > 0 {
 		d.LengthSeconds = min(d.LengthSeconds, lengthSeconds)
--- a/internal/environment/daydraw.go
+++ b/internal/environment/daydraw.go
@@ -36,12 +36,12 @@
 		MaxRetryAfterSeconds: maxRetryAfterSeconds,
 	}
 	load := r.Load.draw(rng)
-	if crowd := randomStream(seed, "crowd", 0); crowd.Float64() < r.OverloadedDayShare {
-		load, d.Clients.RatePerSecond = r.OverloadedLoad.draw(crowd), r.OverloadedRatePerSecond.draw(crowd)
+	if overload := randomStream(seed, "crowd", 0); overload.Float64() < r.OverloadedDayShare {
+		load, d.Clients.RatePerSecond = r.OverloadedLoad.draw(overload), r.OverloadedRatePerSecond.draw(overload)
 	}
 	longer := 1.0
-	if long := randomStream(seed, "long", 0); long.Float64() < r.LongRequestDayShare {
-		longer = r.LongRequestFactor.draw(long)
+	if longRequests := randomStream(seed, "long", 0); longRequests.Float64() < r.LongRequestDayShare {
+		longer = r.LongRequestFactor.draw(longRequests)
 		d.Clients.RatePerSecond /= longer
 	}
 	d.setPace(load, longer)
@@ -62,7 +62,7 @@
 		d.Discovery.IPs = append(d.Discovery.IPs, ip)
 		d.Discovery.Addresses = append(d.Discovery.Addresses, ip+":2300")
 	}
-	d.Clients.MarksRetries, d.ReportsInline = rng.IntN(3) == 0, rng.IntN(3) == 0
+	d.Clients.FlagsRetries, d.ReportsInline = rng.IntN(3) == 0, rng.IntN(3) == 0
 	return d
 }
 
--- a/internal/environment/discoveryendpoint.go
+++ b/internal/environment/discoveryendpoint.go
@@ -56,8 +56,10 @@
 	}
 }
 
+// Start implements netio.Handler.
 func (e *discoveryEndpoint) Start() { e.updateAlarm() }
 
+// Open accepts a connection, unless discovery is down and refuses connections.
 func (e *discoveryEndpoint) Open(c netio.Conn) bool {
 	e.discovery.lastConnNumber++
 	conn := &discoveryConn{
@@ -77,6 +79,7 @@
 	return true
 }
 
+// Closed reports the end of a watch, or the failure of a call, with its connection.
 func (e *discoveryEndpoint) Closed(c netio.Conn, err error) {
 	conn, ok := c.Context().(*discoveryConn)
 	if !ok {
@@ -103,6 +106,7 @@
 	e.discovery.observer.Observe(checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: checker.PathToDiscovery, Connection: conn.number})
 }
 
+// Traffic reads calls. What is sent on a watch is ignored.
 func (e *discoveryEndpoint) Traffic(c netio.Conn, data []byte) {
 	conn, ok := c.Context().(*discoveryConn)
 	if !ok || conn.isWatch {
@@ -237,6 +241,7 @@
 	e.updateAlarm()
 }
 
+// Alarm does what is due at discovery and at the endpoint.
 func (e *discoveryEndpoint) Alarm() {
 	e.alarmAt = math.Inf(1)
 	now := e.net.Now()
--- a/internal/environment/faultdraw.go
+++ b/internal/environment/faultdraw.go
@@ -11,7 +11,7 @@
 	rng := randomStream(day.Seed, "peers", 0)
 	for range rng.IntN(6) {
 		kind := &peerFaultKinds[rng.IntN(len(peerFaultKinds))]
-		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds))}
+		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, firstFaultSeconds, max(day.LengthSeconds-lastFaultSeconds, firstFaultSeconds))}
 		kind.draw(&fault, day, rng)
 		s.AddPeerFault(fault, day)
 		if fault.Kind == DiskFull { // only a process that starts writes what it must store
@@ -35,7 +35,7 @@
 		for i := range others {
 			others[i] = i
 		}
-		at, lasts := uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds)), uniform(rng, 8, 25)
+		at, lasts := uniform(rng, firstFaultSeconds, max(day.LengthSeconds-lastFaultSeconds, firstFaultSeconds)), uniform(rng, 8, 25)
 		s.Faults = append(s.Faults,
 			Fault{
 				Kind:            PeerSlow,
@@ -51,11 +51,11 @@
 	slices.SortStableFunc(s.Faults, byTime)
 }
 
-// settleSeconds is how long a day runs before its first fault, and quietSeconds how long before its end the last one
+// firstFaultSeconds is how long a day runs before its first fault, and lastFaultSeconds how long before its end the last one
 // starts.
 const (
-	settleSeconds = 3.0
-	quietSeconds  = 5.0
+	firstFaultSeconds = 3.0
+	lastFaultSeconds  = 5.0
 )
 
 // DrawScript returns the script of a day's seed. Each day has a mix of its own: every kind is off on about half of the days.
@@ -76,7 +76,7 @@
 	moves := 0
 	for range 1 + rng.IntN(7) {
 		kind := on[rng.IntN(len(on))]
-		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds))}
+		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, firstFaultSeconds, max(day.LengthSeconds-lastFaultSeconds, firstFaultSeconds))}
 		if kind.name == Reload {
 			if moves++; moves >= maxDiscoveryAddresses {
 				continue
@@ -135,7 +135,7 @@
 	rng := randomStream(day.Seed, "connections", 0)
 	for range rng.IntN(3) {
 		kind := &connectionFaultKinds[rng.IntN(len(connectionFaultKinds))]
-		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, settleSeconds, max(day.LengthSeconds-quietSeconds, settleSeconds))}
+		fault := Fault{Kind: kind.name, AtSeconds: uniform(rng, firstFaultSeconds, max(day.LengthSeconds-lastFaultSeconds, firstFaultSeconds))}
 		kind.draw(&fault, day, rng)
 		s.Faults = append(append(s.Faults, fault), companionFaults(&fault, day, rng)...)
 	}
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -120,8 +120,8 @@
 //
 // Danger: in real time a fault can start before the machine has, and there is no event loop to post to yet; its clients
 // connect from Start on.
-func (h *HostileClients) Connect(ratePerSecond, until float64, silent bool) {
-	w := &wave{ratePerSecond, until, silent}
+func (h *HostileClients) Connect(ratePerSecond, until float64, isSilent bool) {
+	w := &wave{ratePerSecond, until, isSilent}
 	if h.net == nil {
 		h.earlyWaves = append(h.earlyWaves, w)
 		return
@@ -169,10 +169,10 @@
 }
 
 // connect dials a connection for a client of a drawn kind.
-func (h *HostileClients) connect(silent bool, now float64) {
+func (h *HostileClients) connect(isSilent bool, now float64) {
 	h.lastVisit++
 	conn := &hostileConn{kind: hostileKind(h.rng.IntN(int(hostileKindCount))), number: uint64(h.number+1)<<48 | 1<<40 | h.lastVisit, parser: http1.NewResponseParser(messageLimits)}
-	if silent {
+	if isSilent {
 		conn.kind = staysSilent
 	}
 	h.net.Dial(h.address(conn), now+hostileDialSeconds, conn, func(error) {})
--- a/internal/environment/ranges.go
+++ b/internal/environment/ranges.go
@@ -90,36 +90,19 @@
 
 // LargeRanges returns the standard ranges for so many servers, with traffic in proportion. The number of sidecars stays, so
 // that each has much traffic, and its subset is the whole fleet.
-func LargeRanges(boxes int) Ranges {
+func LargeRanges(servers int) Ranges {
 	r := StandardRanges()
-	times := 2 * float64(boxes) / (r.Servers.Min + r.Servers.Max)
-	r.Servers = Range{float64(boxes), float64(boxes)}
+	factor := 2 * float64(servers) / (r.Servers.Min + r.Servers.Max)
+	r.Servers = Range{float64(servers), float64(servers)}
 	for _, rate := range []*Range{&r.RatePerSecond, &r.OverloadedRatePerSecond} {
-		rate.Min *= times
-		rate.Max *= times
+		rate.Min *= factor
+		rate.Max *= factor
 	}
 	return r
 }
 
 // StandardRanges returns the ranges of the days by which the project is measured.
 func StandardRanges() Ranges {
-	kind := func(name string, share, speed, waiting Range) ServerKindRanges {
-		return ServerKindRanges{
-			Name:                 name,
-			Share:                share,
-			Speed:                speed,
-			SpeedCV:              Range{0.05, 0.22},
-			Slots:                Range{1, 2},
-			QueuePerSlot:         waiting,
-			ThrashFactor:         Range{0, 0.05},
-			ThrashThreshold:      Range{6, 12},
-			ColdCapacity:         Range{0.15, 0.33},
-			WarmupSeconds:        Range{10, 24},
-			PauseIntervalSeconds: Range{2.5, 11},
-			PauseMillis:          Range{0, 120},
-			ErrorShare:           Range{0, 0.003},
-		}
-	}
 	return Ranges{
 		LengthSeconds:           Range{40, 50},
 		Sidecars:                Range{3, 5},
@@ -162,49 +145,76 @@
 		HealthCheckMillis:       Range{0.15, 0.3},
 		HealthChecksPerSlot:     Range{3.5, 10},
 		WarmupWorkSeconds:       Range{3, 8},
-		Classes: []ClassRanges{
-			{
-				Name:                 "latest-reading",
-				Effect:               "safe",
-				Share:                Range{0.38, 0.56},
-				RelativeWork:         Range{0.8, 1.4},
-				WorkCV:               Range{0.45, 0.8},
-				LatencyTargetSeconds: 0.6,
-				TotalTimeoutSeconds:  3,
-				PriorityWeight:       1,
-				LateFraction:         0.2,
-			},
-			{
-				Name:                 "log-calibration",
-				Effect:               "unsafe",
-				Share:                Range{0.34, 0.52},
-				RelativeWork:         Range{0.8, 1.4},
-				WorkCV:               Range{0.3, 0.8},
-				LatencyTargetSeconds: 1,
-				TotalTimeoutSeconds:  3,
-				PriorityWeight:       5,
-				LateFraction:         0.3,
-				BodyBytes:            Range{40, 400},
-			},
-			{
-				Name:                 "raise-alert",
-				Effect:               "keyed",
-				Group:                "zone",
-				Share:                Range{0.08, 0.12},
-				RelativeWork:         Range{1, 1.8},
-				WorkCV:               Range{0.3, 0.7},
-				LatencyTargetSeconds: 1,
-				TotalTimeoutSeconds:  2.5,
-				DedupWindowSeconds:   12,
-				PriorityWeight:       10,
-				LateFraction:         0.25,
-				BodyBytes:            Range{40, 400},
-			},
+		Classes:                 standardClasses(),
+		ServerKinds:             standardServerKinds(),
+	}
+}
+
+// standardClasses returns the classes of requests of the standard ranges.
+func standardClasses() []ClassRanges {
+	return []ClassRanges{
+		{
+			Name:                 "latest-reading",
+			Effect:               "safe",
+			Share:                Range{0.38, 0.56},
+			RelativeWork:         Range{0.8, 1.4},
+			WorkCV:               Range{0.45, 0.8},
+			LatencyTargetSeconds: 0.6,
+			TotalTimeoutSeconds:  3,
+			PriorityWeight:       1,
+			LateFraction:         0.2,
+		},
+		{
+			Name:                 "log-calibration",
+			Effect:               "unsafe",
+			Share:                Range{0.34, 0.52},
+			RelativeWork:         Range{0.8, 1.4},
+			WorkCV:               Range{0.3, 0.8},
+			LatencyTargetSeconds: 1,
+			TotalTimeoutSeconds:  3,
+			PriorityWeight:       5,
+			LateFraction:         0.3,
+			BodyBytes:            Range{40, 400},
 		},
-		ServerKinds: []ServerKindRanges{
-			kind("large", Range{0.31, 0.43}, Range{1.1, 1.5}, Range{11, 38}),
-			kind("medium", Range{0.31, 0.43}, Range{0.85, 1.1}, Range{9, 19}),
-			kind("small", Range{0.22, 0.3}, Range{0.6, 0.8}, Range{12, 27}),
+		{
+			Name:                 "raise-alert",
+			Effect:               "keyed",
+			Group:                "zone",
+			Share:                Range{0.08, 0.12},
+			RelativeWork:         Range{1, 1.8},
+			WorkCV:               Range{0.3, 0.7},
+			LatencyTargetSeconds: 1,
+			TotalTimeoutSeconds:  2.5,
+			DedupWindowSeconds:   12,
+			PriorityWeight:       10,
+			LateFraction:         0.25,
+			BodyBytes:            Range{40, 400},
 		},
 	}
 }
+
+// standardServerKinds returns the kinds of servers of the standard ranges.
+func standardServerKinds() []ServerKindRanges {
+	kind := func(name string, share, speed, waiting Range) ServerKindRanges {
+		return ServerKindRanges{
+			Name:                 name,
+			Share:                share,
+			Speed:                speed,
+			SpeedCV:              Range{0.05, 0.22},
+			Slots:                Range{1, 2},
+			QueuePerSlot:         waiting,
+			ThrashFactor:         Range{0, 0.05},
+			ThrashThreshold:      Range{6, 12},
+			ColdCapacity:         Range{0.15, 0.33},
+			WarmupSeconds:        Range{10, 24},
+			PauseIntervalSeconds: Range{2.5, 11},
+			PauseMillis:          Range{0, 120},
+			ErrorShare:           Range{0, 0.003},
+		}
+	}
+	return []ServerKindRanges{
+		kind("large", Range{0.31, 0.43}, Range{1.1, 1.5}, Range{11, 38}),
+		kind("medium", Range{0.31, 0.43}, Range{0.85, 1.1}, Range{9, 19}),
+		kind("small", Range{0.22, 0.3}, Range{0.6, 0.8}, Range{12, 27}),
+	}
+}
--- a/internal/environment/serverconn.go
+++ b/internal/environment/serverconn.go
@@ -30,6 +30,7 @@
 	prev, next  *serverConn // in the list of idle connections
 }
 
+// Open accepts a connection. Far beyond the maximum it is refused, which returns false.
 func (p *serverProcess) Open(c netio.Conn) bool {
 	p.lastConnNumber++
 	conn := &serverConn{conn: c, number: uint64(p.Spec.Number+1)<<32 | p.lastConnNumber, sidecar: p.sidecars.number(c.RemoteAddr()),
@@ -47,6 +48,7 @@
 	return p.openConns <= p.Spec.MaxConnections+p.Spec.MaxConnections/4
 }
 
+// Closed cancels the job of a closed connection and reports its end.
 func (p *serverProcess) Closed(c netio.Conn, err error) {
 	conn, ok := c.Context().(*serverConn)
 	if !ok {
@@ -108,6 +110,7 @@
 	conn.prev, conn.next = nil, nil
 }
 
+// Traffic reads requests. An idle connection may be closed early on its next request.
 func (p *serverProcess) Traffic(c netio.Conn, data []byte) {
 	conn, ok := c.Context().(*serverConn)
 	if !ok || conn.isUnusable {
--- a/internal/environment/serverfaults.go
+++ b/internal/environment/serverfaults.go
@@ -148,11 +148,11 @@
 		if !server.IsAlive() {
 			continue
 		}
-		life := server.process
+		process := server.process
 		f.environment.Discovery.ServerDraining(server.Spec.Number, now)
 		server.Drain()
 		f.after(now, fault.DrainSeconds, func(now float64) {
-			if server.process != life || !f.stopServer(server, false, now) || fault.DurationSeconds == 0 {
+			if server.process != process || !f.stopServer(server, false, now) || fault.DurationSeconds == 0 {
 				return
 			}
 			f.atEnd(fault, now, func(now float64) { f.startServer(server, server.currentIP(), false, now) })
--- a/internal/environment/serverprocess.go
+++ b/internal/environment/serverprocess.go
@@ -26,6 +26,7 @@
 	alarmAt           float64
 }
 
+// Start starts the engine and notifies discovery of a cold start.
 func (p *serverProcess) Start() {
 	now := p.net.Now()
 	cold := p.incarnations > 1 || p.Spec.Number >= p.day.InitialServers
@@ -56,6 +57,7 @@
 	return checker.Event{Kind: kind, At: now, FirstSent: now, Sent: now, Sidecar: conn.sidecar, Server: int32(p.Spec.Number), Connection: conn.number}
 }
 
+// Alarm works up to now, refreshes load reports and closes idle connections.
 func (p *serverProcess) Alarm() {
 	p.alarmAt = math.Inf(1)
 	now := p.net.Now()
--- a/internal/environment/serverrequest.go
+++ b/internal/environment/serverrequest.go
@@ -17,11 +17,11 @@
 
 // handleRequest answers a request, or enqueues it at the engine.
 func (p *serverProcess) handleRequest(conn *serverConn) {
-	whole := conn.request.path
+	target := conn.request.path
 	class, ok := p.classes[conn.request.class]
 	switch {
-	case whole == "/health" || whole == "/status/load":
-		p.handleHealthCheck(conn, whole == "/health")
+	case target == "/health" || target == "/status/load":
+		p.handleHealthCheck(conn, target == "/health")
 	case !ok:
 		p.writeResponse(conn, 404, nil)
 	case conn.request.id == "":
--- a/internal/environment/serverresponse.go
+++ b/internal/environment/serverresponse.go
@@ -33,13 +33,13 @@
 	misbehaves := p.Misbehavior.TrailingBytes > 0 && p.rng.Float64() < p.Misbehavior.TrailingBytes
 	out = conn.appendResponse(out, status, p.loadField(misbehaves), body)
 	if misbehaves {
-		whole := len(out)
+		answerLength := len(out)
 		var isCopy bool
 		if out, isCopy = p.appendTrailing(out); !isCopy && p.rng.IntN(2) == 0 {
 			// Noise that arrives a moment later meets an idle connection. A copy is written at once: one that met the next
 			// request could not be told from its answer by any client that reuses connections.
-			p.write(conn, out[:whole])
-			out = out[whole:]
+			p.write(conn, out[:answerLength])
+			out = out[answerLength:]
 		}
 	}
 	if conn.conn != nil {
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -87,7 +87,7 @@
 	}
 	observer.FieldHeader(thrift.I64, argTimeout)
 	observer.I64(max(1, int64((op.requestDeadline-a.net.Now())*1e6)))
-	if op.requests > 1 && a.spec.MarksRetries {
+	if op.requests > 1 && a.spec.FlagsRetries {
 		observer.FieldHeader(thrift.Bool, argRetry)
 		observer.Bool(true)
 	}
