--- a/cmd/hazelfleet/beside_test.go
+++ b/cmd/hazelfleet/beside_test.go
@@ -219,7 +219,7 @@
 	})
 })
 
-// votes tells whether the disk of a machine votes.
+// votes reports whether the disk of a machine votes.
 func (m *mixed) votes(i int) bool {
 	answer, err := (&http.Client{Timeout: within}).Get(fmt.Sprintf("http://%s:%d/fleet/v1/holdings", machineIP(i), m.base))
 	if err != nil {
--- a/cmd/hazelfleet/fleet_test.go
+++ b/cmd/hazelfleet/fleet_test.go
@@ -177,7 +177,7 @@
 	return strings.Fields(string(data[bytes.LastIndexByte(data, ')')+1:]))[0]
 }
 
-// holds tells whether a process votes and has a version on its disk.
+// holds reports whether a process votes and has a version on its disk.
 func (f *fleet) holds(i, version int) bool {
 	answer, err := (&http.Client{Timeout: within}).Get(fmt.Sprintf("http://%s:%d/fleet/v1/holdings", ip(controlName(i)), f.base))
 	if err != nil {
@@ -191,7 +191,7 @@
 	return json.NewDecoder(answer.Body).Decode(&told) == nil && told.Votes && told.Version == version
 }
 
-// serves tells whether a process tells a version while another one stands still.
+// serves reports whether a process tells a version while another one stands still.
 func (f *fleet) serves(i, without, version int) bool {
 	f.signal(controlName(without), syscall.SIGSTOP)
 	defer f.signal(controlName(without), syscall.SIGCONT)
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -35,7 +35,7 @@
 	connection     int           // the number of its connection, from 0
 }
 
-// script answers an attempt on its connection, and tells whether the connection goes on.
+// script answers an attempt on its connection, and reports whether the connection goes on.
 type script func(c *net.TCPConn, a attempt) (keep bool)
 
 // backend is a server on a plain listener: a test decides on each byte of it, and on how its connections end.
@@ -156,7 +156,7 @@
 	synSent     = "02"
 )
 
-// isIn tells whether a connection to the backend is in a state, as the system of the one who dialed it sees it. Danger: beside other tests the
+// isIn reports whether a connection to the backend is in a state, as the system of the one who dialed it sees it. Danger: beside other tests the
 // table has 100,000 lines of connections that wait for their end. Taken apart line by line under the race detector, one look takes seconds.
 func (b *backend) isIn(t *testing.T, state string) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
@@ -300,7 +300,7 @@
 		timeout.Milliseconds(), more, body)
 }
 
-// within polls until a condition holds, and tells whether it came to hold in time.
+// within polls until a condition holds, and reports whether it came to hold in time.
 func within(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if f() {
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -242,7 +242,7 @@
 	stop()
 }
 
-// stopped tells whether the system says that the process stands still.
+// stopped reports whether the system says that the process stands still.
 func (m *mate) stopped() bool {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(m.cmd.Process.Pid) + "/stat")
 	return err == nil && strings.HasPrefix(string(raw[strings.LastIndexByte(string(raw), ')')+1:]), " T")
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -21,7 +21,7 @@
 	lab "hazelwheel/internal/lab/load"
 )
 
-// from returns a client whose connections come from an address; kept tells whether it keeps them.
+// from returns a client whose connections come from an address; kept reports whether it keeps them.
 func from(t *testing.T, address string, kept bool) *http.Client {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	c := &http.Client{Timeout: patience, Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: !kept}}
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -274,7 +274,7 @@
 	*n++
 }
 
-// call has a call answered and tells whether the connection goes on.
+// call has a call answered and reports whether the connection goes on.
 func (s *server) call(ctx context.Context, c net.Conn, m thrift.Message) bool {
 	var found [thrift.MaxPaths]thrift.Value
 	if m.Find([]thrift.Path{{1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 5}}, &found) != nil {
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -307,7 +307,7 @@
 	return j
 }
 
-// toldOf does so, and tells whether the door has answered: without an answer nothing is known of who owns the job.
+// toldOf does so, and reports whether the door has answered: without an answer nothing is known of who owns the job.
 func (m *mate) toldOf(name string) (j coordination.RoleStatus, told bool) {
 	s, told := m.owners()
 	for _, k := range s.Roles {
@@ -429,7 +429,7 @@
 	return toDuration(s)
 }
 
-// wasGone tells whether a request is of a sidecar that stood still for so long that it counted as gone.
+// wasGone reports whether a request is of a sidecar that stood still for so long that it counted as gone.
 func (y *yard) wasGone(v visit) bool {
 	return slices.ContainsFunc(y.stood, func(s standing) bool {
 		return s.mate.name == v.by && v.from.After(s.from) && v.from.Before(s.until.Add(awakeIn))
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -60,7 +60,7 @@
 	require.NoError(m.c, os.Rename(file+"-new", file)) // it is read while it is written
 }
 
-// fell tells whether an armed sidecar stands still or has ended.
+// fell reports whether an armed sidecar stands still or has ended.
 func (m *mate) fell(kill bool) bool {
 	if !kill {
 		return m.stopped()
--- a/internal/appconfig/decode.go
+++ b/internal/appconfig/decode.go
@@ -506,7 +506,7 @@
 
 var indices = regexp.MustCompile(`\[\d+\]`)
 
-// has tells whether a name with dots is a field, as features may be written at their file's top.
+// has reports whether a name with dots is a field, as features may be written at their file's top.
 func (n names) has(dotted string) bool {
 	under, name, ok := cutLast(dotted)
 	return ok && n[under][name]
--- a/internal/appconfig/diff.go
+++ b/internal/appconfig/diff.go
@@ -114,7 +114,7 @@
 	return all
 }
 
-// says tells whether the file's kind has a field at all. Danger: what a platform's file can't say of features is not switched off.
+// says reports whether the file's kind has a field at all. Danger: what a platform's file can't say of features is not switched off.
 func (f *File) says(field *Field) bool {
 	switch f.Kind {
 	case PlatformFile:
--- a/internal/appconfig/fields.go
+++ b/internal/appconfig/fields.go
@@ -152,7 +152,7 @@
 	return words
 }
 
-// allows tells whether a value, in seconds, bytes or as it is, lies in the field's range.
+// allows reports whether a value, in seconds, bytes or as it is, lies in the field's range.
 func (f *Field) allows(v float64) bool {
 	bound := func(s string) float64 {
 		if d, err := parseDuration(s); f.kind == reflect.TypeFor[Duration]() && err == nil {
--- a/internal/appconfig/file.go
+++ b/internal/appconfig/file.go
@@ -299,13 +299,13 @@
 
 func parent(path string) string { return path[:max(strings.LastIndexAny(path, ".["), 0)] }
 
-// Has tells whether the file gives a field of the model.
+// Has reports whether the file gives a field of the model.
 func (f *File) Has(path string) bool {
 	_, ok := f.places[path]
 	return ok
 }
 
-// Bad tells whether a field, or what it stands in, is at fault: what is said of it would only follow from that.
+// Bad reports whether a field, or what it stands in, is at fault: what is said of it would only follow from that.
 func (f *File) Bad(path string) bool {
 	for ; path != ""; path = parent(path) {
 		if f.bad[path] {
--- a/internal/appconfig/tomltree.go
+++ b/internal/appconfig/tomltree.go
@@ -62,7 +62,7 @@
 }
 
 // takeOut replaces the expression that is broken at an offset, and begins behind end, by spaces; what it names is kept as
-// lost. It tells whether there was anything to take out.
+// lost. It reports whether there was anything to take out.
 func (f *File) takeOut(text []byte, end, at int) bool {
 	first := lineStart(text, at)
 	from := 0
--- a/internal/checker/attempt.go
+++ b/internal/checker/attempt.go
@@ -30,10 +30,10 @@
 	return at
 }
 
-// isServed tells whether the server has written a complete, successful answer.
+// isServed reports whether the server has written a complete, successful answer.
 func (a *attempt) isServed() bool { return a.repliedAt > 0 && a.status == 200 && !a.malformed }
 
-// isProvenNotRun tells whether the sidecar knew at a time that the attempt was never executed.
+// isProvenNotRun reports whether the sidecar knew at a time that the attempt was never executed.
 func (a *attempt) isProvenNotRun(at float64) bool { return a.notStarted && a.repliedAt <= at }
 
 // attemptReceived records an attempt whose request a server has read completely, and checks that the sidecar was allowed
--- a/internal/checker/coldstart.go
+++ b/internal/checker/coldstart.go
@@ -14,7 +14,7 @@
 	server.recentWork = append(server.recentWork, coldWork{e.At, e.Work, sidecar != nil && c.knewOfStart(sidecar, server, e.Server, e.At)})
 }
 
-// knewOfStart tells whether a sidecar was notified of a server's present start, or counts as notified.
+// knewOfStart reports whether a sidecar was notified of a server's present start, or counts as notified.
 func (c *Checker) knewOfStart(sidecar *sidecarState, server *serverState, serverID int32, at float64) bool {
 	if entry := sidecar.entry(serverID); entry.status != 0 && entry.servingSince >= server.servingSince-timeToleranceSeconds {
 		return true
--- a/internal/checker/pathfault.go
+++ b/internal/checker/pathfault.go
@@ -27,7 +27,7 @@
 // retransmissionSeconds is how long after a fault lost bytes may still be sent again.
 const retransmissionSeconds = 11
 
-// hadPathFault tells whether a path had a fault between two times, or so shortly before that what the fault held back
+// hadPathFault reports whether a path had a fault between two times, or so shortly before that what the fault held back
 // arrives in between.
 func (c *Checker) hadPathFault(sidecar, server int32, from, until float64) bool {
 	for i := range c.pathFaults {
--- a/internal/checker/repeat.go
+++ b/internal/checker/repeat.go
@@ -40,7 +40,7 @@
 	c.overlaps = append(c.overlaps, attemptOverlap{request, first, second, c.now + overlapWaitSeconds})
 }
 
-// wasOver tells whether an attempt is known to have been over at a time.
+// wasOver reports whether an attempt is known to have been over at a time.
 func (c *Checker) wasOver(attempt *attempt, at float64) bool {
 	slack := timeToleranceSeconds
 	if attempt.closedAt > 0 && !attempt.isClosedAtExact {
--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -43,7 +43,7 @@
 	isServed  bool
 }
 
-// mayBeAnswered tells whether the sidecar may have answered the request: the client may not have read the answer yet.
+// mayBeAnswered reports whether the sidecar may have answered the request: the client may not have read the answer yet.
 func (r *request) mayBeAnswered() bool {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.repliedAt > 0 || a.closedAt > 0 {
@@ -53,7 +53,7 @@
 	return r.outcome != pending
 }
 
-// hasResponse tells whether a server has made a complete, successful answer with this digest for the request.
+// hasResponse reports whether a server has made a complete, successful answer with this digest for the request.
 func (r *request) hasResponse(digest uint64) bool {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; a.isServed() && a.digest == digest {
--- a/internal/checker/sidecar.go
+++ b/internal/checker/sidecar.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// hasLiveWatch tells whether a watch is open that is not stalled.
+// hasLiveWatch reports whether a watch is open that is not stalled.
 func (s *sidecarState) hasLiveWatch() bool { return s.openWatches > len(s.stalledWatches) }
 
 // addPending adds a request to pendingRequests. Their order depends on the order of events alone, never on that of a map.
--- a/internal/ci/knownred/verdict.go
+++ b/internal/ci/knownred/verdict.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Verdict tells whether a run passes, and why.
+// Verdict reports whether a run passes, and why.
 type Verdict struct {
 	PassedOver []string // listed tests that failed
 	Passed     []string // listed tests that passed: their lines can go
--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// hasNewerConfig tells whether a value has a newer configuration than the published one.
+// hasNewerConfig reports whether a value has a newer configuration than the published one.
 func (c *Control) hasNewerConfig(value register.Value) bool {
 	gossipState, _ := c.node.State()
 	return value.ConfigVersion > 0 && (gossipState.Table == nil || gossipState.Table.Version < value.ConfigVersion)
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// isReplaceable tells whether targetVoters processes are left without this one. Where it knows too few it reads the register: a voter that
+// isReplaceable reports whether targetVoters processes are left without this one. Where it knows too few it reads the register: a voter that
 // joined a moment ago may be unknown here, and this process must not end before that one has replaced it.
 func (c *Control) isReplaceable() bool {
 	if c.countStaying() >= c.targetVoters() {
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -103,7 +103,7 @@
 	return true
 }
 
-// hasModelServers tells whether any server has a stage.
+// hasModelServers reports whether any server has a stage.
 func (s *stageController) hasModelServers() bool {
 	return slices.ContainsFunc(s.instances, func(i message.Instance) bool { return i.Stage != "" })
 }
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -41,7 +41,7 @@
 	n.partitioned[ip] = cut
 }
 
-// isBlocked tells whether the connection between two machines is cut.
+// isBlocked reports whether the connection between two machines is cut.
 func (n *faultyNetwork) isBlocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -231,7 +231,7 @@
 	return int(value.ConfigVersion)
 }
 
-// isVoter tells whether a machine is a voter and no reconfiguration is in progress.
+// isVoter reports whether a machine is a voter and no reconfiguration is in progress.
 func (s *testCluster) isVoter(i int) bool {
 	gossipState, _ := s.machines[0].control.node.State()
 	for _, voter := range gossipState.Voters.Voters {
--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -8,12 +8,12 @@
 // targetVoters returns the number of voters that the settings ask for: enough to lose as many at once as FaultTolerance says.
 func (c *Control) targetVoters() int { return c.settings.FaultTolerance.MinVoters() }
 
-// isReachable tells whether a voter has answered this process recently. The process itself counts as reachable.
+// isReachable reports whether a voter has answered this process recently. The process itself counts as reachable.
 func (c *Control) isReachable(voter register.Voter) bool {
 	return voter.Address == c.proposer.self.Address || c.node.IsReachable(voter.Address)
 }
 
-// reachesMajority tells whether a majority of the known voters is reachable. While no voters are known it returns true: nothing is known
+// reachesMajority reports whether a majority of the known voters is reachable. While no voters are known it returns true: nothing is known
 // against it.
 func (c *Control) reachesMajority() bool {
 	known, err := c.proposer.knownVoters()
@@ -32,7 +32,7 @@
 	return candidates
 }
 
-// isVoter tells whether this process votes by a value, in the present or the previous set.
+// isVoter reports whether this process votes by a value, in the present or the previous set.
 func (c *Control) isVoter(value *register.Value) bool {
 	for _, voter := range value.AllVoters() {
 		if voter.ID == c.proposer.self.ID {
--- a/internal/environment/application.go
+++ b/internal/environment/application.go
@@ -203,7 +203,7 @@
 // SidecarReplaced notifies the application that the sidecar's next process starts.
 func (a *Application) SidecarReplaced() { a.drainAt = math.Inf(1) }
 
-// isDisconnected tells whether the application can't reach a sidecar any more.
+// isDisconnected reports whether the application can't reach a sidecar any more.
 func (a *Application) isDisconnected(now float64) bool {
 	return now >= a.drainAt && len(a.idleConns) == 0
 }
--- a/internal/environment/clientretry.go
+++ b/internal/environment/clientretry.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/checker"
 )
 
-// mayRetryFailure tells whether a request of a class is retried after a failure that may have been executed.
+// mayRetryFailure reports whether a request of a class is retried after a failure that may have been executed.
 func (a *Application) mayRetryFailure(class int) bool {
 	spec := &a.day.Classes[class]
 	return spec.Effect == checker.Safe || spec.Effect == checker.Keyed && spec.Group == checker.GroupAll
--- a/internal/environment/discovery.go
+++ b/internal/environment/discovery.go
@@ -327,7 +327,7 @@
 	return append(dst, "]}"...)
 }
 
-// includes tells whether an update has an entry. A complete list leaves out deleted servers, and draining ones while
+// includes reports whether an update has an entry. A complete list leaves out deleted servers, and draining ones while
 // fullListFaults is set.
 func (d *Discovery) includes(e *entry, since uint64, snapshot bool) bool {
 	if snapshot {
--- a/internal/environment/engine.go
+++ b/internal/environment/engine.go
@@ -65,7 +65,7 @@
 	return overload.Multiple*warmth*float64(e.spec.Slots)*overload.WindowSeconds + overload.SlackSeconds
 }
 
-// CountWork counts work that reaches the server, also what it rejects, and tells whether that has just overloaded it.
+// CountWork counts work that reaches the server, also what it rejects, and reports whether that has just overloaded it.
 func (e *Engine) CountWork(now, seconds float64) (overloads bool) {
 	warmth := e.Warmth(now)
 	if warmth >= 1 || e.isOverloaded {
@@ -88,7 +88,7 @@
 	return true
 }
 
-// IsOverloaded tells whether the process is out of service for good.
+// IsOverloaded reports whether the process is out of service for good.
 func (e *Engine) IsOverloaded() bool { return e.isOverloaded }
 
 // InFlight returns the number of running and queued jobs.
@@ -126,7 +126,7 @@
 	return e.Warmth(now) * (1 - overhead) / (1 + s.ThrashFactor*excess)
 }
 
-// isPaused tells whether jobs make no progress.
+// isPaused reports whether jobs make no progress.
 func (e *Engine) isPaused() bool { return e.isHung || e.isPausing || e.isOverloaded }
 
 // startQueued starts queued jobs as long as a slot is free.
--- a/internal/environment/faultkinds.go
+++ b/internal/environment/faultkinds.go
@@ -239,7 +239,7 @@
 	return found
 }
 
-// given tells whether all required fields of the kind are given.
+// given reports whether all required fields of the kind are given.
 func (k *faultKind) given(has func(field string) bool) bool {
 	return !slices.ContainsFunc(k.fields, func(f string) bool { return !has(f) })
 }
--- a/internal/environment/hostileclients.go
+++ b/internal/environment/hostileclients.go
@@ -307,7 +307,7 @@
 	return h.day.Classes[0].Name
 }
 
-// isServable tells whether the client's requests are valid and may be served.
+// isServable reports whether the client's requests are valid and may be served.
 func (c *hostileConn) isServable() bool {
 	return c.kind == retriesAtOnce || c.kind == pipelinesRequests
 }
--- a/internal/environment/keymemory.go
+++ b/internal/environment/keymemory.go
@@ -11,7 +11,7 @@
 	at  float64
 }
 
-// isRepeat tells whether a key was seen in the window before now, and records it if not.
+// isRepeat reports whether a key was seen in the window before now, and records it if not.
 func (m *keyMemory) isRepeat(key string, now, windowSeconds float64) bool {
 	for len(m.order) > 0 && m.order[0].at < now-windowSeconds {
 		delete(m.seen, m.order[0].key)
--- a/internal/environment/protocol.go
+++ b/internal/environment/protocol.go
@@ -19,7 +19,7 @@
 // Protocols are all protocols.
 var Protocols = []Protocol{HTTP, ThriftBinary, ThriftCompact}
 
-// IsThrift tells whether it is an encoding of Thrift; the empty Protocol is HTTP.
+// IsThrift reports whether it is an encoding of Thrift; the empty Protocol is HTTP.
 func (s Protocol) IsThrift() bool { return s == ThriftBinary || s == ThriftCompact }
 
 // encoding returns the encoding of Thrift.
--- a/internal/environment/scriptfile.go
+++ b/internal/environment/scriptfile.go
@@ -141,7 +141,7 @@
 )
 
 // invalidField returns the first field of a fault that is missing, out of range or not its kind's, and why; an empty field:
-// there is none. has tells whether the text gives a field.
+// there is none. has reports whether the text gives a field.
 func (f *Fault) invalidField(has func(field string) bool) (field, why string) {
 	kind := kindOf(f.Kind, has)
 	if kind == nil {
--- a/internal/environment/server.go
+++ b/internal/environment/server.go
@@ -97,5 +97,5 @@
 	}
 }
 
-// IsAlive tells whether the server has a process now.
+// IsAlive reports whether the server has a process now.
 func (s *Server) IsAlive() bool { return s.process != nil }
--- a/internal/environment/thriftclient.go
+++ b/internal/environment/thriftclient.go
@@ -22,7 +22,7 @@
 	return responseReader{protocol: s, parser: http1.NewResponseParser(messageLimits)}
 }
 
-// Next parses on and tells whether the answer is complete.
+// Next parses on and reports whether the answer is complete.
 func (r *responseReader) Next(buf *http1.Buffer) (bool, error) {
 	if r.protocol.IsThrift() {
 		return r.nextThrift(buf)
@@ -33,10 +33,10 @@
 	return isComplete, err
 }
 
-// HasBegun tells whether a part of the answer has arrived.
+// HasBegun reports whether a part of the answer has arrived.
 func (r *responseReader) HasBegun() bool { return r.hasBegun }
 
-// IsPersistent tells whether the connection may be used again after the answer.
+// IsPersistent reports whether the connection may be used again after the answer.
 func (r *responseReader) IsPersistent() bool { return r.protocol.IsThrift() || r.parser.IsPersistent() }
 
 var resultPath = []thrift.Path{{0}}
@@ -96,7 +96,7 @@
 	return observer.EndMessage()
 }
 
-// sendMalformedCall sends what no Thrift port may accept as a call, and tells whether a client of this kind has such bytes;
+// sendMalformedCall sends what no Thrift port may accept as a call, and reports whether a client of this kind has such bytes;
 // the other kinds send HTTP there. A smuggled or incomplete request must never be executed: its id is unknown to the checker.
 func (h *HostileClients) sendMalformedCall(conn *hostileConn, now float64, class string) bool {
 	call := func(dst []byte, name string, patience int64) []byte {
--- a/internal/environment/thriftserver.go
+++ b/internal/environment/thriftserver.go
@@ -21,7 +21,7 @@
 
 var callPaths = []thrift.Path{{argID}, {argKey}}
 
-// nextRequest parses on what a sidecar has sent and tells whether a request is complete.
+// nextRequest parses on what a sidecar has sent and reports whether a request is complete.
 func (c *serverConn) nextRequest() (bool, error) {
 	if b := c.buf.Bytes(); len(b) > 0 && b[0] == 0 && !c.parser.HasBegun() {
 		return c.nextThriftRequest()
@@ -79,7 +79,7 @@
 	}
 }
 
-// appendMalformedReply appends a reply that can't be parsed completely, and tells whether the connection is closed after it.
+// appendMalformedReply appends a reply that can't be parsed completely, and reports whether the connection is closed after it.
 func (p *serverProcess) appendMalformedReply(conn *serverConn, out, body []byte) (_ []byte, closes bool) {
 	sound := conn.appendResponse(nil, 200, nil, body)
 	m := &conn.request.message
--- a/internal/environment/wire.go
+++ b/internal/environment/wire.go
@@ -53,11 +53,11 @@
 
 // readNotifier is a connection of a network that knows what the peer's process has read from it.
 type readNotifier interface {
-	// PeerRead tells whether the peer had read everything when it closed the connection or its own direction of it.
+	// PeerRead reports whether the peer had read everything when it closed the connection or its own direction of it.
 	PeerRead() bool
 }
 
-// readByPeer tells whether the peer is known to have read all that was written before it closed the connection.
+// readByPeer reports whether the peer is known to have read all that was written before it closed the connection.
 func readByPeer(c netio.Conn) bool {
 	a, ok := c.(readNotifier)
 	return ok && a.PeerRead()
--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -41,7 +41,7 @@
 // Admission bounds what clients may hold. Its zero value has no caps and no reserve.
 type Admission struct{ admission.Settings }
 
-// On tells whether the file says anything of it.
+// On reports whether the file says anything of it.
 func (a *Admission) On() bool {
 	return a.ReservedForKnown > 0 || a.MaxPerAddress > 0 || a.MaxBufferedBytes > 0 || len(a.PrefixLimits) > 0 || len(a.KnownPrefixes) > 0
 }
@@ -260,7 +260,7 @@
 	return false
 }
 
-// plainName tells whether a name means the same in a path, a log line and a figure.
+// plainName reports whether a name means the same in a path, a log line and a figure.
 func plainName(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
--- a/internal/featureconfig/fleet.go
+++ b/internal/featureconfig/fleet.go
@@ -19,10 +19,10 @@
 	Jobs      []string // that this sidecar can do on behalf of all
 }
 
-// On tells whether the sidecar looks for others.
+// On reports whether the sidecar looks for others.
 func (f *Fleet) On() bool { return f.Name != "" }
 
-// Elector tells whether the sidecar is named as one of the electors.
+// Elector reports whether the sidecar is named as one of the electors.
 func (f *Fleet) Elector() bool {
 	return slices.ContainsFunc(f.Electors, func(s string) bool { return s == f.Listen && f.Advertise == "" || s == f.Advertise })
 }
--- a/internal/featureconfig/thrift.go
+++ b/internal/featureconfig/thrift.go
@@ -31,7 +31,7 @@
 	UnitS    float64     // of patience
 }
 
-// On tells whether Thrift is spoken.
+// On reports whether Thrift is spoken.
 func (t *Thrift) On() bool { return t.Listen != "" }
 
 func (f *Features) readThrift(o *object, c *sidecarconfig.Config) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// methodName tells whether a name can be a method's, with its service's before it.
+// methodName reports whether a name can be a method's, with its service's before it.
 func methodName(s string) bool {
 	return len(s) > 0 && len(s) <= 128 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
--- a/internal/lab/compare/compare.go
+++ b/internal/lab/compare/compare.go
@@ -77,7 +77,7 @@
 	return lines, skipped
 }
 
-// chosen tells whether two columns are to be compared: those named, or those of one name.
+// chosen reports whether two columns are to be compared: those named, or those of one name.
 func chosen(a Side, x figures.Column, b Side, y figures.Column) bool {
 	if a.Balancer == "" && b.Balancer == "" {
 		return x.Balancer == y.Balancer
--- a/internal/lab/compare/interval.go
+++ b/internal/lab/compare/interval.go
@@ -16,7 +16,7 @@
 // Interval is the difference of two means, the second less the first, with its bounds.
 type Interval struct{ Diff, Low, High float64 }
 
-// Zero tells whether the interval holds nought: no difference is seen.
+// Zero reports whether the interval holds nought: no difference is seen.
 func (i Interval) Zero() bool { return i.Low <= 0 && i.High >= 0 }
 
 // Bootstrap returns the difference of two samples' means with bounds that hold it with the given confidence, 0 to 1. Both
--- a/internal/lab/load/witness.go
+++ b/internal/lab/load/witness.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// Kept tells whether no break of a rule was seen.
+// Kept reports whether no break of a rule was seen.
 func (r *Result) Kept() bool { return r.Breaks == 0 && r.Unjudged == 0 }
 
 // mostPrinted is how many findings are printed; all that are kept are in the JSON.
--- a/internal/lab/load/worker.go
+++ b/internal/lab/load/worker.go
@@ -566,7 +566,7 @@
 	}
 }
 
-// wanted tells whether there is still work for a link that is opened now.
+// wanted reports whether there is still work for a link that is opened now.
 func (w *worker) wanted() bool { return w.now() < w.length || len(w.waiting) > 0 }
 
 // look opens links again, and ends what the client has waited for in vain.
--- a/internal/lab/overload/pressure.go
+++ b/internal/lab/overload/pressure.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// lasts tells whether the program still runs.
+// lasts reports whether the program still runs.
 func (b *bench) lasts() bool { return b.alive() == nil }
 
 // usage returns what the program has used of its cores; 0 where it has ended.
--- a/internal/lab/realtime/who.go
+++ b/internal/lab/realtime/who.go
@@ -48,7 +48,7 @@
 // foundWithin is how long a connection's process is looked for.
 const foundWithin = 2 * time.Second
 
-// holds tells whether a process has a socket open.
+// holds reports whether a process has a socket open.
 func holds(pid int64, inode string) bool {
 	dir, name := fmt.Sprintf("/proc/%d/fd", pid), "socket:["+inode+"]"
 	entries, err := os.ReadDir(dir)
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -61,7 +61,7 @@
 	return pkg, -1
 }
 
-// isBelow tells whether a package is another one or stands in its folder.
+// isBelow reports whether a package is another one or stands in its folder.
 func isBelow(pkg, folder string) bool { return pkg == folder || strings.HasPrefix(pkg, folder+"/") }
 
 // violation describes what is wrong with pkg importing other, "" if nothing is.
--- a/internal/lint/features.go
+++ b/internal/lint/features.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// namedIn walks a section; inside tells whether all texts in it name classes.
+// namedIn walks a section; inside reports whether all texts in it name classes.
 func namedIn(v any, keys []string, inside bool, path string, f func(name, path string)) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -377,7 +377,7 @@
 	return p.Masked()
 }
 
-// plain tells whether a name means the same in a path, a log line and a figure.
+// plain reports whether a name means the same in a path, a log line and a figure.
 func plain(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
--- a/internal/lint/instances_together.go
+++ b/internal/lint/instances_together.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// sameFleet tells whether two instances are taken for replicas of one application.
+// sameFleet reports whether two instances are taken for replicas of one application.
 func sameFleet(a, b *unit) bool {
 	return a.app.Replicas == b.app.Replicas && a.app.Replicas > 1 && a.app.Discovery == b.app.Discovery && sameClasses(a, b)
 }
--- a/internal/lint/mutation_test.go
+++ b/internal/lint/mutation_test.go
@@ -190,7 +190,7 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// newer tells whether something is found that the good files do not have.
+// newer reports whether something is found that the good files do not have.
 func newer(found, usual []Finding) bool {
 	return slices.ContainsFunc(found, func(f Finding) bool {
 		return !slices.ContainsFunc(usual, func(u Finding) bool { return u.Code == f.Code && u.Message == f.Message })
--- a/internal/message/stageplan.go
+++ b/internal/message/stageplan.go
@@ -7,7 +7,7 @@
 	Stages   map[string]Stage `msgpack:"m"` // the stage that each server is changing to, by instance
 }
 
-// IsNewerThan tells whether plan supersedes other: by a higher token, then by a higher sequence.
+// IsNewerThan reports whether plan supersedes other: by a higher token, then by a higher sequence.
 func (plan *StagePlan) IsNewerThan(other *StagePlan) bool {
 	return plan.Token > other.Token || plan.Token == other.Token && plan.Sequence > other.Sequence
 }
--- a/internal/proxy/backendconn.go
+++ b/internal/proxy/backendconn.go
@@ -24,7 +24,7 @@
 	lastRequestID string    // of the last exchange, "" where that had none
 }
 
-// isReusable tells whether an idle connection is open, not expired, and has nothing to read. Danger: bytes that have arrived while it was
+// isReusable reports whether an idle connection is open, not expired, and has nothing to read. Danger: bytes that have arrived while it was
 // idle belong to an earlier request, and would be taken for the response to the next one.
 func (c *backendConn) isReusable() bool {
 	if c.reader.Buffered() > 0 || !time.Now().Before(c.expiresAt) {
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -86,7 +86,7 @@
 	return nil, errTooManySurplus
 }
 
-// isNotExecuted tells whether a response says that the request was not executed.
+// isNotExecuted reports whether a response says that the request was not executed.
 func isNotExecuted(response *http.Response) bool {
 	return response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest
 }
@@ -119,7 +119,7 @@
 	e.conn.discard()
 }
 
-// isChunked tells whether a body has the chunked transfer encoding.
+// isChunked reports whether a body has the chunked transfer encoding.
 func isChunked(response *http.Response) bool {
 	return len(response.TransferEncoding) > 0 && response.TransferEncoding[0] == "chunked"
 }
@@ -138,7 +138,7 @@
 	return defaultKeepAlive
 }
 
-// hasDelimitedBody tells whether the end of a body can be recognized. Where it can't, a body that was cut off would look complete.
+// hasDelimitedBody reports whether the end of a body can be recognized. Where it can't, a body that was cut off would look complete.
 func hasDelimitedBody(response *http.Response) bool {
 	return response.ContentLength >= 0 || isChunked(response)
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -31,7 +31,7 @@
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te",
 	"Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// isHopByHop tells whether a field of a message must not be forwarded.
+// isHopByHop reports whether a field of a message must not be forwarded.
 func isHopByHop(name string, header http.Header) bool {
 	if slices.Contains(hopByHopHeaders, name) {
 		return true
@@ -53,7 +53,7 @@
 // would reject the request as misdirected, or run it as something that it is not.
 var reservedHeaders = []string{headerServingStage, headerKVFrom, headerExpectInstance, headerExpectVersion, headerPriority, headerDeadline}
 
-// isForwarded tells whether a client's field is forwarded beside the fields that the proxy sets.
+// isForwarded reports whether a client's field is forwarded beside the fields that the proxy sets.
 func isForwarded(name string, header http.Header, set []headerField) bool {
 	return !isHopByHop(name, header) && !slices.Contains(reservedHeaders, name) &&
 		!slices.ContainsFunc(set, func(f headerField) bool { return f.name == name })
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -15,10 +15,10 @@
 	outcomeCanceled                       // the client has disconnected or its deadline has passed
 )
 
-// mayHaveExecuted tells whether the server may have executed the request.
+// mayHaveExecuted reports whether the server may have executed the request.
 func (o outcome) mayHaveExecuted() bool { return o == outcomeMayHaveExecuted || o == outcomeAnswered }
 
-// allowsRetry tells whether a request of a route may be sent to another server after this outcome: always where it was not executed, else
+// allowsRetry reports whether a request of a route may be sent to another server after this outcome: always where it was not executed, else
 // where executing it twice does no harm.
 func (o outcome) allowsRetry(route *routeconfig.Route) bool {
 	switch o {
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -22,7 +22,7 @@
 	maxPriority = 9
 )
 
-// retriesPrefill tells whether a prompt may be sent to another prefill server after this outcome, and charges the retry budget where that
+// retriesPrefill reports whether a prompt may be sent to another prefill server after this outcome, and charges the retry budget where that
 // counts as a retry. An attempt that reached no server is free. One that may have been executed counts against the route's MaxAttempts as
 // well.
 func (p *Proxy) retriesPrefill(req *proxyRequest, result outcome) bool {
--- a/internal/proxy/routingstate.go
+++ b/internal/proxy/routingstate.go
@@ -39,7 +39,7 @@
 // now returns the time of pools and planners, in seconds since the start.
 func (s *routingState) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// isReady tells whether requests can be served.
+// isReady reports whether requests can be served.
 func (s *routingState) isReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rewrite/rewrite.go
+++ b/internal/rewrite/rewrite.go
@@ -42,12 +42,12 @@
 // may run twice. Host is among them since a request needs exactly one.
 var protected = []string{"Request-Id", "Idempotency-Key", "Request-Timeout", "Content-Length", "Server-Load", "Host"}
 
-// Free tells whether rules may touch a field: it is neither protected nor one that concerns a connection or framing.
+// Free reports whether rules may touch a field: it is neither protected nor one that concerns a connection or framing.
 func Free(name string) bool {
 	return !http1.IsHopByHop(name) && !slices.ContainsFunc(protected, func(p string) bool { return strings.EqualFold(p, name) })
 }
 
-// On tells whether there is anything to do.
+// On reports whether there is anything to do.
 func (s *Settings) On() bool { return len(s.Rules) > 0 || s.Forwarded }
 
 // Request returns what a server is sent of a request's header. The rules come first: one that drops Forwarded takes
--- a/internal/sidecarconfig/dialable.go
+++ b/internal/sidecarconfig/dialable.go
@@ -10,7 +10,7 @@
 // Jobs are all that one sidecar of a fleet can do on behalf of all.
 var Jobs = []string{"list", "report", "drill", "works"}
 
-// Dialable tells whether a text is an address with a port that others can dial.
+// Dialable reports whether a text is an address with a port that others can dial.
 func Dialable(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	n, bad := strconv.ParseUint(port, 10, 16)
--- a/internal/store/reading.go
+++ b/internal/store/reading.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// laterBatchExists tells whether a complete batch follows a place that can't be read. Each Append is synced before the next one starts, so
+// laterBatchExists reports whether a complete batch follows a place that can't be read. Each Append is synced before the next one starts, so
 // a loss of power damages the last batch alone: what precedes another batch was damaged in another way.
 func laterBatchExists(file io.ReadSeeker, offset int64) (bool, error) {
 	if _, err := file.Seek(offset+1, io.SeekStart); err != nil {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -82,7 +82,7 @@
 	return Error.Wrap(cause)
 }
 
-// IsUsed tells whether the folder has ever been written to, readable or not.
+// IsUsed reports whether the folder has ever been written to, readable or not.
 func (s *Store) IsUsed() bool { return s.sequence > 0 }
 
 // SegmentSize returns the size of the valid part of the newest segment, in bytes.
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -80,7 +80,7 @@
 	return nil, e
 }
 
-// Has tells whether the file has a field, by its path.
+// Has reports whether the file has a field, by its path.
 func (f *File) Has(path string) bool {
 	_, ok := f.places[path]
 	return ok
--- a/policy/query.go
+++ b/policy/query.go
@@ -14,7 +14,7 @@
 	return n
 }
 
-// Ejected returns a function that tells whether a host is a member without traffic at the given time, as it is withdrawn or
+// Ejected returns a function that reports whether a host is a member without traffic at the given time, as it is withdrawn or
 // unavailable. The function is valid until the next event.
 func (b *Balancer) Ejected(now float64) func(id uint32) bool {
 	view := b.viewAt(now)
