--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,19 +12,19 @@
 const (
 	// maxAttemptsPerRequest bounds the attempts of one request, those that reach no server included.
 	maxAttemptsPerRequest = 4
-	// backendConnectTimeout bounds the opening of a connection to a server, with its health check where one is made.
+	// backendConnectTimeout bounds the time to connect to a server, including the health check on the new connection if there is one.
 	backendConnectTimeout = 300 * time.Millisecond
-	// queueFraction is the part of a route's latency target for which a request may wait for a free server.
+	// queueFraction times the route's latency target is how long a request may wait for a free server.
 	queueFraction = 0.2
-	// queuePollInterval is the time between two tries to place a waiting request.
+	// queuePollInterval is the time between two attempts to find a server for a waiting request.
 	queuePollInterval = 4 * time.Millisecond
 )
 
-// placementChoice chooses a server under the lock of routingState, and returns whether there is one.
+// placementChoice chooses a server and returns whether it found one. It is called with the lock of routingState held.
 type placementChoice func(now float64, pool *placement.Pool, planner *placement.Planner) bool
 
-// awaitPlacement calls choose until it finds a server, for queueFraction of the route's latency target since the request's arrival. It returns
-// whether one was found. A request whose key was taken away meanwhile gets none.
+// awaitPlacement calls choose until it finds a server or until queueFraction of the route's latency target has passed since the request's
+// arrival. It returns whether a server was found. It finds none for a request whose key has been revoked meanwhile.
 func (p *Proxy) awaitPlacement(ctx context.Context, req *proxyRequest, choose placementChoice) bool {
 	deadline := req.arrivedAt.Add(time.Duration(queueFraction * float64(nodeconfig.FromMillis(req.route.LatencyTargetMs))))
 	for {
@@ -42,8 +42,8 @@
 	}
 }
 
-// pickEndpoint returns the server for the next attempt, nil where there is none in time. It prefers servers that were not tried. The request
-// counts as started there, and the caller has to call recordOutcome.
+// pickEndpoint returns the server for the next attempt, or nil if none becomes free in time. It prefers servers that have not been tried. The
+// request counts as started at the server, and the caller has to call recordOutcome.
 func (p *Proxy) pickEndpoint(ctx context.Context, req *proxyRequest) (picked *placement.Endpoint) {
 	p.awaitPlacement(ctx, req, func(now float64, pool *placement.Pool, _ *placement.Planner) bool {
 		if picked = pool.Pick(now, req.triedEndpoints); picked == nil && len(req.triedEndpoints) > 0 {
@@ -57,8 +57,8 @@
 	return picked
 }
 
-// chargeAttempt charges a retry to the service's retry budget and returns whether there was room. The first attempt, and one after an attempt
-// that reached no server, are free.
+// chargeAttempt charges a retry to the service's retry budget and returns false if the budget is exhausted. The first attempt is free, and so
+// is an attempt after one that reached no server.
 func (p *Proxy) chargeAttempt(req *proxyRequest) bool {
 	if req.deliveredAttempts == 0 || req.lastOutcome == outcomeNotSent {
 		return true
@@ -66,7 +66,7 @@
 	return p.spendRetryBudget(req)
 }
 
-// spendRetryBudget charges one retry, and returns false where there is no room for it.
+// spendRetryBudget charges one retry to the service's retry budget, and returns false if the budget is exhausted.
 func (p *Proxy) spendRetryBudget(req *proxyRequest) bool {
 	ok := false
 	p.state.withService(req.service, func(now float64, pool *placement.Pool, _ *placement.Planner) {
@@ -75,18 +75,18 @@
 	return ok
 }
 
-// roundTrip sends an encoded request to a server and reads the head of the response. It returns an exchange with the outcome
-// outcomeAnswered, and nil with any other; the caller has to finish or abort the exchange. Loads and identities that the head reports are
-// recorded.
+// roundTrip sends an encoded request to a server and reads the head of the response. It returns an exchange if the outcome is
+// outcomeAnswered, and nil otherwise; the caller has to finish or abort the exchange. It records the server's load, and the instance ID of a
+// misdirected response, from the head.
 func (p *Proxy) roundTrip(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, request []byte) (*backendExchange, outcome) {
 	conn, err := p.connectBackend(ctx, req, endpoint)
 	if err != nil {
-		p.log.WithField("server", endpoint.ID).WithError(err).Debug("not connected")
+		p.log.WithField("server", endpoint.ID).WithError(err).Debug("failed to connect to server")
 		return nil, outcomeNotSent
 	}
 	exchanged, result, err := sendRequest(ctx, conn, req.incoming.Method, req.id, request)
 	if err != nil {
-		p.log.WithField("server", endpoint.ID).WithField("request", req.id).WithError(err).Debug("no answer")
+		p.log.WithField("server", endpoint.ID).WithField("request", req.id).WithError(err).Debug("no response from server")
 		return nil, result
 	}
 	if exchanged.response.StatusCode == http.StatusMisdirectedRequest {
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxSurplusResponses bounds the responses to earlier requests that are skipped before the one to this request.
+	// maxSurplusResponses bounds how many responses are read in search of the one to this request; responses to earlier requests are skipped.
 	maxSurplusResponses = 3
-	// maxSurplusBytes bounds what is read of a body that is discarded.
+	// maxSurplusBytes bounds how much of a discarded body is read.
 	maxSurplusBytes = 1 << 20
-	// defaultKeepAlive is how long a connection may be idle where the response has no Keep-Alive time-out.
+	// defaultKeepAlive is how long a connection may be idle if the response has no Keep-Alive time-out.
 	defaultKeepAlive = 6 * time.Second
 	// keepAliveMargin is subtracted from the server's time-out, so that the server is not the first to close the connection.
 	keepAliveMargin = time.Second
 )
 
 var (
-	errTooManySurplus = errors.New("too many responses that belong to other requests")
-	// errUnidentifiedRejection is returned for a rejection without a request ID on a connection that has carried others. Danger: it may be a
-	// second response to an earlier request, and then means nothing for this one.
-	errUnidentifiedRejection = errors.New("a rejection without a request ID, on a connection that has carried others")
+	errTooManySurplus = errors.New("too many responses to other requests")
+	// errUnidentifiedRejection is returned for a rejection without a request ID on a connection that has carried earlier requests. Danger:
+	// it may be a second response to an earlier request, and then says nothing about this one.
+	errUnidentifiedRejection = errors.New("rejection without a request ID on a connection that has carried other requests")
 )
 
-// backendExchange is a request on a connection whose response has arrived, at least its head. finish or abort has to be called.
+// backendExchange is a request and its response on a connection. The head of the response has been read. finish or abort has to be called.
 type backendExchange struct {
 	conn          *backendConn
 	response      *http.Response
-	detachContext func() bool // ends the context's effect on the connection; returns false where the context has already closed it
+	detachContext func() bool // stops the context from aborting I/O on the connection; returns false if the context has already ended
 }
 
-// sendRequest writes an encoded request and reads the head of its response, within the context. Where it returns no exchange the connection
-// is closed, and the outcome says whether the server may have executed the request.
+// sendRequest writes an encoded request and reads the head of its response, until the context ends. If it returns no exchange, the connection
+// is closed and the outcome says whether the server may have executed the request.
 func sendRequest(ctx context.Context, conn *backendConn, method, id string, request []byte) (*backendExchange, outcome, error) {
 	detachContext := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	written, err := conn.Write(request)
@@ -59,7 +59,7 @@
 }
 
 // readResponse reads the head of the response to a request. It skips informational responses, and responses with another ID: a server may
-// answer an earlier request twice. A response without an ID is accepted only where the connection has carried no other request.
+// answer an earlier request twice. A response without an ID is accepted only if it is a rejection and the connection has carried no other request.
 func readResponse(conn *backendConn, method, id string) (*http.Response, error) {
 	for range maxSurplusResponses {
 		response, err := http.ReadResponse(conn.reader, &http.Request{Method: method})
@@ -91,7 +91,7 @@
 	return response.Header.Get(headerNotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest
 }
 
-// discardBody reads the body and drops it. It aborts the exchange where that fails.
+// discardBody reads the body and drops it. It aborts the exchange if that fails.
 func (e *backendExchange) discardBody() error {
 	_, err := io.Copy(io.Discard, io.LimitReader(e.response.Body, maxSurplusBytes))
 	if err != nil {
@@ -100,10 +100,9 @@
 	return err
 }
 
-// finish ends an exchange whose body was read completely. The connection goes back to the pool where it can be used again, and is closed
-// otherwise.
+// finish ends an exchange whose body was read completely. The connection is returned to the pool if it can be reused, and closed otherwise.
 func (e *backendExchange) finish(pool *connPool, address string) {
-	// Danger: where the context has ended, its callback may set the connection's deadline at any moment.
+	// Danger: if the context has ended, its callback may set the connection's deadline at any moment.
 	if !e.detachContext() || e.response.Close || e.response.ContentLength < 0 && !isChunked(e.response) {
 		e.conn.discard()
 		return
@@ -124,7 +123,7 @@
 	return len(response.TransferEncoding) > 0 && response.TransferEncoding[0] == "chunked"
 }
 
-// keepAliveTimeout returns how long a connection may be idle, by a response's Keep-Alive field.
+// keepAliveTimeout returns how long a connection may be idle according to a response's Keep-Alive field.
 func keepAliveTimeout(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -138,12 +137,12 @@
 	return defaultKeepAlive
 }
 
-// hasDelimitedBody reports whether the end of a body can be recognized. Where it can't, a body that was cut off would look complete.
+// hasDelimitedBody reports whether the end of the body is marked by its length or by chunks. Otherwise a truncated body would look complete.
 func hasDelimitedBody(response *http.Response) bool {
 	return response.ContentLength >= 0 || isChunked(response)
 }
 
-// classifyResponse returns the outcome of an attempt by its complete response. A success without the server's stamp, or with an encoded body,
+// classifyResponse returns the outcome of an attempt from its complete response. A success without the response stamp, or with an encoded body,
 // does not come from the application and counts as outcomeMayHaveExecuted.
 func classifyResponse(response *http.Response) outcome {
 	switch {
@@ -153,8 +152,8 @@
 		return outcomeMayHaveExecuted
 	case response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests ||
 		response.StatusCode == http.StatusRequestTimeout:
-		// Danger: these statuses tell the client that it may retry. Without the server's statement that it has not executed the request
-		// they must not be forwarded.
+		// Danger: these statuses tell the client that it may retry. They must not be forwarded unless the server has stated that it did
+		// not execute the request.
 		return outcomeMayHaveExecuted
 	}
 	return outcomeAnswered
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// defaultHeaderTimeout and defaultIdleTimeout hold where the configuration gives no time, and before the first one.
+	// defaultHeaderTimeout and defaultIdleTimeout apply if the configuration sets no timeout, and before the first configuration.
 	defaultHeaderTimeout = 3 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
-	// clientTimeoutMargin is added to both, for what the network holds up of a client that keeps within its time.
+	// clientTimeoutMargin is added to both, to allow for network delay of a client that keeps within its timeout.
 	clientTimeoutMargin = time.Second
-	// maxHeaderBytes bounds the head of a request whatever the configuration allows.
+	// maxHeaderBytes bounds the head of a request. The configuration can only lower it.
 	maxHeaderBytes = 1 << 20
 )
 
-// clientWait is what a connection waits for its client to do.
+// clientWait is what a connection is waiting for its client to send.
 type clientWait int
 
 const (
@@ -29,7 +29,7 @@
 	waitsForHead                      // a part of a request's head has been read
 )
 
-// clientListener accepts connections of clients, on which limits are enforced.
+// clientListener accepts connections of clients and enforces the timeouts of the limits on them.
 type clientListener struct {
 	*net.TCPListener
 	limits func() routeconfig.Limits
@@ -44,21 +44,22 @@
 	return &clientConn{TCPConn: conn, limits: l.limits}, nil
 }
 
-// clientConn is a client's connection. It is closed where the client is idle, or takes over a request's head, for longer than the limits in force allow.
+// clientConn is a client's connection. It is closed if the client is idle, or takes to send a request's head, for longer than the current limits
+// allow.
 //
-// Danger: the timeouts of http.Server are fixed when it starts, while each configuration brings its own: a server with fixed ones either closes
-// connections that clients may still use, or waits longer than the operators allow.
+// The timeouts of http.Server can't be used: they are fixed when it starts, while each configuration sets its own. With fixed timeouts the server
+// would close connections that clients may still use, or wait longer than the operators allow.
 type clientConn struct {
 	*net.TCPConn
 	limits func() routeconfig.Limits
 
 	mutex    sync.Mutex
 	wait     clientWait
-	deadline time.Time   // of wait
+	deadline time.Time   // of the current wait
 	timer    *time.Timer // nil until the first wait
 }
 
-// Read implements net.Conn. The first bytes of a request begin the time for its head.
+// Read implements net.Conn. The first bytes of a request start the timeout for its head.
 func (c *clientConn) Read(data []byte) (int, error) {
 	n, err := c.TCPConn.Read(data)
 	if n > 0 {
@@ -71,7 +72,7 @@
 	return n, err
 }
 
-// setState follows http.Server's state of the connection.
+// setState is called when http.Server changes the state of the connection.
 func (c *clientConn) setState(state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// startWait begins a wait. The mutex is held.
+// startWait begins a wait. The caller holds the mutex.
 func (c *clientConn) startWait(wait clientWait) {
 	limits := c.limits()
 	timeout := limitOr(limits.IdleTimeoutMs, defaultIdleTimeout)
@@ -105,7 +106,8 @@
 
 // closeExpired closes the connection, unless the wait for which the timer was set has ended meanwhile.
 //
-// Danger: a process that was stopped finds its timers expired and requests of the meantime unread. A client is late only if it has sent nothing.
+// Danger: in a process that was suspended, timers have expired while requests arrived and were not read. A client is late only if it has sent
+// nothing.
 func (c *clientConn) closeExpired() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -117,10 +119,10 @@
 		c.timer.Reset(clientTimeoutMargin)
 		return
 	}
-	_ = c.Close() // nothing depends on it: a connection that can't be closed is closed already
+	_ = c.Close() // fails only if the connection is closed already
 }
 
-// hasUnread reports whether the client has sent bytes that were not read yet.
+// hasUnread reports whether the client has sent bytes that have not been read yet.
 func (c *clientConn) hasUnread() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -134,7 +136,7 @@
 	return err == nil && hasUnread
 }
 
-// limitOr returns a time of the configuration, or another one where that gives none.
+// limitOr returns a timeout of the configuration, or other if the configuration does not set it.
 func limitOr(millis float64, other time.Duration) time.Duration {
 	if millis <= 0 {
 		return other
@@ -142,7 +144,7 @@
 	return nodeconfig.FromMillis(millis)
 }
 
-// newClientServer returns the server of clients' requests. It has to serve a clientListener, which keeps the times.
+// newClientServer returns the server for clients' requests. It has to serve a clientListener, whose connections enforce the timeouts.
 func newClientServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes, ConnState: func(conn net.Conn, state http.ConnState) {
 		if client, ok := conn.(*clientConn); ok {
@@ -151,7 +153,7 @@
 	}}
 }
 
-// headerBytes returns the size of a request's head as it was sent, but for white space around values.
+// headerBytes returns the size of a request's head as it was sent, apart from white space around values.
 func headerBytes(r *http.Request) int64 {
 	const separators, lineEnd = len(": "), len("\r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + len("  ") + lineEnd
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -15,22 +15,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators set what clients may send and how long they may take, and proxies went by constants: a head of 40 KB was refused where 64 KB are allowed,
-// and a client that sent half a head, or nothing, kept its connection for 4 s and 60 s whatever the configuration said. It had the fields, and the
-// proxies' table, and nothing read them: the same cause as that of limits by tenant.
+// These tests check that proxies enforce the header size and timeouts of the configuration. Proxies once read none of these fields and used
+// constants instead: a head of 40 KB was rejected although 64 KB were allowed, and a client that sent half a head, or nothing, kept its connection
+// for 4 s or 60 s whatever the configuration said.
 
 const (
 	shortTimeout = 100 * time.Millisecond
-	// closedWithin is above shortTimeout with its margin, and below the times that hold where the configuration gives none.
+	// closedWithin is longer than shortTimeout with its margin, and shorter than the default timeouts.
 	closedWithin = 3 * time.Second
 )
 
-// limitedDocument is tenantDocument without tenants, with limits of what clients may send.
+// limitedDocument is tenantDocument without tenants, with limits on clients.
 func limitedDocument(version int, limits string) string {
 	return strings.TrimSuffix(tenantDocument(version, ""), "}") + `,"Limits":{` + limits + `}}`
 }
 
-// startClientServer serves clients as a proxy process does and returns the address.
+// startClientServer serves clients like a proxy process and returns its address.
 func startClientServer(t *testing.T, f *tenantFleet) string {
 	listener, err := f.proxy.listenForClients("127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	return listener.Addr().String()
 }
 
-// dialClient opens a connection whose reads end after closedWithin.
+// dialClient opens a connection whose reads time out after closedWithin.
 func dialClient(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// exchange sends a request with a field of this size and returns the status of its response.
+// exchange sends a request with a header field of a given size and returns the status of its response.
 func exchange(t *testing.T, conn net.Conn, reader *bufio.Reader, fieldBytes int) int {
 	_, err := fmt.Fprintf(conn, "POST /unary/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\nX-Long: %s\r\n\r\nbody", strings.Repeat("l", fieldBytes))
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 			startedAt := time.Now()
 			c.send(conn, reader)
 			_, err := reader.ReadByte()
-			assert.ErrorIs(t, err, io.EOF, "closed, and not by this test's deadline")
+			assert.ErrorIs(t, err, io.EOF, "the proxy closes the connection before this test's read deadline")
 			assert.GreaterOrEqual(t, time.Since(startedAt), shortTimeout)
 		})
 	}
@@ -104,13 +104,14 @@
 	assert.Equal(t, http.StatusOK, exchange(t, conn, reader, 40<<10))
 	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, exchange(t, conn, reader, 70<<10))
 	f.apply(limitedDocument(2, `"MaxHeaderBytes":1024`))
-	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, exchange(t, conn, reader, 1<<10), "the newer limit holds on open connections")
-	assert.Equal(t, http.StatusOK, exchange(t, conn, reader, 100), "and the connection can be used further")
+	assert.Equal(t, http.StatusRequestHeaderFieldsTooLarge, exchange(t, conn, reader, 1<<10), "the newer limit applies to open connections")
+	assert.Equal(t, http.StatusOK, exchange(t, conn, reader, 100), "the connection can still be used")
 	f.apply(limitedDocument(3, ""))
-	assert.Equal(t, http.StatusOK, exchange(t, conn, reader, 40<<10), "without a limit the system's own holds")
+	assert.Equal(t, http.StatusOK, exchange(t, conn, reader, 40<<10), "without a configured limit maxHeaderBytes applies")
 }
 
-// A proxy that was stopped finds its timers expired, and requests that arrived meanwhile. Here nobody reads the connection when its time is over.
+// In a proxy that was suspended, timers have expired while requests arrived. The test simulates this by not reading the connection until after its
+// timeout.
 func TestRequestThatArrivedWhileTheProxyWasStoppedIsRead(t *testing.T) {
 	t.Parallel()
 	f := newTenantFleet(t, limitedDocument(1, `"IdleTimeoutMs":1`), failure{})
--- a/internal/proxy/connpool.go
+++ b/internal/proxy/connpool.go
@@ -19,7 +19,7 @@
 	dialer *net.Dialer
 
 	mu   sync.Mutex                // guards idle
-	idle map[string][]*backendConn // by address; the one that was used last is at the end
+	idle map[string][]*backendConn // by address, least recently used first
 }
 
 // newConnPool returns an empty pool.
@@ -27,9 +27,9 @@
 	return &connPool{dialer: transport.NewDialer(), idle: map[string][]*backendConn{}}
 }
 
-// get returns an idle connection that can be used again, or a new one. The caller owns it until release. Danger: a server may answer a request
-// twice. A connection that has just carried the request with this ID is not used for its retry, since the second response to the first
-// attempt would be taken for the response to the retry.
+// get returns a reusable idle connection, or a new one. The caller owns it until release. Danger: a server may answer a request twice. A
+// connection that has just carried the request with this ID is not used for its retry, since the second response to the first attempt would
+// be mistaken for the response to the retry.
 func (pool *connPool) get(ctx context.Context, address, id string) (*backendConn, error) {
 	for {
 		conn := pool.takeIdle(address, id)
@@ -48,7 +48,7 @@
 	return &backendConn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
-// takeIdle removes and returns the newest idle connection that may carry the request with this ID, nil where there is none.
+// takeIdle removes and returns the most recently used idle connection that may carry the request with this ID, or nil if there is none.
 func (pool *connPool) takeIdle(address, id string) *backendConn {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// release puts a connection back, or closes it where it can't be used again or there are enough.
+// release returns a connection to the pool, or closes it if it can't be reused or maxIdlePerBackend are idle.
 func (pool *connPool) release(address string, conn *backendConn) {
 	if conn.tainted || conn.reader.Buffered() > 0 || !time.Now().Before(conn.expiresAt) {
 		conn.discard()
@@ -79,7 +79,7 @@
 	pool.idle[address] = append(pool.idle[address], conn)
 }
 
-// closeExpired closes idle connections that have expired, and all to addresses for which keep returns false.
+// closeExpired closes idle connections that have expired, and all connections to addresses for which keep returns false.
 func (pool *connPool) closeExpired(keep func(address string) bool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
--- a/internal/proxy/credentials.go
+++ b/internal/proxy/credentials.go
@@ -8,20 +8,20 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// errUnknownKey rejects a key that no tenant of the configuration in force has. It doesn't show the key.
+// errUnknownKey rejects a key that no tenant of the current configuration has. Its text must not contain the key.
 var errUnknownKey = errors.New("the key in the field " + apikey.HeaderName + " is not known")
 
-// credentials is what a client has sent to say for whom it acts.
+// credentials is the API key that a client has sent to authenticate as a tenant.
 type credentials struct {
-	key apikey.Key // the zero value: none that can be read
+	key apikey.Key // zero if the client has sent no valid key
 	err error      // why there is no key
 }
 
 // takeCredentials removes a client's key from the header of its request, so that no part of the proxy can forward, log or count it with the other
-// fields. Without tenants, a field of another scheme than that of keys belongs to the application and stays.
+// fields. If the configuration has no tenants, a field with another scheme than that of API keys belongs to the application and stays.
 //
-// Danger: a field with the scheme of keys never stays, whatever the configuration says. A configuration that lags, or that a process of an earlier
-// version has compiled, lacks tenants that exist.
+// Danger: a field with the scheme of API keys is always removed, whatever the configuration says. A configuration that is out of date, or that a
+// process of an earlier version has compiled, lacks tenants that exist.
 func takeCredentials(header http.Header, hasTenants bool) credentials {
 	if !hasTenants && !apikey.HasScheme(header) {
 		return credentials{err: apikey.ErrMissing}
@@ -31,8 +31,8 @@
 	return credentials{key, err}
 }
 
-// authorize returns the tenant in whose name a request on a route is executed, nil where it is nobody's: on public routes without a known key, and
-// where the configuration has no tenants. Its error says why the request must not be executed.
+// authorize returns the tenant on whose behalf a request on a route is executed, or nil for an anonymous request: one without a known key on a public
+// route, or any request if the configuration has no tenants. An error says why the request must not be executed.
 func (t *routeTable) authorize(route *routeconfig.Route, sent credentials) (*routeconfig.Tenant, error) {
 	if t.tenants == nil {
 		return nil, nil
@@ -48,8 +48,9 @@
 	}
 }
 
-// reauthorize repeats authorize for a request that was admitted by an earlier configuration, and reports whether it may still be executed. A key that
-// was taken away while its request was waiting, or between two attempts, has no effect any more; one that was passed on acts for its new tenant.
+// reauthorize repeats authorize for a request that was admitted by an earlier configuration, and reports whether it may still be executed. A key may
+// have been revoked, or moved to another tenant, while its request was waiting or between two attempts; in the latter case the request is executed
+// for the new tenant.
 func (p *Proxy) reauthorize(req *proxyRequest) bool {
 	table := p.state.currentTable()
 	if table == req.authorizedBy {
@@ -63,8 +64,8 @@
 	return true
 }
 
-// routeNow returns the route of a request that was admitted by an earlier configuration, or by one in an earlier form: whether a route is public is by the
-// configuration in force. A request whose route is gone keeps the one that it has.
+// currentRoute returns the route of a request in the current configuration, which decides whether the route is public. The request may have been
+// admitted by an earlier configuration, or by one in an earlier form. A request whose route no longer exists keeps the one that it has.
 func (t *routeTable) routeNow(req *proxyRequest) *routeconfig.Route {
 	if route := t.find(req.incoming.Host, req.incoming.URL.Path); route != nil {
 		return route
@@ -72,7 +73,7 @@
 	return req.route
 }
 
-// respondRevoked responds that a request was not executed since its key was taken away while it was waiting.
+// respondRevoked responds that a request was not executed because its key was revoked while it was waiting.
 func (p *Proxy) respondRevoked(w http.ResponseWriter) {
 	p.stats.countRejected(rejectedUnauthorized)
 	w.Header().Set(headerAuthenticate, apikey.Scheme)
--- a/internal/proxy/credentials_test.go
+++ b/internal/proxy/credentials_test.go
@@ -20,16 +20,9 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// What users saw: model servers and web servers received the credentials of clients, requests were executed in nobody's name or in a name that the
-// client had chosen, and a key that had been taken away was served for as long as its owner used it.
-//
-// The order of events: a configuration with Tenants was acknowledged; the first request came with "Authorization: Token KEY"; the proxy sent it to
-// the server that prefills and to the one that decodes with the client's field, and without the tenant's name. A new version without the key
-// was in force at all proxies within 0.3 s, and requests with it went on being served.
-//
-// The cause: the configuration's message type had no field for tenants, and reading ignores what the type doesn't know; the proxy forwards each field
-// of a client that it doesn't know. The evidence: control's line "configuration asks for what this version does not do" names Tenants, the log shows
-// each version in force in time, and the servers of this test receive the field on each of the ways below.
+// These tests guard against proxies that forward clients' credentials to servers, execute requests for no tenant or for one that the client has
+// chosen, or serve a key after it has been revoked. All three happened when the configuration's message type had no field for tenants: decoding
+// ignored the unknown field, and the proxy forwards each header field of a client that it doesn't know.
 
 const (
 	keyOfAcme    = "Token key-of-acme"
@@ -40,7 +33,7 @@
 	boltAlone    = `{"Name":"acme","ApiKeys":[]},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
 )
 
-// tenantDocument is a configuration with these tenants, or without any where tenants is empty. Its routes are /unary/, /prompt/, /feed/ and the public
+// tenantDocument returns a configuration with these tenants, or without any if tenants is empty. Its routes are /unary/, /prompt/, /feed/ and the public
 // /open/.
 func tenantDocument(version int, tenants string) string {
 	route := func(name, kind, service, more string) string {
@@ -56,22 +49,22 @@
 		`"MaxConnections":100,"Engine":{"Slots":4,"KvTokens":1000000,"KvTokenBytes":1000,"LinkMbps":1000000,"HandleTtlS":5}}]%s}`, version, routes, tenants)
 }
 
-// tenantFleet is a proxy with the servers of tenantDocument.
+// tenantFleet is a proxy with the servers of tenantDocument: two web servers, a prefill server and a decode server.
 type tenantFleet struct {
 	t       *testing.T
 	proxy   *Proxy
 	front   *httptest.Server
 	servers []*fakeServer
 	log     *strings.Builder
-	sent    atomic.Int64 // requests
+	sent    atomic.Int64 // requests so far, for their IDs
 }
 
 // fakeServer is a fakeModelServer that fails some requests.
 type fakeServer struct {
 	*fakeModelServer
-	fails         func(r *http.Request) bool                      // nil: none
+	fails         func(r *http.Request) bool                      // nil: no request fails
 	answer        func(w http.ResponseWriter, header http.Header) // to a request that fails
-	answerRequest func(w http.ResponseWriter, r *http.Request)    // in place of answer, nil: answer
+	answerRequest func(w http.ResponseWriter, r *http.Request)    // used instead of answer if it is set
 }
 
 func (s *fakeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -96,24 +89,24 @@
 	answer func(w http.ResponseWriter, header http.Header)
 }
 
-// firstRequestFails has the first request to any server fail.
+// firstRequestFails makes the first request to any server fail.
 func firstRequestFails() failure {
 	var failed atomic.Bool
 	return failure{func(*http.Request) bool { return !failed.Swap(true) },
 		func(w http.ResponseWriter, _ http.Header) { w.WriteHeader(http.StatusInternalServerError) }}
 }
 
-// streamsBreakOff has each stream that begins with its first event break off after that one.
+// streamsBreakOff makes each stream that is not a resumed one break off after its first event.
 func streamsBreakOff() failure {
 	return failure{func(r *http.Request) bool { return r.Header.Get(headerLastEventID) == "" }, func(w http.ResponseWriter, _ http.Header) {
 		w.Header().Set(headerStamp, "stamp")
 		writeText(w, "%s", event(1))
-		_ = http.NewResponseController(w).Flush() // a proxy that has gone ends the test anyway
+		_ = http.NewResponseController(w).Flush() // an error means that the proxy has disconnected, which fails the test anyway
 		panic(http.ErrAbortHandler)
 	}}
 }
 
-// newTenantFleet starts a fleet whose web servers fail as said. An empty document is none.
+// newTenantFleet starts a fleet whose web servers fail as given. With an empty document the proxy has no configuration.
 func newTenantFleet(t *testing.T, document string, webServers failure) *tenantFleet {
 	f := &tenantFleet{t: t, log: &strings.Builder{}}
 	log := logrus.New()
@@ -146,7 +139,7 @@
 	return f
 }
 
-// apply puts a configuration in force, as control and agent do.
+// apply sends a configuration to the proxy, as the control process and the agent do.
 func (f *tenantFleet) apply(document string) {
 	table, err := routeconfig.Parse([]byte(document))
 	require.NoError(f.t, err)
@@ -155,7 +148,7 @@
 	require.NoError(f.t, f.proxy.state.applyFeed(&message.Feed{Table: packed}))
 }
 
-// newRequest returns a request with a key, if that is not empty, and a forged tenant's name.
+// newRequest returns a request with a key, unless that is empty, and a forged tenant ID.
 func (f *tenantFleet) newRequest(route, key string) *http.Request {
 	request, err := http.NewRequest(http.MethodPost, f.front.URL+"/"+route+"/x", strings.NewReader("body"))
 	require.NoError(f.t, err)
@@ -170,7 +163,7 @@
 	return request
 }
 
-// send sends a request of newRequest and returns the answer.
+// send sends the request that newRequest returns, and returns the response.
 func (f *tenantFleet) send(route, key string) (status int, body string) {
 	answer, err := f.front.Client().Do(f.newRequest(route, key))
 	require.NoError(f.t, err)
@@ -188,7 +181,7 @@
 	return all
 }
 
-// forgetReceived makes received start anew.
+// forgetReceived clears the requests that received returns.
 func (f *tenantFleet) forgetReceived() {
 	for _, s := range f.servers {
 		s.mu.Lock()
@@ -197,7 +190,7 @@
 	}
 }
 
-// ways are the ways on which a request reaches a server, each with its attempts and the failures that lead there.
+// requestPaths are the code paths by which a request reaches a server, each with the number of attempts and the failures that lead to it.
 var ways = map[string]struct {
 	route    string
 	attempts int
@@ -218,7 +211,7 @@
 		assert.Len(t, received, way.attempts, name)
 		for _, header := range received {
 			assert.NotContains(t, fmt.Sprint(header), "key-of-acme", "%s: a server received the key", name)
-			assert.Equal(t, []string{"acme"}, header[tenantHeader], "%s: the tenant is the key's, whatever the client has sent", name)
+			assert.Equal(t, []string{"acme"}, header[tenantHeader], "%s: the tenant is that of the key, whatever tenant ID the client has sent", name)
 		}
 		assert.NotContains(t, f.log.String(), "key-of-acme", "%s: a log holds the key", name)
 	}
@@ -235,9 +228,9 @@
 	}
 	assert.Empty(t, f.received(), "a server received a request without a key")
 	status, _ := f.send("open", "")
-	assert.Equal(t, http.StatusOK, status, "a public route wants no key")
+	assert.Equal(t, http.StatusOK, status, "a public route needs no key")
 	for _, header := range f.received() {
-		assert.Empty(t, header[tenantHeader], "a request without a key is nobody's")
+		assert.Empty(t, header[tenantHeader], "a request without a key has no tenant")
 	}
 }
 
@@ -251,18 +244,18 @@
 		status, _ := f.send("unary", keyOfAcme)
 		assert.Equal(t, step.want, status, "version %d", 2+i)
 		status, _ = f.send("unary", keyOfBolt)
-		assert.Equal(t, http.StatusOK, status, "a key that stays")
+		assert.Equal(t, http.StatusOK, status, "a key that was not revoked")
 	}
 }
 
 func TestProxyWithoutConfigurationRejectsNoKey(t *testing.T) {
 	f := newTenantFleet(t, "", failure{})
 	status, _ := f.send("unary", unknownKey)
-	assert.Equal(t, http.StatusServiceUnavailable, status, "nothing is known of the key yet")
+	assert.Equal(t, http.StatusServiceUnavailable, status, "without a configuration a key is neither known nor unknown")
 }
 
-// TestCredentialsWithoutTenants has clients of a configuration without tenants: what they send to the application reaches it, a key doesn't, whether
-// the configuration has no tenants or was compiled by a version that knows none.
+// TestCredentialsWithoutTenants checks the Authorization field under a configuration without tenants: other schemes reach the application, API keys
+// do not. A configuration compiled by a version that doesn't support tenants looks the same.
 func TestCredentialsWithoutTenants(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, ""), failure{})
 	for sent, want := range map[string][]string{"Bearer of-the-application": {"Bearer of-the-application"}, keyOfAcme: nil, "token key-of-acme": nil} {
@@ -277,8 +270,8 @@
 	}
 }
 
-// TestTableOfAnEarlierVersionIsReplaced has a proxy that receives one version of the configuration twice: first as a process of an earlier version has
-// compiled it, then with its tenants. The other order changes nothing.
+// TestTableOfAnEarlierVersionIsReplaced sends a proxy the same configuration version twice: first as compiled by a process of an earlier program
+// version, without tenants, then complete. The complete table replaces the earlier one, but not the reverse.
 func TestTableOfAnEarlierVersionIsReplaced(t *testing.T) {
 	f := newTenantFleet(t, "", failure{})
 	complete, err := routeconfig.Parse([]byte(tenantDocument(1, acmeAndBolt)))
@@ -291,7 +284,7 @@
 	}{{&earlier, http.StatusOK}, {complete, http.StatusUnauthorized}, {&earlier, http.StatusUnauthorized}} {
 		packed, err := message.PackTable(step.table)
 		require.NoError(t, err)
-		packed.Form = 0 // an agent of an earlier version has forwarded it
+		packed.Form = 0 // as an agent of an earlier version forwards it
 		require.NoError(t, f.proxy.state.applyFeed(&message.Feed{Table: packed}))
 		status, _ := f.send("unary", unknownKey)
 		assert.Equal(t, step.want, status)
@@ -310,7 +303,7 @@
 	}
 }
 
-// TestWaitingRequestIsNotExecutedWithAKeyTakenAway has a server refuse the first attempt; the key is taken away before the second one.
+// The server rejects the first attempt, and the key is revoked before the second one.
 func TestWaitingRequestIsNotExecutedWithAKeyTakenAway(t *testing.T) {
 	var f *tenantFleet
 	refuses := failure{func(*http.Request) bool { return true }, func(w http.ResponseWriter, _ http.Header) {
@@ -324,8 +317,8 @@
 	assert.Len(t, f.received(), 1, "no further attempt is made")
 }
 
-// TestPublicRouteOfAnEarlierForm has a request on a public route admitted by a table that doesn't say which routes are public, and retried once the complete
-// table of that version is in force.
+// A request on a public route is admitted by a table in an earlier form, which doesn't say which routes are public, and is retried after the complete
+// table of the same version has replaced it.
 func TestPublicRouteOfAnEarlierForm(t *testing.T) {
 	complete, err := routeconfig.Parse([]byte(tenantDocument(1, acmeAndBolt)))
 	require.NoError(t, err)
@@ -351,7 +344,7 @@
 	assert.Len(t, f.received(), 2)
 }
 
-// TestKeyThatIsPassedOnActsForItsNewTenant is the same with a key that another tenant gets.
+// The server rejects the first attempt, and the key is moved to another tenant before the second one.
 func TestKeyThatIsPassedOnActsForItsNewTenant(t *testing.T) {
 	var f *tenantFleet
 	var refused atomic.Bool
@@ -370,15 +363,15 @@
 	assert.ElementsMatch(t, []string{"acme", "bolt"}, names)
 }
 
-// TestOpenStreamsEndWithTheirKeys has a stream open while its key is taken away. It goes on, unless the settings say that it ends; then it doesn't look
-// complete, and a stream whose key stays is not touched.
+// A key is revoked while a stream that uses it is open. The stream goes on, unless the settings say that it ends; then it must not look complete.
+// A stream whose key stays valid is not affected.
 func TestOpenStreamsEndWithTheirKeys(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		release := make(chan struct{})
 		opened := failure{func(*http.Request) bool { return true }, func(w http.ResponseWriter, _ http.Header) {
 			w.Header().Set(headerStamp, "stamp")
 			writeText(w, "%s", event(1))
-			_ = http.NewResponseController(w).Flush() // a proxy that has gone shows below
+			_ = http.NewResponseController(w).Flush() // an error shows in what the client receives
 			<-release
 			writeText(w, "%s", event(2))
 		}}
--- a/internal/proxy/crossed_test.go
+++ b/internal/proxy/crossed_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// rejectWithoutID rejects a request without its ID.
+// rejectWithoutID rejects a request with a response that lacks the request ID.
 func rejectWithoutID(conn net.Conn, _ receivedRequest, _ int) bool {
 	_, err := io.WriteString(conn, "HTTP/1.1 503 Full\r\nHazelwheel-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 	return err == nil
@@ -35,7 +35,7 @@
 			if n > 1 {
 				rejectWithoutID(conn, r, n) // a second response to an earlier request
 			}
-			return echo(conn, r, n) // this request is executed
+			return echo(conn, r, n) // the response to this request, which is executed
 		})
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		answer, _, err := sendClientRequest(front)
--- a/internal/proxy/earlyanswer_test.go
+++ b/internal/proxy/earlyanswer_test.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longBody is more than the buffers of a connection hold.
+// longBody does not fit into the buffers of a connection.
 var longBody = strings.Repeat("a long body ", 200_000)
 
-// TestServerThatAnswersBeforeItHasReadALongBody has the first server refuse a request with its body still on the way, keep the connection and read on:
-// what it reads is that body, and the request is served by the other one.
+// The first server rejects a request before it has read the body, and reads the rest of it afterwards. It must receive the complete body, and the
+// request must be served by the other server.
 func TestServerThatAnswersBeforeItHasReadALongBody(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, acmeAndBolt), failure{})
 	var refused atomic.Bool
@@ -45,8 +45,8 @@
 	assert.Equal(t, http.StatusOK, answer.StatusCode)
 }
 
-// TestBodyThatDoesNotCome has clients that send the head of a request and not its body. They used to be waited for without an end, also where the
-// request was to be rejected for its route or key.
+// Clients send the head of a request and only a part of its body. The proxy once waited for the rest forever, even if the request was to be rejected
+// for its route or key.
 func TestBodyThatDoesNotCome(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, acmeAndBolt), failure{})
 	for name, c := range map[string]struct {
@@ -69,7 +69,7 @@
 			require.NoError(t, err)
 			defer answer.Body.Close()
 			assert.Equal(t, c.want, answer.StatusCode)
-			assert.True(t, answer.Close, "what comes later belongs to no request")
+			assert.True(t, answer.Close, "the rest of the body must not be read as the next request")
 		})
 	}
 	assert.Empty(t, f.received())
--- a/internal/proxy/eventrelay.go
+++ b/internal/proxy/eventrelay.go
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// eventRelay forwards a stream's events to a client. It defers the head until the first event, so that another server can be tried up to
-// then. It is for one goroutine.
+// eventRelay forwards a stream's events to a client. It delays the response's head until the first event, so that another server can be tried
+// until then. It must be used by one goroutine only.
 type eventRelay struct {
 	w           http.ResponseWriter
 	control     *http.ResponseController
 	headWritten bool
-	lastEventID string // of the last event that was written; a retry resumes behind it
+	lastEventID string // of the last event that was written; a retry resumes after it
 }
 
-// errClientDisconnected is returned where the client no longer reads.
+// errClientDisconnected is returned if writing to the client fails.
 var errClientDisconnected = errors.New("the client has disconnected")
 
-// writeHead writes the head of a response, once: a retry's response continues the first one.
+// writeHead writes the head of a response, but only once: the events of a retry continue the first response.
 func (r *eventRelay) writeHead(response *http.Response) {
 	if r.headWritten {
 		return
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// eventID returns the ID of an event, "" where it has none.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/proxy/feed.go
+++ b/internal/proxy/feed.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// feedRetryPause is the pause before the proxy connects to its agent again.
+	// feedRetryPause is the pause before the proxy reconnects to its agent.
 	feedRetryPause = 100 * time.Millisecond
-	// feedConnectTimeout bounds the connecting, reportWriteTimeout the sending of one report.
+	// feedConnectTimeout bounds the time to connect, reportWriteTimeout the time to send one report.
 	feedConnectTimeout = time.Second
 	reportWriteTimeout = time.Second
 	// reportInterval is the time between two reports.
 	reportInterval = 400 * time.Millisecond
 )
 
-// runFeed applies the updates of the agent, and reconnects after each failure until the context ends. Without a connection the proxy goes on
+// runFeed receives updates from the agent, and reconnects after each failure until the context ends. Without a connection the proxy keeps serving
 // with the state that it has.
 func (p *Proxy) runFeed(ctx context.Context) {
 	address := p.settings.FeedAddress()
@@ -32,7 +32,7 @@
 	}
 }
 
-// receiveFeed connects to the agent, applies its updates and sends reports, until the connection fails.
+// receiveFeed connects to the agent, applies its updates and sends it reports until the connection fails.
 func (p *Proxy) receiveFeed(ctx context.Context, address string) error {
 	conn, err := (&net.Dialer{Timeout: feedConnectTimeout}).DialContext(ctx, "tcp4", address)
 	if err != nil {
@@ -60,7 +60,7 @@
 	}
 }
 
-// endRevoked ends the requests in progress whose keys the configuration in force has not, where the settings say so.
+// endRevoked ends the requests in progress whose keys are not in the current configuration, if the settings enable this.
 func (p *Proxy) endRevoked() {
 	if ended := p.admitted.endRevoked(p.state.currentTable()); ended > 0 {
 		p.log.WithField("requests", ended).Info("requests ended with their keys")
@@ -77,14 +77,14 @@
 			return
 		case <-ticker.C:
 		}
-		_ = conn.SetWriteDeadline(time.Now().Add(reportWriteTimeout)) // where this fails, so does the write
+		_ = conn.SetWriteDeadline(time.Now().Add(reportWriteTimeout)) // if this fails, so does the write
 		if transport.WriteFrame(conn, p.state.buildReport()) != nil {
 			return
 		}
 	}
 }
 
-// unpackFeed returns the configuration and the endpoint list of an update, nil for what it does not hold.
+// unpackFeed returns the configuration and the endpoint list of an update; either is nil if the update does not contain it.
 func unpackFeed(feed *message.Feed) (table *routeconfig.Table, instances []message.Instance, err error) {
 	if feed.Table != nil {
 		if table, err = feed.Table.Unpack(); err != nil {
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// retryAfterSeconds is the Retry-After field of responses to requests that were not executed.
+	// retryAfterSeconds is the value of Retry-After in responses to requests that were not executed.
 	retryAfterSeconds = 0.1
-	// maxUnavailableSeconds is the longest Retry-After where no lessor of a tenant's limit could be asked.
+	// maxUnavailableSeconds bounds Retry-After if no lessor of a tenant's tokens could be reached.
 	maxUnavailableSeconds = 0.3
 	// startupTimeout bounds how long a request waits for the first configuration of a proxy that has just started.
 	startupTimeout = 1200 * time.Millisecond
 	// writeDeadlineMargin is added to a request's deadline for the writing of its response.
 	writeDeadlineMargin = time.Second
-	// unavailableText is the body of a response that says that the request was not executed and may be sent again.
+	// unavailableText is the body of a 503 response: the request was not executed and may be sent again.
 	unavailableText = "no server can take it now"
 )
 
-// ServeHTTP forwards a client's request to a server of its route's service, with retries as far as the route and the budget allow, and
-// writes the response.
+// ServeHTTP forwards a client's request to a server of its route's service and writes the response. It retries as far as the route and the
+// retry budget allow.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	table := p.awaitRoutes(r.Context())
@@ -51,11 +51,11 @@
 			servesModel = pool.Engine.IsPresent
 		}
 	})
-	// A proxy sees a part of a tenant's requests: only tokens that were granted for the whole fleet keep a limit. Each request is paid once, before its first
-	// attempt, whatever becomes of that.
+	// A proxy sees only a part of a tenant's requests, so a limit is enforced by tokens that are granted across the whole fleet. Each request is charged
+	// once, before its first attempt, whatever the outcome of that.
 	req.tokens = p.requestTokens(req)
 	defer req.tokens.release()
-	// A prompt may be prefilled while its tokens are waited for, where they are expected to come. Other requests need them before they are sent.
+	// A prompt may be prefilled while it waits for its tokens, if they are expected to be granted. Other requests need them before they are sent.
 	prefillsMeanwhile := servesModel && req.route.Kind == routeconfig.Streaming && req.tokens.isExpected()
 	if !prefillsMeanwhile && !p.awaitTokens(ctx, req) {
 		p.respondWithoutTokens(w, req)
@@ -69,7 +69,7 @@
 	p.serveUnary(ctx, w, req)
 }
 
-// admit finds the route of a request, checks its key and reads its body. Where the request can't be forwarded it responds itself and returns nil.
+// admit finds the route of a request, checks its key and reads its body. If the request can't be forwarded, admit responds itself and returns nil.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, table *routeTable, arrivedAt time.Time) *proxyRequest {
 	if maxBytes := table.limits.MaxHeaderBytes; maxBytes > 0 && headerBytes(r) > maxBytes {
 		p.stats.countRejected(rejectedHeader)
@@ -92,9 +92,9 @@
 	}
 	deadline := arrivedAt.Add(timeLimit(r, route))
 	control := http.NewResponseController(w)
-	_ = control.SetWriteDeadline(deadline.Add(writeDeadlineMargin)) // a connection that supports none is served without
-	// Danger: without a deadline a client that sends its body slowly would be waited for as long as it likes. The deadline has to be removed once the
-	// body is there: net/http goes on reading, and takes an error for a client that has gone.
+	_ = control.SetWriteDeadline(deadline.Add(writeDeadlineMargin)) // ignored if the connection does not support deadlines
+	// Danger: without a deadline the proxy would wait for a slow client's body without limit. The deadline has to be removed once the body has been
+	// read: net/http keeps reading from the connection in the background, and takes an error there to mean that the client has disconnected.
 	_ = control.SetReadDeadline(deadline)
 	body, status := readBody(w, r, table.limits)
 	if status != 0 {
@@ -107,7 +107,7 @@
 		deadline: deadline, credentials: sent, tenant: tenant, authorizedBy: table}
 }
 
-// requestTokens asks for the tokens that a request takes of its tenant's limit, nil where it takes none.
+// requestTokens requests the tokens that a request costs of its tenant's limit. It returns nil if it costs none.
 func (p *Proxy) requestTokens(req *proxyRequest) *tokenRequest {
 	if req.tenant == nil || req.tenant.Limit == nil {
 		return nil
@@ -119,12 +119,12 @@
 	return p.limiter.request(req.tenant, cost, tokenWait(req.route))
 }
 
-// awaitTokens waits for the tokens of a request's tenant, and returns whether it may be executed.
+// awaitTokens waits for the request's tokens, and returns whether it may be executed.
 func (p *Proxy) awaitTokens(ctx context.Context, req *proxyRequest) bool {
 	return req.tokens.wait(ctx).Refusal == tokenlease.Admitted
 }
 
-// respondWithoutTokens responds that a request was not executed for lack of tokens: 429 where its tenant is at its limit, and 503 where that isn't known.
+// respondWithoutTokens responds that a request was not executed for lack of tokens: 429 if its tenant is at its limit, and 503 if that isn't known.
 func (p *Proxy) respondWithoutTokens(w http.ResponseWriter, req *proxyRequest) {
 	decision, _ := req.tokens.poll()
 	if decision.Refusal == tokenlease.OverLimit {
@@ -137,8 +137,8 @@
 	respondUnavailable(w, min(decision.RetrySeconds, maxUnavailableSeconds))
 }
 
-// awaitRoutes returns the route table in force, nil where there is none in time. A proxy that has just started gets one within a moment;
-// requests wait for it, since clients retry only a few times.
+// awaitRoutes returns the current route table, or nil if there is none within startupTimeout. A proxy that has just started receives its first
+// table shortly; requests wait for it, since clients retry only a few times.
 func (p *Proxy) awaitRoutes(ctx context.Context) *routeTable {
 	if p.state.isReady() {
 		return p.state.currentTable()
@@ -162,8 +162,8 @@
 // formatSeconds formats a number of seconds for a header field.
 func formatSeconds(seconds float64) string { return strconv.FormatFloat(seconds, 'f', 2, 64) }
 
-// respondFailure responds to a request that no server has answered: 401 where its key was taken away and 503 otherwise if none can have executed
-// it, else 504 after the deadline and 502 before it.
+// respondFailure responds to a request that no server has answered. If no server can have executed it, the status is 401 if its key was revoked
+// and 503 otherwise, or 429 if its tenant is at its limit. If one may have, the status is 504 after the deadline and 502 before it.
 func (p *Proxy) respondFailure(ctx context.Context, w http.ResponseWriter, req *proxyRequest) {
 	switch {
 	case req.lastOutcome == outcomeWithoutTokens:
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -50,19 +50,19 @@
 // headerField is a field that the proxy sets.
 type headerField struct{ name, value string }
 
-// reservedHeaders are the fields that only proxies set on requests to servers. Danger: a server that received a client's value in one of them
-// would reject the request as misdirected, or run it as something that it is not, or in another tenant's name.
+// reservedHeaders are the fields that only proxies set on requests to servers. Danger: with a client's value in one of them, a server would reject
+// the request as misdirected, or execute it in the wrong stage or for another tenant.
 var reservedHeaders = []string{headerServingStage, headerKVFrom, headerExpectInstance, headerExpectVersion, headerPriority, headerDeadline,
 	headerTenantID}
 
-// isForwarded reports whether a client's field is forwarded beside the fields that the proxy sets.
+// isForwarded reports whether a client's field is forwarded in addition to the fields that the proxy sets.
 func isForwarded(name string, header http.Header, set []headerField) bool {
 	return !isHopByHop(name, header) && !slices.Contains(reservedHeaders, name) &&
 		!slices.ContainsFunc(set, func(f headerField) bool { return f.name == name })
 }
 
-// encode returns the request in the form that is sent to a server: with the given fields in place of the client's, the tenant in whose name it is
-// executed, and the remaining time as its deadline.
+// encode returns the request as it is sent to a server: the given fields replace the client's, and the tenant's name and the remaining time until
+// the deadline are added.
 func (req *proxyRequest) encode(set ...headerField) []byte {
 	r, body := req.incoming, req.body
 	target := r.RequestURI
@@ -97,7 +97,7 @@
 	return []byte(out.String())
 }
 
-// copyResponseHeader copies the fields of a server's response that are for the client.
+// copyResponseHeader copies the fields of a server's response, other than hop-by-hop fields, to the client's response.
 func copyResponseHeader(w http.ResponseWriter, response *http.Response) {
 	header := w.Header()
 	for name, values := range response.Header {
@@ -105,7 +105,7 @@
 			header[name] = values
 		}
 	}
-	// Danger: net/http would add these fields where the server has not sent them.
+	// Danger: net/http would add these fields if the server has not sent them.
 	for _, name := range []string{"Content-Type", "Date"} {
 		if _, isSet := header[name]; !isSet {
 			header[name] = nil
@@ -113,7 +113,7 @@
 	}
 }
 
-// parseServerLoad returns the load that a response reports, as "running,waiting,slots". It returns false where there is none.
+// parseServerLoad parses the load that a response reports in the form "running,waiting,slots". It returns false if the response reports none.
 func parseServerLoad(header http.Header) (running, waiting int, ok bool) {
 	figures := strings.Split(header.Get(headerServerLoad), ",")
 	if len(figures) != 3 {
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// healthCheckTick is the time between two looks for endpoints whose health check is due.
+	// healthCheckTick is how often the proxy looks for endpoints whose health check is due.
 	healthCheckTick = 100 * time.Millisecond
-	// healthCheckTimeout bounds one check.
+	// healthCheckTimeout bounds the duration of one check.
 	healthCheckTimeout = 3 * time.Second
 	// sweepTicks is the number of ticks between two sweeps of expired state and connections.
 	sweepTicks = 20
@@ -63,8 +63,8 @@
 	}
 }
 
-// checkEndpoint makes one check and records its result. A server is alive if it answers 200, as the instance that is expected where it names
-// one.
+// checkEndpoint performs one check and records its result. A server is alive if it responds with 200 and, if it reports an instance ID, with the
+// expected one.
 func (p *Proxy) checkEndpoint(ctx context.Context, check healthCheck) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -80,7 +80,7 @@
 	})
 }
 
-// requestHealth returns the header and the status of a server's health response, 0 where there is none.
+// requestHealth returns the header and the status of a server's health response, or a status of 0 if there is none.
 func (p *Proxy) requestHealth(ctx context.Context, check healthCheck) (http.Header, int) {
 	conn, err := p.conns.get(ctx, check.address, "")
 	if err != nil {
@@ -94,7 +94,7 @@
 	return exchanged.response.Header, exchanged.response.StatusCode
 }
 
-// requestHealthOn requests a server's health on a connection and reads the complete response. Where that fails the connection is closed.
+// requestHealthOn requests a server's health on a connection and reads the complete response. If that fails, the connection is closed.
 func requestHealthOn(ctx context.Context, conn *backendConn, check healthCheck) (*backendExchange, error) {
 	request := "GET " + check.healthPath + " HTTP/1.1\r\nHost: " + check.host + "\r\n\r\n"
 	exchanged, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
@@ -107,10 +107,10 @@
 	return exchanged, nil
 }
 
-// verifyNewConn requests a server's health on a new connection before a request that must not run twice is sent on it, where the service has
-// few connections. It returns whether the connection can be used; where not it is closed. Danger: a server accepts a connection beyond its
-// MaxConnections and resets it a moment later, so that a request on it may or may not have run. That happens after machines have lost
-// power, whose connections servers keep open for a while.
+// verifyNewConn checks a server's health on a new connection before a request that must not be executed twice is sent on it, if the service allows
+// few connections. It returns whether the connection can be used, and closes it if not. Danger: a server accepts a connection beyond its
+// MaxConnections and resets it a moment later, so that a request on it may or may not have been executed. That happens after machines have lost
+// power, since servers keep the connections of such machines open for a while.
 func (p *Proxy) verifyNewConn(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint, conn *backendConn) bool {
 	if conn.hasCarried || req.route.Kind == routeconfig.Idempotent {
 		return true
@@ -132,7 +132,7 @@
 		conn.discard()
 		return false
 	}
-	// No request of a client was sent on it, and a health response rejects none: a rejection without an ID can only be for the next one.
+	// No client's request has been sent on this connection, so a rejection without a request ID can only belong to the next one.
 	conn.hasCarried = false
 	return true
 }
--- a/internal/proxy/kvcache.go
+++ b/internal/proxy/kvcache.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// releaseTimeout bounds the release of a KV cache.
+// releaseTimeout bounds the request that releases a KV cache.
 const releaseTimeout = time.Second
 
-// releaseKVHandle has a server free a KV cache that no decode server has fetched, in the background. It does nothing for an empty handle; a
+// releaseKVHandle tells a server in the background to free a KV cache that no decode server has fetched. It does nothing for an empty handle. A
 // failure is ignored, since the server frees the cache by itself later.
 func (p *Proxy) releaseKVHandle(handle string) {
 	address, id, ok := strings.Cut(handle, "/")
@@ -36,15 +36,15 @@
 	}()
 }
 
-// kvCache is the KV cache of a prefill, which no decode server has fetched yet.
+// kvCache is the KV cache of a separate prefill that no decode server has fetched yet.
 type kvCache struct {
 	handle     string // IP:PORT/HANDLE of the prefill server; empty: there is no cache
 	zone       string // of the prefill server
-	rejections int    // of requests that named the handle
+	rejections int    // of requests with the handle by decode servers
 }
 
-// handleRejection handles a response that is no stream to a request that named the handle. After a first rejection without execution the cache
-// may still exist, as where the decode server was full; after anything else it is given up.
+// handleRejection handles a decode server's response other than a stream to a request with the handle. After a first rejection without execution
+// the cache may still exist, for example if the decode server was full; after any other response it is given up.
 func (c *kvCache) handleRejection(response *http.Response) {
 	if c.rejections++; c.rejections > 1 || !isNotExecuted(response) {
 		c.handle = ""
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -17,8 +17,8 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// fakeModelServer checks the reserved fields of requests as model servers do: a request for another stage, instance or version of weights
-// gets 421.
+// fakeModelServer checks the reserved fields of requests as model servers do: a request for another stage, instance or version of the model
+// weights gets 421.
 type fakeModelServer struct {
 	instance message.Instance
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// promptFront returns a server with a proxy whose route sends prompts to these model servers.
+// promptFront starts a proxy with a route for prompts to these model servers.
 func promptFront(t *testing.T, servers ...*fakeModelServer) *httptest.Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -98,7 +98,7 @@
 	return front
 }
 
-// sendPrompt sends a prompt with further fields and returns the status.
+// sendPrompt sends a prompt with additional header fields and returns the status.
 func sendPrompt(t *testing.T, front *httptest.Server, id string, fields ...headerField) int {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 	if err != nil {
@@ -120,8 +120,7 @@
 	return answer.StatusCode
 }
 
-// TestReservedHeadersOfClientsAreDropped has clients send the fields that only proxies set. Their requests are served, and so are those of
-// other clients after them.
+// Clients send the fields that only proxies set. Their requests are served as if they had not, and so are those of other clients after them.
 func TestReservedHeadersOfClientsAreDropped(t *testing.T) {
 	prefillServer, decodeServer := newFakeModelServer(t, "i-1", message.Prefill), newFakeModelServer(t, "i-2", message.Decode)
 	front := promptFront(t, prefillServer, decodeServer)
--- a/internal/proxy/periodiccounts.go
+++ b/internal/proxy/periodiccounts.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// countsLogInterval is the least time between two log lines of one kind of counts.
+// countsLogInterval is the minimum time between two log lines of one kind of counts.
 const countsLogInterval = 5 * time.Second
 
-// periodicCounts counts events by a key for a log line at intervals. It is safe for concurrent use.
+// periodicCounts counts events by key, to be logged at intervals. It is safe for concurrent use.
 type periodicCounts[Key comparable, Counts any] struct {
 	mu      sync.Mutex      // guards what follows
 	counts  map[Key]*Counts // since takenAt
 	takenAt time.Time
 }
 
-// newPeriodicCounts returns counts without events.
+// newPeriodicCounts returns empty counts.
 func newPeriodicCounts[Key comparable, Counts any]() *periodicCounts[Key, Counts] {
 	return &periodicCounts[Key, Counts]{counts: map[Key]*Counts{}, takenAt: time.Now()}
 }
 
-// update has add change the counts of a key.
+// update calls add with the counts of a key under the lock.
 func (p *periodicCounts[Key, Counts]) update(key Key, add func(counts *Counts)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +32,7 @@
 	add(counts)
 }
 
-// takeDue returns the counts and starts anew once a log line is due; it returns nil before, and where there was no event.
+// takeDue returns the counts and resets them if a log line is due. It returns nil if none is due or there was no event.
 func (p *periodicCounts[Key, Counts]) takeDue(now time.Time) map[Key]*Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -12,17 +12,16 @@
 )
 
 const (
-	// prefillTimeoutFactor times the route's latency target bounds a prefill.
+	// prefillTimeoutFactor times the route's latency target is the timeout of a prefill.
 	prefillTimeoutFactor = 6
-	// maxPrefillAttempts bounds the servers that are tried for one prefill.
+	// maxPrefillAttempts bounds how many servers are tried for one prefill.
 	maxPrefillAttempts = 3
 	// maxPrefillResponseBytes bounds the body of a prefill server's response.
 	maxPrefillResponseBytes = 64 << 10
 )
 
-// retriesPrefill reports whether a prompt may be sent to another prefill server after this outcome, and charges the retry budget where that
-// counts as a retry. An attempt that reached no server is free. One that may have been executed counts against the route's MaxAttempts as
-// well.
+// retriesPrefill reports whether a prompt may be sent to another prefill server after this outcome, and charges the retry budget if the attempt
+// reached a server. An attempt that may have been executed counts against the route's MaxAttempts as well.
 func (p *Proxy) retriesPrefill(req *proxyRequest, result outcome) bool {
 	switch result {
 	case outcomeNotSent:
@@ -41,8 +40,8 @@
 	}
 }
 
-// prefill has a server prefill a prompt, and returns the handle of the KV cache, "" where that failed, and the outcome. It records the result
-// at the server.
+// prefill has a server prefill a prompt. It returns the handle of the KV cache, or "" if the prefill failed, and the outcome, which it also records
+// in the statistics of the server.
 func (p *Proxy) prefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint, prompt *placement.Prompt) (string, outcome) {
 	var prefill *placement.Prefill
 	p.state.withService(req.service, func(now float64, _ *placement.Pool, planner *placement.Planner) {
@@ -67,7 +66,7 @@
 		}
 	})
 	if result == outcomeNotExecuted {
-		req.deliveredAttempts++ // a rejected one counts
+		req.deliveredAttempts++ // an attempt that was rejected has reached a server
 	}
 	return handle, result
 }
--- a/internal/proxy/priority.go
+++ b/internal/proxy/priority.go
@@ -9,11 +9,12 @@
 // maxPriority is the highest value of the Priority field, for the least urgent requests.
 const maxPriority = 9
 
-// priorityRanks derives the Priority field of requests from the priorities of tenants and routes. That of the tenant takes precedence; among
-// requests of equal precedence the route's decides, so that a tenant's urgent requests still go before its other ones.
+// priorityRanks derives the Priority field of requests from the priorities of tenants and routes. The tenant's priority, or the route's for
+// requests without one, is the primary criterion. Among requests of equal rank the route's priority decides, so that a tenant's urgent requests
+// still go before its other ones.
 type priorityRanks struct {
-	precedences []int // those that occur: of tenants, and of routes for requests without one; sorted
-	routes      []int // priorities of routes, sorted
+	precedences []int // distinct priorities of tenants, and of routes for requests without a tenant's; sorted
+	routes      []int // distinct priorities of routes, sorted; nil if they are not used as second criterion
 }
 
 // newPriorityRanks returns the ranks of a configuration.
@@ -33,18 +34,18 @@
 	}
 	ranks.precedences = sortedUnique(ranks.precedences)
 	if !hasTenantPriority || len(ranks.routes) < 2 || len(ranks.precedences)*len(ranks.routes) > maxPriority+1 {
-		ranks.routes = nil // the precedence alone: the routes add nothing to it, or there are too many pairs for the field
+		ranks.routes = nil // only the precedence is used: the routes add nothing to it, or there are too many pairs for the range of the field
 	}
 	return ranks
 }
 
-// sortedUnique returns the distinct numbers in their order. It may modify its argument.
+// sortedUnique returns the distinct numbers in ascending order. It may modify its argument.
 func sortedUnique(numbers []int) []int {
 	slices.Sort(numbers)
 	return slices.Compact(numbers)
 }
 
-// value returns the value of the field for a request on a route in a tenant's name, which may be nil.
+// value returns the value of the Priority field for a request on a route by a tenant, which may be nil.
 func (ranks *priorityRanks) value(route *routeconfig.Route, tenant *routeconfig.Tenant) int {
 	precedence := route.Priority
 	if tenant != nil && tenant.Priority != nil {
--- a/internal/proxy/priority_test.go
+++ b/internal/proxy/priority_test.go
@@ -28,7 +28,7 @@
 	}{
 		"no tenants: the route's":                    {[]int{0, 1, 2}, nil, nil, 2, 2},
 		"no priority of a tenant: the route's":       {[]int{0, 4}, nil, &routeconfig.Tenant{}, 4, 4},
-		"above the field":                            {[]int{0, 40}, nil, nil, 40, 9},
+		"above the range of the field":               {[]int{0, 40}, nil, nil, 40, 9},
 		"an urgent tenant's urgent request":          {[]int{0, 1, 2}, []int{0, 1}, of(0), 0, 0},
 		"an urgent tenant's other request":           {[]int{0, 1, 2}, []int{0, 1}, of(0), 2, 2},
 		"another tenant's urgent request":            {[]int{0, 1, 2}, []int{0, 1}, of(1), 0, 3},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,11 +1,11 @@
-// Package proxy runs the proxy process, the data plane of the router fleet: it accepts requests of clients and forwards each to a server.
+// Package proxy implements the proxy process, the data plane of the router fleet: it accepts requests of clients and forwards each to a server.
 //
-// Package placement chooses the server; routingState holds its pools and planners under one lock, and updates them by what the agent sends
-// (see runFeed). A request makes attempts until one has an outcome that ends it. The outcome of an attempt says whether
-// the server may have executed the request, by what was sent and received alone; a request that must not run twice is never sent again
-// after an attempt that may have been executed. Retries are charged to a budget for each service.
+// Package placement chooses the server; routingState holds its pools and planners under one lock, and updates them from what the agent sends
+// (see runFeed). Attempts are made for a request until the outcome of one allows no further attempt. The outcome says whether the server may have
+// executed the request, and is determined only by what was sent and received. A request that must not be executed twice is never sent again after
+// an attempt that may have been executed. Retries are charged to a retry budget for each service.
 //
-// A service with model servers may have a prompt prefilled at one server and decoded at another, which fetches the KV cache by a handle.
+// With model servers, a prompt may be prefilled at one server and decoded at another, which fetches the KV cache by a handle.
 package proxy
 
 import (
@@ -26,8 +26,8 @@
 var Error = errs.Class("proxy")
 
 const (
-	// drainDelay is how long a proxy that shuts down still accepts connections, until the platform has noticed that it is not ready. It is
-	// at most the grace period divided by drainDivisor.
+	// drainDelay is how long a proxy that shuts down still accepts connections, so that the platform notices that it is not ready. It is
+	// limited to the grace period divided by drainDivisor.
 	drainDelay   = 2500 * time.Millisecond
 	drainDivisor = 3
 	// shutdownMargin is the part of the grace period that is left unused.
@@ -42,11 +42,11 @@
 	conns     *connPool
 	stats     *requestStats
 	limiter   *tenantLimiter
-	admitted  *admittedRequests // nil unless requests in progress end with their keys
-	isLeaving atomic.Bool       // it reports that it is not ready, since it shuts down
+	admitted  *admittedRequests // nil unless requests in progress end when their keys are revoked
+	isLeaving atomic.Bool       // the proxy is shutting down and reports that it is not ready
 }
 
-// newProxy returns a proxy without configuration and endpoint list.
+// newProxy returns a proxy that has neither configuration nor endpoint list yet.
 func newProxy(settings *nodeconfig.Settings, log *logrus.Entry) *Proxy {
 	p := &Proxy{settings: settings, log: log, state: newRoutingState(settings), conns: newConnPool(), stats: newRequestStats(), limiter: newTenantLimiter(settings, log)}
 	if settings.Bounds.Revoked {
@@ -55,8 +55,8 @@
 	return p
 }
 
-// Run serves until the context ends, and then until the requests in flight are served or the grace period is over. It returns early with the
-// error of a server that fails.
+// Run serves until the context ends, and then until the requests in flight are served or the grace period is over. It returns early with an error if
+// listening or serving fails.
 func Run(ctx context.Context, settings *nodeconfig.Settings, log *logrus.Entry) error {
 	p := newProxy(settings, log)
 	frontListener, err := p.listenForClients(settings.Listen.Front)
@@ -83,7 +83,7 @@
 	return p.shutdown(server)
 }
 
-// listenForClients returns a listener for clients at an address with port. What it accepts is closed by the limits of the configuration in force.
+// listenForClients returns a listener for clients at an address with port. It enforces the timeouts of the current configuration on the connections.
 func (p *Proxy) listenForClients(address string) (*clientListener, error) {
 	tcpAddress, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return &clientListener{TCPListener: listener, limits: p.state.limits}, nil
 }
 
-// shutdown shuts the proxy down gracefully: first it reports that it is not ready, after a delay it stops accepting connections, and then it
-// serves the requests in flight.
+// shutdown shuts the proxy down gracefully: it reports that it is not ready, stops accepting connections after a delay, and then waits for the
+// requests in flight.
 func (p *Proxy) shutdown(server *http.Server) error {
 	p.isLeaving.Store(true)
 	grace := p.settings.GracePeriod()
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -31,7 +31,7 @@
 	body string
 }
 
-// testServer is a fake server: the test writes its responses byte by byte.
+// testServer is a fake server whose responses the test writes to the connection itself.
 type testServer struct {
 	message.Instance
 	listener net.Listener
@@ -39,7 +39,7 @@
 	mu             sync.Mutex
 	requests       []receivedRequest
 	conns          int
-	resetsNewConns bool // it resets new connections a moment after it has accepted them
+	resetsNewConns bool // it resets each new connection once the first byte has arrived
 }
 
 // serverBehavior answers the n-th request of a server on its connection. It returns whether the connection stays open.
@@ -111,10 +111,10 @@
 	return append([]receivedRequest(nil), s.requests...)
 }
 
-// writeText writes to a client. A failure shows in what the client receives.
+// writeText writes to a client. Errors are ignored: they show in what the client receives.
 func writeText(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
-// writeAnswer answers with a body and all fields of a server's response.
+// writeAnswer writes a complete response with the request ID and the response stamp.
 func writeAnswer(conn net.Conn, r receivedRequest, body string) bool {
 	_, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nHazelwheel-Request-Id: %s\r\nHazelwheel-Response-Stamp: stamp\r\nContent-Length: %d\r\n\r\n%s",
 		r.Header.Get(headerRequestID), len(body), body)
@@ -155,7 +155,7 @@
 	return err == nil
 }
 
-// events answers with all events after the one whose ID is in the request.
+// events responds with a stream of the events up to count, after the one given in Last-Event-Id.
 func events(count int) serverBehavior {
 	return func(conn net.Conn, r receivedRequest, _ int) bool {
 		streamHead(conn, r)
@@ -176,7 +176,7 @@
 		Services: []routeconfig.WeightedService{{Service: "s", Weight: 1}}, MaxAttempts: 2}
 }
 
-// startProxy starts a proxy with one route and these servers. The budget allows some retries.
+// startProxy starts a proxy with one route and these servers. The retry budget allows some retries.
 func startProxy(r routeconfig.Route, engine bool, servers ...*testServer) (*Proxy, *httptest.Server) {
 	settings := &nodeconfig.Settings{NodeID: "n", Zone: "z", Bounds: nodeconfig.Bounds{RetryBudgetRatio: 0.2, BudgetWindowSeconds: 10, BudgetSlack: 100, PrefixCacheSeconds: 8}}
 	log := logrus.New()
--- a/internal/proxy/proxyrequest.go
+++ b/internal/proxy/proxyrequest.go
@@ -17,7 +17,7 @@
 const (
 	// defaultMaxBodyBytes bounds a request's body where the configuration sets no limit.
 	defaultMaxBodyBytes = 4 << 20
-	// maxTokenCount bounds the number of tokens that is taken from a client's field.
+	// maxTokenCount bounds the number of tokens that a client can declare.
 	maxTokenCount = 1 << 22
 )
 
@@ -25,21 +25,21 @@
 type proxyRequest struct {
 	incoming  *http.Request
 	body      []byte
-	id        string // from the client, "" where it has sent none
+	id        string // sent by the client, or ""
 	route     *routeconfig.Route
-	service   string // drawn for all attempts
+	service   string // chosen once for all attempts
 	arrivedAt time.Time
 	deadline  time.Time
 
 	credentials  credentials
-	tenant       *routeconfig.Tenant // in whose name it is executed, nil: nobody's
-	authorizedBy *routeTable         // the configuration that tenant is by
-	tokens       *tokenRequest       // of the tenant's limit, nil: it needs none
+	tenant       *routeconfig.Tenant // for which it is executed; nil: none
+	authorizedBy *routeTable         // the configuration that has determined tenant
+	tokens       *tokenRequest       // of the tenant's limit; nil: it needs none
 
 	triedEndpoints     []*placement.Endpoint // in the order of the attempts
-	deliveredAttempts  int                   // that have reached a server; a separate prefill counts where it was rejected or retried
+	deliveredAttempts  int                   // attempts that reached a server; a separate prefill counts if it was rejected or retried
 	possibleExecutions int                   // attempts that a server may have executed
-	lastOutcome        outcome               // of the newest attempt
+	lastOutcome        outcome               // of the last attempt
 	cache              kvCache               // of a separate prefill
 	timing             streamTiming
 }
@@ -47,7 +47,7 @@
 // remaining returns the time until the deadline.
 func (req *proxyRequest) remaining() time.Duration { return time.Until(req.deadline) }
 
-// readBody returns the complete body, or the status of the response that rejects it, 0 where it is accepted.
+// readBody returns the complete body and 0, or the status of the response that rejects the request.
 func readBody(w http.ResponseWriter, r *http.Request, limits routeconfig.Limits) ([]byte, int) {
 	maxBytes := limits.MaxBodyBytes
 	if maxBytes <= 0 {
@@ -66,7 +66,7 @@
 	return body, 0
 }
 
-// timeLimit returns how long a request may take: the route's time-out, or less where the client's deadline is shorter.
+// timeLimit returns how long a request may take: the route's time-out, or the client's deadline if that is shorter.
 func timeLimit(r *http.Request, route *routeconfig.Route) time.Duration {
 	limit := nodeconfig.FromMillis(route.TimeoutMs)
 	if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
@@ -75,7 +75,7 @@
 	return limit
 }
 
-// promptFromRequest returns what model servers are chosen by, from the request's fields and the route's latency targets.
+// promptFromRequest returns the properties by which model servers are chosen, from the request's header and the route's latency targets.
 func promptFromRequest(r *http.Request, route *routeconfig.Route) placement.Prompt {
 	prompt := placement.Prompt{Chunks: placement.ParseChunks(r.Header.Get(headerPrefixHash))}
 	prompt.LatencyTargetSeconds = nodeconfig.FromMillis(route.LatencyTargetMs).Seconds()
@@ -85,8 +85,8 @@
 	return prompt
 }
 
-// parseTokenCount returns a number of tokens, 0 where it can't be parsed. Danger: a client chooses it, and it is added up over all proxies;
-// without a bound one client could outweigh all others.
+// parseTokenCount returns a number of tokens, or 0 if it can't be parsed. Danger: the number is the client's, and is summed over all proxies; without
+// a bound one client could outweigh all others.
 func parseTokenCount(text string) int {
 	count, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil {
--- a/internal/proxy/requeststats.go
+++ b/internal/proxy/requeststats.go
@@ -11,11 +11,10 @@
 	"hazelwheel/internal/decide/placement"
 )
 
-// misdirectedLogInterval is the least time between log lines about misdirected requests.
+// misdirectedLogInterval is the minimum time between log lines about misdirected requests.
 const misdirectedLogInterval = 2 * time.Second
 
-// requestStats counts what operators need to see of rejected, failed and late requests, and limits the rate of log lines. It is safe for concurrent
-// use.
+// requestStats counts rejected, failed and late requests for the log, and limits the rate of log lines. It is safe for concurrent use.
 type requestStats struct {
 	misdirectedLog rate.Sometimes
 	rejected       *periodicCounts[rejection, int]
@@ -39,27 +38,27 @@
 	p.logTenants(now)
 }
 
-// rejection is why a request was rejected before a server was chosen for it. Its text is a field of log lines.
+// rejection is why a request was rejected before a server was chosen for it. Its text is the name of a field in log lines.
 type rejection string
 
-// The reasons.
+// The reasons for a rejection.
 const (
 	rejectedNoConfiguration rejection = "no_configuration" // the proxy knows none yet
 	rejectedNoRoute         rejection = "no_route"
 	rejectedHeader          rejection = "header"       // too large
-	rejectedBody            rejection = "body"         // too large, broken off, or not there in time
+	rejectedBody            rejection = "body"         // too large, truncated, or not received in time
 	rejectedUnauthorized    rejection = "unauthorized" // no key, or one that is not known
 	rejectedOverLimit       rejection = "over_limit"   // its tenant has used its limit
 	rejectedNoTokens        rejection = "no_tokens"    // its tenant has a limit, and no lessor could tell whether it has used it
 )
 
-// countRejected counts a rejected request.
+// countRejected counts a request that was rejected for a reason.
 func (s *requestStats) countRejected(reason rejection) {
 	s.rejected.update(reason, func(count *int) { *count++ })
 }
 
-// logRejected logs how many requests were rejected for each reason, with the configuration in force. It tells a proxy whose configuration lags from
-// clients that ask for what no configuration has.
+// logRejected logs how many requests were rejected for each reason, with the version of the current configuration. The version shows whether the
+// proxy's configuration is out of date or clients ask for something that no configuration contains.
 func (p *Proxy) logRejected(now time.Time) {
 	counts := p.stats.rejected.takeDue(now)
 	if counts == nil {
@@ -80,7 +79,7 @@
 	s.streams.update(req.route.Name, func(counts *streamCounts) { counts.add(req.route, req.arrivedAt, &req.timing) })
 }
 
-// logStreams logs the routes whose streams were late, with the causes.
+// logStreams logs the routes with late streams, by the causes of the delay.
 func (p *Proxy) logStreams(now time.Time) {
 	for route, counts := range p.stats.streams.takeDue(now) {
 		if counts.LatePrefill+counts.LateFirstEvent+counts.LateGap == 0 {
@@ -91,11 +90,11 @@
 	}
 }
 
-// unservedCounts counts requests without a server's response.
+// unservedCounts counts requests that got no server's response.
 type unservedCounts struct {
 	Rejected      int // not executed
-	BackendFailed int // a server has failed, and may have executed it
-	TimedOut      int // the deadline has passed, and a server may have executed it
+	BackendFailed int // a server failed and may have executed it
+	TimedOut      int // the deadline passed, and a server may have executed it
 }
 
 // logUnserved logs how many requests were not served, with the state of the service's servers.
@@ -134,7 +133,7 @@
 	})
 }
 
-// sentReservedHeaders returns the reserved fields in a client's request, but for the deadline, which clients may send.
+// sentReservedHeaders returns the names of the reserved fields in a client's request, except the deadline, which clients may send.
 func sentReservedHeaders(header http.Header) (names []string) {
 	for _, name := range reservedHeaders {
 		if _, sent := header[name]; sent && name != headerDeadline {
--- a/internal/proxy/revocation.go
+++ b/internal/proxy/revocation.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// admittedRequests holds the requests in progress that were sent with a key, so that they can be ended when it is taken away. It is safe for
-// concurrent use; the nil value holds none.
+// admittedRequests holds the requests in progress that were sent with a key, so that they can be ended when it is revoked. It is safe for concurrent
+// use. A nil value is valid and stays empty.
 type admittedRequests struct {
 	mu       sync.Mutex // guards requests
 	requests map[*proxyRequest]context.CancelFunc
@@ -17,7 +17,7 @@
 	return &admittedRequests{requests: map[*proxyRequest]context.CancelFunc{}}
 }
 
-// add adds a request, whose route and credentials must not change any more. cancel ends it, and must not block.
+// add adds a request, whose route and credentials must not change afterwards. cancel ends the request and must not block.
 func (a *admittedRequests) add(req *proxyRequest, cancel context.CancelFunc) {
 	if a == nil || req.credentials.key.IsZero() {
 		return
@@ -37,7 +37,7 @@
 	delete(a.requests, req)
 }
 
-// endRevoked ends the requests that a configuration doesn't allow, and returns how many there were.
+// endRevoked ends the requests that a configuration doesn't authorize, and returns their number.
 func (a *admittedRequests) endRevoked(table *routeTable) (ended int) {
 	if a == nil || table == nil {
 		return 0
--- a/internal/proxy/routetable.go
+++ b/internal/proxy/routetable.go
@@ -14,13 +14,13 @@
 	version    uint64
 	form       routeconfig.Form
 	limits     routeconfig.Limits
-	tenants    *tenantIndex // nil where the configuration has no tenants
+	tenants    *tenantIndex // nil if the configuration has no tenants
 	priorities *priorityRanks
 	byPlace    *iradix.Tree[*routeconfig.Route] // by routeKey
 	services   map[string]*routeconfig.Service  // by name
 }
 
-// newRouteTable returns the table of a configuration, which must not change afterwards.
+// newRouteTable returns the routeTable of a configuration, which must not change afterwards.
 func newRouteTable(table *routeconfig.Table) *routeTable {
 	routes := &routeTable{version: table.Version, form: table.Form, limits: table.Limits, tenants: newTenantIndex(table), priorities: newPriorityRanks(table),
 		services: map[string]*routeconfig.Service{}}
@@ -39,7 +39,7 @@
 // routeKey joins a host and a path prefix. The zero byte between them, which no host contains, keeps one host from being a prefix of another.
 func routeKey(host, path string) string { return strings.ToLower(host) + "\x00" + path }
 
-// find returns the route with the longest matching path prefix, nil where there is none. A port in the host is ignored.
+// find returns the route with the longest matching path prefix, or nil if there is none. A port in the host is ignored.
 func (t *routeTable) find(host, path string) *routeconfig.Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -51,7 +51,7 @@
 	return route
 }
 
-// drawService draws the service of a request, by the weights of the route.
+// drawService chooses the service of a request at random, by the weights of the route.
 func drawService(route *routeconfig.Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
--- a/internal/proxy/routingstate.go
+++ b/internal/proxy/routingstate.go
@@ -11,8 +11,8 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// routingState is what requests are placed by: configuration, endpoint list, stage plan, and the pools and planners of package placement,
-// which are not safe for concurrent use themselves. It is guarded by one lock, which is never held during I/O.
+// routingState is the state from which servers are chosen: configuration, endpoint list, stage plan, and the pools and planners of package
+// placement, which are not safe for concurrent use themselves. It is guarded by one lock, which is never held during I/O.
 type routingState struct {
 	settings  *nodeconfig.Settings
 	startedAt time.Time
@@ -21,7 +21,7 @@
 	mu         sync.Mutex  // guards what follows
 	table      *routeTable // nil before the first configuration
 	instances  []message.Instance
-	hasList    bool // an endpoint list was received
+	hasList    bool // an endpoint list has been received
 	isServable bool // the channel servable is closed
 	stagePlan  message.StagePlan
 	rank       int                           // of this proxy
@@ -36,7 +36,7 @@
 		pools: map[string]*placement.Pool{}, planners: map[string]*placement.Planner{}}
 }
 
-// now returns the time of pools and planners, in seconds since the start.
+// now returns the time for pools and planners, in seconds since the start.
 func (s *routingState) now() float64 { return time.Since(s.startedAt).Seconds() }
 
 // isReady reports whether requests can be served.
@@ -46,14 +46,14 @@
 	return s.table != nil && s.hasList
 }
 
-// currentTable returns the table in force, nil before the first configuration.
+// currentTable returns the table of the current configuration, or nil before the first one.
 func (s *routingState) currentTable() *routeTable {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table
 }
 
-// limits returns what clients may send by the configuration in force, the zero value before the first one.
+// limits returns the limits on clients in the current configuration, or the zero value before the first one.
 func (s *routingState) limits() routeconfig.Limits {
 	if table := s.currentTable(); table != nil {
 		return table.limits
@@ -61,8 +61,8 @@
 	return routeconfig.Limits{}
 }
 
-// applyFeed applies an update of the agent. An error means that it can't be unpacked; nothing has changed then. Danger: an agent that has
-// restarted may send an older configuration. The version in force must never go back.
+// applyFeed applies an update from the agent. If the update can't be unpacked, it returns an error and changes nothing. Danger: an agent that has
+// restarted may send an older configuration. It must not replace a newer one.
 func (s *routingState) applyFeed(feed *message.Feed) error {
 	table, instances, err := unpackFeed(feed)
 	if err != nil {
@@ -103,13 +103,13 @@
 	return nil
 }
 
-// updatePool applies the newest endpoint list and stage plan to a pool. The caller holds the lock.
+// updatePool applies the current endpoint list and stage plan to a pool. The caller holds the lock.
 func (s *routingState) updatePool(now float64, pool *placement.Pool) {
 	pool.UpdateInstances(now, s.instances)
 	pool.ApplyStagePlan(now, s.stagePlan)
 }
 
-// refreshExpired readmits servers whose time of exclusion is over; no update of the agent announces that.
+// refreshExpired readmits servers whose exclusion has expired, since no update from the agent announces that.
 func (s *routingState) refreshExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +140,7 @@
 	}
 }
 
-// newPool returns a pool with the present endpoint list. The caller holds the lock.
+// newPool returns a pool with the current endpoint list. The caller holds the lock.
 func (s *routingState) newPool(name string) *placement.Pool {
 	bounds := s.settings.Bounds
 	budget := placement.RetryBudget{WindowSeconds: bounds.BudgetWindowSeconds, Ratio: bounds.RetryBudgetRatio, Slack: bounds.BudgetSlack}
@@ -150,7 +150,7 @@
 	return pool
 }
 
-// engineFor returns the model servers' figures of a service, the zero value where it has none.
+// engineFor returns the parameters of a service's model servers, or the zero value if it has none.
 func engineFor(service *routeconfig.Service) placement.Engine {
 	if service.Engine == nil {
 		return placement.Engine{}
@@ -170,7 +170,7 @@
 	return wanted
 }
 
-// buildReport returns the next report to the agent. Loads that it contains are not reported again.
+// buildReport returns the next report to the agent. Each load is reported once.
 func (s *routingState) buildReport() *message.ProxyReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +188,7 @@
 	return report
 }
 
-// withService calls f with a service's pool and planner under the lock, nil where the service is unknown. f must not block.
+// withService calls f under the lock with a service's pool and planner, which are nil if the service is unknown. f must not block.
 func (s *routingState) withService(service string, f func(now float64, pool *placement.Pool, planner *placement.Planner)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -16,8 +16,8 @@
 const eventBufferSize = 4 << 10
 
 // serveStream serves a request whose response is a stream of events. With model servers, a prompt may be prefilled at one server and decoded at
-// another. A stream that breaks off after its first event is resumed at another server where the route allows it; otherwise the
-// connection to the client is cut, so that the response does not look complete.
+// another. A stream that breaks off after its first event is resumed at another server if the route allows it; otherwise the connection to the
+// client is closed abruptly, so that the response does not look complete.
 func (p *Proxy) serveStream(ctx context.Context, w http.ResponseWriter, req *proxyRequest, servesModel bool) {
 	relay := &eventRelay{w: w, control: http.NewResponseController(w)}
 	defer func() { p.releaseKVHandle(req.cache.handle) }()
@@ -49,12 +49,12 @@
 // streamAttempt is one attempt at a stream.
 type streamAttempt struct {
 	endpoint *placement.Endpoint
-	prefill  *placement.Prefill // where the endpoint prefills the prompt itself, until that is done
-	prompt   *placement.Prompt  // nil where the service has no model servers
+	prefill  *placement.Prefill // nil unless the endpoint is prefilling the prompt itself
+	prompt   *placement.Prompt  // nil if the service has no model servers
 }
 
-// attemptPrompt makes one attempt with model servers: it chooses them, has the prompt prefilled where that is planned separately, and has it
-// decoded. It returns whether the client has a complete response; where not, req.lastOutcome says why.
+// attemptPrompt makes one attempt with model servers: it chooses them, has the prompt prefilled if the plan has a separate prefill server, and has
+// it decoded. It returns whether the client has a complete response; if not, req.lastOutcome says why.
 func (p *Proxy) attemptPrompt(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
 	if req.cache.handle != "" {
 		return p.attemptDecode(ctx, relay, req, prompt)
@@ -80,14 +80,14 @@
 		if attempt == maxPrefillAttempts || !p.retriesPrefill(req, result) {
 			break
 		}
-		// A decode server that prefilled it would delay its streams, merely because one prefill server has failed or is changing.
+		// Another prefill server is tried, since a prefill at a decode server would delay the streams there.
 		excluded = append(excluded, plan.PrefillServer)
 	}
 	return p.attemptDecode(ctx, relay, req, prompt)
 }
 
-// planPrompt chooses the servers for a prompt, and counts the request as started at the one that it is sent to first. separately allows a
-// prefill server apart from the decode server.
+// planPrompt chooses the servers for a prompt, and counts the request as started at the one that it is sent to first. If separately is true, the
+// prefill server may be another than the decode server.
 func (p *Proxy) planPrompt(ctx context.Context, req *proxyRequest, prompt *placement.Prompt, excluded []*placement.Endpoint,
 	separately bool) (plan placement.Plan, found bool) {
 	found = p.awaitPlacement(ctx, req, func(now float64, _ *placement.Pool, planner *placement.Planner) bool {
@@ -105,7 +105,7 @@
 	return plan, found
 }
 
-// attemptDecode has a prompt decoded, from its KV cache or without one where the prefill has failed. The decode server is chosen only now, by
+// attemptDecode has a prompt decoded, from its KV cache or, if the prefill has failed, without one. The decode server is chosen only now, with
 // what is known after the prefill.
 func (p *Proxy) attemptDecode(ctx context.Context, relay *eventRelay, req *proxyRequest, prompt *placement.Prompt) bool {
 	var server *placement.Endpoint
@@ -122,7 +122,7 @@
 	return p.attemptStream(ctx, relay, req, streamAttempt{endpoint: server, prompt: prompt})
 }
 
-// attemptStream sends the request to a server and forwards its events. It returns whether the client has a complete response; where not,
+// attemptStream sends the request to a server and forwards its events. It returns whether the client has a complete response; if not,
 // req.lastOutcome says why.
 func (p *Proxy) attemptStream(ctx context.Context, relay *eventRelay, req *proxyRequest, attempt streamAttempt) bool {
 	if !p.awaitTokens(ctx, req) {
@@ -147,7 +147,7 @@
 	if result != outcomeAnswered {
 		p.finishPrefill(req, &attempt, false)
 		if result != outcomeNotSent {
-			req.cache.handle = "" // it may have been fetched
+			req.cache.handle = "" // the server may have fetched the cache
 		}
 		p.recordOutcome(ctx, req, attempt.endpoint, result)
 		return false
@@ -178,7 +178,7 @@
 	})
 }
 
-// finishPrefill records the end of a prefill that startPrefill has recorded. Further calls do nothing.
+// finishPrefill records the end of a prefill that startPrefill has recorded. Repeated calls have no effect.
 func (p *Proxy) finishPrefill(req *proxyRequest, attempt *streamAttempt, succeeded bool) {
 	if attempt.prefill == nil {
 		return
@@ -191,8 +191,8 @@
 	attempt.prefill = nil
 }
 
-// forwardFailure handles a response that is no stream. It forwards it where it is an answer, nothing was written yet and no retry is allowed;
-// it returns whether it has.
+// forwardFailure handles a response with a status other than 200. It forwards the response, and returns true, if it is valid, nothing has been
+// written to the client and no retry is allowed.
 func (p *Proxy) forwardFailure(ctx context.Context, relay *eventRelay, req *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
 	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
 	result := outcomeMayHaveExecuted
@@ -212,7 +212,7 @@
 	}
 	p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
 	relay.writeHead(exchanged.response)
-	_, _ = relay.w.Write(body) // a client that has disconnected needs none
+	_, _ = relay.w.Write(body) // fails only if the client has disconnected
 	return true
 }
 
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -23,7 +23,7 @@
 	return out
 }
 
-// breakAfter sends some events and half of the next one, and closes the connection.
+// breakAfter sends some events and a part of the next one, and resets the connection.
 func breakAfter(count int) serverBehavior {
 	return func(conn net.Conn, r receivedRequest, n int) bool {
 		streamHead(conn, r)
@@ -58,20 +58,20 @@
 		resumable.Resumable = true
 		broken, good := startServer("i-1", "s", "", breakAfter(2)), startServer("i-2", "s", "", events(4))
 		_, front := startProxy(resumable, false, broken, good)
-		for range 40 { // one of two is drawn
+		for range 40 { // each time, one of the two servers is chosen at random
 			_, body, err := sendClientRequest(front)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(body).To(Equal(allEvents(4)))
 		}
-		Expect(broken.received()).NotTo(BeEmpty(), "the server that breaks off was never drawn")
+		Expect(broken.received()).NotTo(BeEmpty(), "the server that breaks off was never chosen")
 		Expect(good.received()[0].Header.Get(headerLastEventID)).To(Or(Equal("2"), BeEmpty()))
 	})
 })
 
-// prefix is that of a prompt long enough to be prefilled separately.
+// prefix is the prefix hash of a prompt that is long enough to be prefilled separately.
 const prefix = "aa:500,bb:300,cc:20000"
 
-// answerPrefill answers a prefill with a handle.
+// answerPrefill responds to a prefill with a handle.
 func answerPrefill(conn net.Conn, r receivedRequest, _ int) bool {
 	if r.Method == http.MethodDelete {
 		_, err := fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -178,7 +178,7 @@
 	It("offers its KV cache to one more decode server where the first is full", func() {
 		prefillServer := startServer("i-1", "s", message.Prefill, answerPrefill)
 		one, two := startServer("i-2", "s", message.Decode, rejectFull), startServer("i-3", "s", message.Decode, events(3))
-		for range 40 { // a new proxy each time; one of two is drawn
+		for range 40 { // a new proxy each time, which chooses one of the two decode servers at random
 			_, front := startProxy(route(routeconfig.Streaming), true, prefillServer, one, two)
 			_, body, err := sendClientRequest(front, tokens...)
 			Expect(err).NotTo(HaveOccurred())
@@ -215,7 +215,7 @@
 	})
 })
 
-// spendRemainingBudget spends a proxy's retry budget and returns how many retries there was room for.
+// spendRemainingBudget spends a proxy's retry budget and returns how many retries it allowed.
 func spendRemainingBudget(p *Proxy) (left int) {
 	p.state.withService("s", func(now float64, pool *placement.Pool, _ *placement.Planner) {
 		for pool.Budget.TrySpend(now, pool.ProxyCount()) {
--- a/internal/proxy/streamtiming.go
+++ b/internal/proxy/streamtiming.go
@@ -7,10 +7,10 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// latePrefillFraction is the part of the latency target after which a prefill counts as late.
+// latePrefillFraction is the fraction of the latency target after which a prefill counts as late.
 const latePrefillFraction = 0.5
 
-// streamCounts counts the completed streams of a route, and those of them that missed a latency target, each by its first cause.
+// streamCounts counts the completed streams of a route and, by the first cause, those that missed a latency target.
 type streamCounts struct {
 	Served         int
 	LatePrefill    int // the first event was late, and a separate prefill took more than latePrefillFraction of the target
@@ -18,11 +18,11 @@
 	LateGap        int // a gap between events was too long
 }
 
-// streamTiming holds the moments of a stream that its latency targets are about.
+// streamTiming holds the times of a stream that are compared with its latency targets.
 type streamTiming struct {
 	prefilledAt  time.Time // end of a separate prefill; zero: there was none
 	firstEventAt time.Time // first event written
-	lastEventAt  time.Time // newest event written
+	lastEventAt  time.Time // last event written
 	longestGap   time.Duration
 }
 
--- a/internal/proxy/tenantindex.go
+++ b/internal/proxy/tenantindex.go
@@ -5,13 +5,13 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// tenantIndex finds tenants by the keys of clients. It holds digests, no keys, and is immutable.
+// tenantIndex finds tenants by the keys of clients. It stores digests instead of the keys, and is immutable.
 type tenantIndex struct {
 	secret   apikey.Secret
 	byDigest map[apikey.Digest]*routeconfig.Tenant
 }
 
-// newTenantIndex returns the index of a configuration, nil where that has no tenants.
+// newTenantIndex returns the index of a configuration, or nil if that has no tenants.
 func newTenantIndex(table *routeconfig.Table) *tenantIndex {
 	if len(table.Tenants) == 0 {
 		return nil
@@ -26,8 +26,8 @@
 	return index
 }
 
-// find returns the tenant that a key belongs to, nil for a key that no tenant has. How long it takes tells of a digest at most, which nobody outside
-// can make.
+// find returns the tenant that a key belongs to, or nil if no tenant has it. The lookup need not take constant time: its duration can reveal
+// something about a digest only, and nobody without the secret can compute digests.
 func (index *tenantIndex) find(key apikey.Key) *routeconfig.Tenant {
 	if key.IsZero() {
 		return nil
--- a/internal/proxy/tenantindex_test.go
+++ b/internal/proxy/tenantindex_test.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// largeTenantDocument has 27,000 tenants with two keys each, the size that the fleet is designed for.
+// largeTenantDocument returns a configuration with 27,000 tenants with two keys each, the size that the fleet is designed for.
 func largeTenantDocument() []byte {
 	tenants := make([]string, 27_000)
 	for i := range tenants {
@@ -19,8 +19,8 @@
 	return []byte(tenantDocument(1, strings.Join(tenants, ",")))
 }
 
-// BenchmarkLargeTenants measures what a configuration with many tenants costs: at the control process that takes it, at each proxy that puts it in force,
-// and at each request.
+// BenchmarkLargeTenants measures the cost of a configuration with many tenants: at the control process that parses it, at each proxy that applies it,
+// and for each request.
 func BenchmarkLargeTenants(b *testing.B) {
 	document := largeTenantDocument()
 	table, err := routeconfig.Parse(document)
--- a/internal/proxy/tenantlimiter.go
+++ b/internal/proxy/tenantlimiter.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	// tokenWaitFraction is the part of a route's latency target for which a request waits for tokens of its tenant, within the two bounds.
+	// tokenWaitFraction times the route's latency target is how long a request waits for its tenant's tokens, between minTokenWait and maxTokenWait.
 	tokenWaitFraction = 0.5
 	minTokenWait      = 50 * time.Millisecond
 	maxTokenWait      = 250 * time.Millisecond
 	// tokenCallTimeout bounds one call to a lessor.
 	tokenCallTimeout = 400 * time.Millisecond
-	// minStepDelay bounds how often the leases are looked after by themselves.
+	// minStepDelay is the minimum delay before the timer calls Step.
 	minStepDelay = time.Millisecond
-	// withoutLimitsDuration is how long requests are served without limits after an agent has answered that it knows none: it is of an earlier version, which
-	// served them so.
+	// withoutLimitsDuration is how long requests are served without limits after an agent has responded with 404: it is of an earlier version, which doesn't
+	// support limits.
 	withoutLimitsDuration = 5 * time.Second
-	// returnTimeout bounds the wait for tokens to be handed back at shutdown.
+	// returnTimeout bounds the wait for tokens to be returned at shutdown.
 	returnTimeout = 200 * time.Millisecond
-	// maxDeclaredTokens bounds what a request may declare, so that sums don't overflow. It is beyond any limit.
+	// maxDeclaredTokens bounds each token count that a request declares, so that sums don't overflow. It is greater than any limit.
 	maxDeclaredTokens = 1 << 40
 )
 
-// tenantLimiter pays the requests of tenants with a limit from tokens that are leased for the whole fleet: it hosts a tokenlease.Lessee, whose calls go to the
-// agent. It is safe for concurrent use.
+// tenantLimiter enforces the limits of tenants. Each request of a tenant with a limit spends tokens, which proxies lease from lessors shared by the whole
+// fleet. tenantLimiter drives a tokenlease.Lessee, whose calls go through the agent. It is safe for concurrent use.
 type tenantLimiter struct {
 	settings  *nodeconfig.Settings
 	log       *logrus.Entry
@@ -57,7 +57,7 @@
 
 // newTenantLimiter returns a limiter that holds no tokens.
 func newTenantLimiter(settings *nodeconfig.Settings, log *logrus.Entry) *tenantLimiter {
-	// Danger: lessors tell two runs of a proxy apart by this name.
+	// The random part lets lessors distinguish two runs of the same proxy.
 	name := fmt.Sprintf("%s/%016x", settings.NodeID, rand.Uint64())
 	bounds := settings.Bounds
 	return &tenantLimiter{settings: settings, log: log, client: transport.NewClient(), startedAt: time.Now(), lessee: tokenlease.NewLessee(name),
@@ -65,18 +65,18 @@
 		waiting:   map[tokenlease.Ticket]chan tokenlease.Decision{}}
 }
 
-// now returns the time of the leases, in seconds since the start on the steady clock.
+// now returns the time for leases, in seconds since the start by the monotonic clock.
 func (l *tenantLimiter) now() float64 { return time.Since(l.startedAt).Seconds() }
 
-// setRank sets the rank of this proxy among all, by which lessees are spread over the lessors.
+// setRank sets the rank of this proxy among all proxies, by which lessees are spread over the lessors.
 func (l *tenantLimiter) setRank(rank int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lessee.SetHome(rank)
 }
 
-// tokenRequest is a request's claim on tokens of its tenant's limit. It belongs to the goroutine that serves the request; the nil value is that of a request
-// without a limit.
+// tokenRequest is a request for the tokens that a client's request costs. It belongs to the goroutine that serves the request. A nil value stands for a
+// request without a limit.
 type tokenRequest struct {
 	limiter   *tenantLimiter
 	tenant    string
@@ -84,11 +84,12 @@
 	decided   chan tokenlease.Decision
 	decision  tokenlease.Decision
 	isDecided bool
-	isLikely  bool // it is most likely to be admitted
-	isOver    bool // its payment is settled or refunded, or there is none
+	isLikely  bool // the lessee expects it to be admitted
+	isOver    bool // commit or release has been called
 }
 
-// request asks for the tokens of a request, which wait for them until the time-out at most. It doesn't wait itself. The caller calls release in the end.
+// request asks for the tokens of a client's request, which are waited for until the timeout. It returns at once. The caller has to call release at the
+// end.
 func (l *tenantLimiter) request(tenant *routeconfig.Tenant, cost int64, timeout time.Duration) *tokenRequest {
 	r := &tokenRequest{limiter: l, tenant: tenant.Name, decided: make(chan tokenlease.Decision, 1)}
 	limit := tokenlease.Limit{Rate: tenant.Limit.RatePerSecond, Burst: tenant.Limit.Burst}
@@ -110,7 +111,7 @@
 	return r
 }
 
-// poll returns the decision if it is made.
+// poll returns the decision, if there is one yet.
 func (r *tokenRequest) poll() (decision tokenlease.Decision, isDecided bool) {
 	if r == nil {
 		return tokenlease.Decision{}, true
@@ -125,7 +126,7 @@
 	return r.decision, r.isDecided
 }
 
-// isExpected reports whether the request is not decided yet and most likely to be admitted.
+// isExpected reports whether there is no decision yet and the request is expected to be admitted.
 func (r *tokenRequest) isExpected() bool {
 	if r == nil || !r.isLikely {
 		return false
@@ -134,7 +135,7 @@
 	return !isDecided
 }
 
-// wait returns the decision once it is made, a refusal where the context ends first.
+// wait waits for the decision and returns it, or a refusal if the context ends first.
 func (r *tokenRequest) wait(ctx context.Context) tokenlease.Decision {
 	if decision, isDecided := r.poll(); isDecided {
 		return decision
@@ -149,7 +150,7 @@
 	return r.decision
 }
 
-// commit has the tokens of an admitted request count as spent: it may reach a server that executes it.
+// commit marks the tokens of an admitted request as spent. It is called before the request is sent to a server.
 func (r *tokenRequest) commit() {
 	if r == nil || r.isOver {
 		return
@@ -161,7 +162,7 @@
 	r.limiter.step()
 }
 
-// release gives up the claim of a request that has reached no server: its tokens serve other ones. After commit it does nothing.
+// release cancels the token request, or refunds its tokens, if the client's request was sent to no server. After commit it does nothing.
 func (r *tokenRequest) release() {
 	if r == nil || r.isOver {
 		return
@@ -179,13 +180,13 @@
 	}
 }
 
-// step calls Step and does what it returns. The caller holds mu.
+// step calls Step of the lessee, delivers the decisions and starts the calls that it returns. The caller holds mu.
 func (l *tenantLimiter) step() {
 	out := l.lessee.Step(l.now())
 	for _, decision := range out.Decisions {
 		if decided := l.waiting[decision.Ticket]; decided != nil {
 			delete(l.waiting, decision.Ticket)
-			decided <- decision // it has room
+			decided <- decision // never blocks: the channel is buffered
 		}
 	}
 	for _, call := range out.Calls {
@@ -206,7 +207,7 @@
 	}
 }
 
-// call sends a request to the lessor of its share, by way of the agent.
+// call sends a request to the lessor of its share through the agent.
 func (l *tenantLimiter) call(call tokenlease.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), tokenCallTimeout)
 	defer cancel()
@@ -223,7 +224,7 @@
 		l.serveWithoutLimits()
 		l.lessee.HandleNoReply(l.now(), call)
 	default:
-		l.log.WithField("share", call.Request.Share).WithError(err).Debug("no tokens")
+		l.log.WithField("share", call.Request.Share).WithError(err).Debug("call to token lessor failed")
 		l.lessee.HandleNoReply(l.now(), call)
 	}
 	l.step()
@@ -241,7 +242,7 @@
 	}
 }
 
-// close hands back all tokens that are left, for a proxy that shuts down.
+// close returns all unspent tokens to the lessors when the proxy shuts down.
 func (l *tenantLimiter) close() {
 	l.mu.Lock()
 	l.lessee.ReturnAll(l.now())
@@ -263,8 +264,8 @@
 	return min(max(wait, minTokenWait), maxTokenWait)
 }
 
-// requestCost returns what a request counts against its tenant's limit: 1, or the tokens that it declares. One that declares none, or nothing that can be read,
-// counts as the limit says.
+// requestCost returns what a request costs of its tenant's limit: 1 if the limit counts requests, otherwise the tokens that it declares. If it declares no
+// valid number of tokens, it costs the limit's PlainTokens.
 func requestCost(limit *routeconfig.TenantLimit, header http.Header) int64 {
 	if !limit.CountsTokens {
 		return 1
--- a/internal/proxy/tenantlimiter_test.go
+++ b/internal/proxy/tenantlimiter_test.go
@@ -23,10 +23,10 @@
 	"hazelwheel/internal/transport"
 )
 
-// lessorAge is how long the lessors of a test have run: their buckets are full and no leases of others are to be allowed for.
+// lessorAge is how long the lessors of a test have been running: long enough that their buckets are full and no leases of earlier lessors can be open.
 const lessorAge = 1000.0
 
-// lessorStub stands in for the agent with the lessors of all shares behind it.
+// lessorStub is a fake agent with the lessors of all shares.
 type lessorStub struct {
 	mu      sync.Mutex // guards what follows
 	lessors [tokenlease.Shares]*tokenlease.Lessor
@@ -35,7 +35,7 @@
 	reports []tokenlease.Report // of all requests
 }
 
-// startLessors has a fleet's proxy ask lessors for the tokens of all tenants, which have this limit.
+// startLessors starts a lessorStub with a limit for all tenants, and lets the fleet's proxy use it as agent.
 func (f *tenantFleet) startLessors(limit tokenlease.Limit) *lessorStub {
 	s := &lessorStub{limit: limit}
 	for share := range s.lessors {
@@ -47,7 +47,7 @@
 	return s
 }
 
-// startAgent has a fleet's proxy find an agent with these paths.
+// startAgent starts an HTTP server with these paths, and lets the fleet's proxy use it as agent.
 func (f *tenantFleet) startAgent(router http.Handler) {
 	agent := httptest.NewServer(router)
 	f.t.Cleanup(agent.Close)
@@ -65,7 +65,7 @@
 		return nil, Error.New("no lessor")
 	}
 	s.reports = append(s.reports, request.Reports...)
-	return s.lessors[request.Share].Handle(0, request, func(string) tokenlease.Limit { return s.limit }) // time stands still: nothing comes in
+	return s.lessors[request.Share].Handle(0, request, func(string) tokenlease.Limit { return s.limit }) // at a constant time, so that no tokens are added
 }
 
 // spent returns how many tokens lessees have reported as spent.
@@ -82,7 +82,7 @@
 	return sum
 }
 
-// limited is a tenant with a limit of 40 requests a second, and bolt one without.
+// limitedTenants are the tenant acme with a limit of 40 requests a second, and bolt without a limit.
 const limited = `{"Name":"acme","ApiKeys":["key-of-acme"],"RatePerS":40,"Burst":40},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
 
 var limitOfAcme = tokenlease.Limit{Rate: 40, Burst: 40}
@@ -110,7 +110,7 @@
 	capacity := f.proxy.limiter.allowance.Capacity(limitOfAcme)
 	assert.InDelta(t, capacity, served, tokenlease.Shares, "the capacity, rounded down at each share")
 	assert.Equal(t, 60-served, refused)
-	assert.Len(t, f.received(), served, "nothing that was refused has reached a server")
+	assert.Len(t, f.received(), served, "no refused request has reached a server")
 	assert.Eventually(t, func() bool { return s.spent() == int64(served) }, 5*time.Second, 10*time.Millisecond)
 	for range 60 {
 		status, _ := f.send("unary", keyOfBolt)
@@ -135,12 +135,13 @@
 	}
 }
 
-// A prompt is prefilled while its tokens are waited for. Where they don't come no server decodes it, and the tenant's next prompts are not prefilled beforehand.
+// A prompt is prefilled while it waits for its tokens. If they are not granted, no server decodes it, and the tenant's next prompts are not prefilled
+// beforehand.
 func TestPromptWithoutTokensIsNotDecoded(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
 	s := f.startLessors(limitOfAcme)
 	for share := range s.lessors {
-		s.lessors[share] = tokenlease.NewLessor(1, f.proxy.limiter.allowance, -lessorAge, 0) // whose buckets are empty
+		s.lessors[share] = tokenlease.NewLessor(1, f.proxy.limiter.allowance, -lessorAge, 0) // with empty buckets
 	}
 	for range 3 {
 		status, _ := f.send("prompt", keyOfAcme)
@@ -151,7 +152,7 @@
 		switch stage := header.Get(headerServingStage); {
 		case stage == stagePrefill:
 			prefills++
-		case header.Get(headerRequestID) != "": // the prefill server is also told to drop the KV cache
+		case header.Get(headerRequestID) != "": // a request without an ID releases the KV cache
 			assert.Fail(t, "a prompt was decoded")
 		}
 	}
@@ -160,7 +161,7 @@
 	assert.Zero(t, s.spent())
 }
 
-// tokenReportTime is within which what was spent is reported.
+// tokenReportTime is the time within which spent tokens are reported.
 const tokenReportTime = 200 * time.Millisecond
 
 func TestRequestThatReachesNoServerCostsNothing(t *testing.T) {
@@ -184,13 +185,13 @@
 	answer, err := f.front.Client().Do(f.newRequest("unary", keyOfAcme))
 	require.NoError(t, err)
 	_ = answer.Body.Close()
-	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "nobody knows that the tenant is at its limit")
+	assert.Equal(t, http.StatusServiceUnavailable, answer.StatusCode, "it is not known whether the tenant is at its limit")
 	assert.NotEmpty(t, answer.Header.Get("Retry-After"))
 	status, _ := f.send("unary", keyOfBolt)
 	assert.Equal(t, http.StatusOK, status)
 }
 
-// While versions run beside one another a proxy may have an agent that knows no limits. What that version has served is served.
+// While versions run side by side, a proxy may have an agent that does not support limits. Requests are then served without limits, as that version did.
 func TestAgentOfAnEarlierVersion(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
 	f.startAgent(http.NotFoundHandler())
@@ -215,7 +216,7 @@
 		returned[report.LeaseID] = report.Returned
 	}
 	assert.NotEmpty(t, returned)
-	assert.Positive(t, slices.Max(slices.Collect(maps.Values(returned))), "what was held for requests to come")
+	assert.Positive(t, slices.Max(slices.Collect(maps.Values(returned))), "tokens held for future requests are returned")
 }
 
 func TestCostOfRequests(t *testing.T) {
@@ -231,7 +232,7 @@
 	}
 }
 
-// A client's declaration of more than the limit can bear doesn't take the tenant's tokens from its other requests.
+// A request that declares more tokens than the limit can ever grant is refused, and does not use up the tokens of the tenant's other requests.
 func TestRequestLargerThanTheLimit(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, `{"Name":"acme","ApiKeys":["key-of-acme"],"Unit":"token_stream","RatePerS":40000,"Burst":40000}`), failure{})
 	f.startLessors(tokenlease.Limit{Rate: 40000, Burst: 40000})
--- a/internal/proxy/tenantstats.go
+++ b/internal/proxy/tenantstats.go
@@ -9,17 +9,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// maxLoggedTenants bounds the log lines about tenants at one time. Those with the most tokens are logged.
+// maxLoggedTenants bounds the number of tenants that are logged each time. Those with the most tokens are logged.
 const maxLoggedTenants = 4
 
-// tenantCounts counts what a tenant has asked for and what was executed for it.
+// tenantCounts counts the requests and tokens of a tenant, and the executions of its requests.
 type tenantCounts struct {
 	Requests   int // admitted
-	Tokens     int // of these, as the clients declare them
+	Tokens     int // of these requests, as declared by the clients
 	Executions int // attempts that a server may have executed
 }
 
-// countAdmitted counts a request that is admitted in a tenant's name.
+// countAdmitted counts a request that is admitted for a tenant.
 func (s *requestStats) countAdmitted(req *proxyRequest) {
 	if req.tenant == nil {
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// logTenants logs what the largest tenants have asked for, and how often their requests may have been executed.
+// logTenants logs the requests and tokens of the tenants with the most tokens, and how often their requests may have been executed.
 func (p *Proxy) logTenants(now time.Time) {
 	counts := p.stats.tenants.takeDue(now)
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -23,12 +23,12 @@
 		if endpoint == nil {
 			break
 		}
-		response, body := p.attemptUnary(ctx, req, endpoint) //nolint:bodyclose // body holds all of it
+		response, body := p.attemptUnary(ctx, req, endpoint) //nolint:bodyclose // the body has been read completely
 		if response != nil {
 			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			w.WriteHeader(response.StatusCode)
-			_, _ = w.Write(body) // a client that has disconnected needs none
+			_, _ = w.Write(body) // fails only if the client has disconnected
 			return
 		}
 		if !req.lastOutcome.allowsRetry(req.route) || req.possibleExecutions >= req.route.MaxAttempts || ctx.Err() != nil {
@@ -38,8 +38,8 @@
 	p.respondFailure(ctx, w, req)
 }
 
-// attemptUnary makes one attempt, and returns the response with its complete body. Where it returns nil, req.lastOutcome says why. A server
-// error of an idempotent request is no response as long as another attempt is allowed.
+// attemptUnary makes one attempt, and returns the response with its complete body. If it returns nil, req.lastOutcome says why. A server error for an
+// idempotent request is treated as a failed attempt as long as another attempt is allowed.
 func (p *Proxy) attemptUnary(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
 	req.tokens.commit()
 	exchanged, result := p.roundTrip(ctx, req, endpoint, req.encode(headerField{headerExpectInstance, endpoint.ID}))
--- a/internal/proxy/wire_form_test.go
+++ b/internal/proxy/wire_form_test.go
@@ -20,10 +20,11 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// update writes the golden files anew. Only for a form that is new: proxies and agents of two versions run beside one another.
-var update = flag.Bool("update", false, "write the golden files anew")
+// update rewrites the golden files. It is meant for new message formats only: existing ones must not change, since proxies and agents of two versions
+// run side by side.
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenFrame returns a frame that was written by the version that first sent this form, as hex.
+// goldenFrame returns a frame from a golden file, which was written by the version that introduced the format.
 func goldenFrame(name string, now []byte) []byte {
 	GinkgoHelper()
 	path := filepath.Join("testdata", name+".hex")
@@ -38,7 +39,7 @@
 	return frame
 }
 
-// feedFrame returns the frame of an update as an agent sends it: a length of four bytes and a message.Feed.
+// feedFrame returns an update as an agent sends it: a length of four bytes and an encoded message.Feed.
 func feedFrame() []byte {
 	table, err := message.PackTable(&routeconfig.Table{Version: 7, Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100,
 		Engine: &routeconfig.Engine{Slots: 4, KVTokens: 1e6, KVTokenBytes: 1000, LinkMbps: 1e6, HandleTTLSeconds: 5}}}})
