--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -84,24 +84,24 @@
 		p.log.WithField("server", endpoint.ID).WithError(err).Debug("failed to connect to server")
 		return nil, outcomeNotSent
 	}
-	exchanged, result, err := sendRequest(ctx, conn, req.incoming.Method, req.id, request)
+	exchange, result, err := sendRequest(ctx, conn, req.incoming.Method, req.id, request)
 	if err != nil {
 		p.log.WithField("server", endpoint.ID).WithField("request", req.id).WithError(err).Debug("no response from server")
 		return nil, result
 	}
-	if exchanged.response.StatusCode == http.StatusMisdirectedRequest {
-		p.logMisdirected(req, endpoint, exchanged.response)
+	if exchange.response.StatusCode == http.StatusMisdirectedRequest {
+		p.logMisdirected(req, endpoint, exchange.response)
 	}
 	p.state.withLock(func(now float64) {
-		if running, waiting, ok := parseServerLoad(exchanged.response.Header); ok {
+		if running, waiting, ok := parseServerLoad(exchange.response.Header); ok {
 			endpoint.RecordLoad(now, running, waiting)
 		}
-		if exchanged.response.StatusCode == http.StatusMisdirectedRequest {
+		if exchange.response.StatusCode == http.StatusMisdirectedRequest {
 			endpoint.RecordMisdirected(now)
-			endpoint.RecordIdentity(exchanged.response.Header.Get(headerInstanceID))
+			endpoint.RecordIdentity(exchange.response.Header.Get(headerInstanceID))
 		}
 	})
-	return exchanged, outcomeAnswered
+	return exchange, outcomeAnswered
 }
 
 // connectBackend returns a connection on which a request may be sent to a server.
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -90,9 +90,9 @@
 // startWait begins a wait. The caller holds the mutex.
 func (c *clientConn) startWait(wait clientWait) {
 	limits := c.limits()
-	timeout := limitOr(limits.IdleTimeoutMs, defaultIdleTimeout)
+	timeout := timeoutOr(limits.IdleTimeoutMs, defaultIdleTimeout)
 	if wait == waitsForHead {
-		timeout = limitOr(limits.HeaderTimeoutMs, defaultHeaderTimeout)
+		timeout = timeoutOr(limits.HeaderTimeoutMs, defaultHeaderTimeout)
 	}
 	timeout += clientTimeoutMargin
 	c.wait = wait
@@ -136,10 +136,10 @@
 	return err == nil && hasUnread
 }
 
-// limitOr returns a timeout of the configuration, or other if the configuration does not set it.
-func limitOr(millis float64, other time.Duration) time.Duration {
+// timeoutOr returns a timeout of the configuration, or fallback if the configuration does not set it.
+func timeoutOr(millis float64, fallback time.Duration) time.Duration {
 	if millis <= 0 {
-		return other
+		return fallback
 	}
 	return nodeconfig.FromMillis(millis)
 }
--- a/internal/proxy/credentials.go
+++ b/internal/proxy/credentials.go
@@ -56,7 +56,7 @@
 	if table == req.authorizedBy {
 		return true
 	}
-	tenant, err := table.authorize(table.routeNow(req), req.credentials)
+	tenant, err := table.authorize(table.currentRoute(req), req.credentials)
 	if err != nil {
 		return false
 	}
@@ -66,7 +66,7 @@
 
 // currentRoute returns the route of a request in the current configuration, which decides whether the route is public. The request may have been
 // admitted by an earlier configuration, or by one in an earlier form. A request whose route no longer exists keeps the one that it has.
-func (t *routeTable) routeNow(req *proxyRequest) *routeconfig.Route {
+func (t *routeTable) currentRoute(req *proxyRequest) *routeconfig.Route {
 	if route := t.find(req.incoming.Host, req.incoming.URL.Path); route != nil {
 		return route
 	}
--- a/internal/proxy/credentials_test.go
+++ b/internal/proxy/credentials_test.go
@@ -25,12 +25,12 @@
 // ignored the unknown field, and the proxy forwards each header field of a client that it doesn't know.
 
 const (
-	keyOfAcme    = "Token key-of-acme"
-	keyOfBolt    = "Token key-of-bolt"
-	unknownKey   = "Token never-configured"
-	tenantHeader = "Hazelwheel-Tenant-Id"
-	acmeAndBolt  = `{"Name":"acme","ApiKeys":["key-of-acme"],"Priority":3},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
-	boltAlone    = `{"Name":"acme","ApiKeys":[]},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
+	keyOfAcme      = "Token key-of-acme"
+	keyOfBolt      = "Token key-of-bolt"
+	unknownKey     = "Token never-configured"
+	tenantHeader   = "Hazelwheel-Tenant-Id"
+	acmeAndBolt    = `{"Name":"acme","ApiKeys":["key-of-acme"],"Priority":3},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
+	acmeWithoutKey = `{"Name":"acme","ApiKeys":[]},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
 )
 
 // tenantDocument returns a configuration with these tenants, or without any if tenants is empty. Its routes are /unary/, /prompt/, /feed/ and the public
@@ -73,7 +73,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.asked = append(s.asked, r.Header)
+	s.requestHeaders = append(s.requestHeaders, r.Header)
 	s.mu.Unlock()
 	w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	if s.answerRequest != nil {
@@ -156,7 +156,7 @@
 	if key != "" {
 		request.Header.Set("Authorization", key)
 	}
-	for _, field := range []headerField{{headerRequestID, fmt.Sprint("id-", f.sent.Add(1))}, {headerDeadline, "4000"}, {headerPrefixHash, prefix},
+	for _, field := range []headerField{{headerRequestID, fmt.Sprint("id-", f.sent.Add(1))}, {headerDeadline, "4000"}, {headerPrefixHash, longPromptPrefix},
 		{headerTokenCounts, "20800,20"}, {tenantHeader, "forged"}} {
 		request.Header.Add(field.name, field.value)
 	}
@@ -176,7 +176,7 @@
 // received returns the headers of all requests that reached servers.
 func (f *tenantFleet) received() (all []http.Header) {
 	for _, s := range f.servers {
-		all = append(all, s.seen()...)
+		all = append(all, s.receivedHeaders()...)
 	}
 	return all
 }
@@ -185,13 +185,13 @@
 func (f *tenantFleet) forgetReceived() {
 	for _, s := range f.servers {
 		s.mu.Lock()
-		s.asked = nil
+		s.requestHeaders = nil
 		s.mu.Unlock()
 	}
 }
 
 // requestPaths are the code paths by which a request reaches a server, each with the number of attempts and the failures that lead to it.
-var ways = map[string]struct {
+var requestPaths = map[string]struct {
 	route    string
 	attempts int
 	failures func() failure
@@ -203,12 +203,12 @@
 }
 
 func TestKeysOfClientsReachNoServer(t *testing.T) {
-	for name, way := range ways {
-		f := newTenantFleet(t, tenantDocument(1, acmeAndBolt), way.failures())
-		status, _ := f.send(way.route, keyOfAcme)
+	for name, path := range requestPaths {
+		f := newTenantFleet(t, tenantDocument(1, acmeAndBolt), path.failures())
+		status, _ := f.send(path.route, keyOfAcme)
 		assert.Equal(t, http.StatusOK, status, name)
 		received := f.received()
-		assert.Len(t, received, way.attempts, name)
+		assert.Len(t, received, path.attempts, name)
 		for _, header := range received {
 			assert.NotContains(t, fmt.Sprint(header), "key-of-acme", "%s: a server received the key", name)
 			assert.Equal(t, []string{"acme"}, header[tenantHeader], "%s: the tenant is that of the key, whatever tenant ID the client has sent", name)
@@ -219,9 +219,9 @@
 
 func TestUnknownKeysAreRejected(t *testing.T) {
 	f := newTenantFleet(t, tenantDocument(1, acmeAndBolt), failure{})
-	for _, way := range ways {
+	for _, path := range requestPaths {
 		for _, key := range []string{unknownKey, "", "key-of-acme", "Basic key-of-acme", "Token", "Token key-of-acme key-of-bolt"} {
-			status, body := f.send(way.route, key)
+			status, body := f.send(path.route, key)
 			assert.Equal(t, http.StatusUnauthorized, status, key)
 			assert.NotContains(t, body, "key-of-acme", "an error holds the key")
 		}
@@ -234,12 +234,12 @@
 	}
 }
 
-func TestKeysAreTakenAwayAndAddedOnOpenConnections(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, boltAlone), failure{})
+func TestKeysAreRevokedAndAddedOnOpenConnections(t *testing.T) {
+	f := newTenantFleet(t, tenantDocument(1, acmeWithoutKey), failure{})
 	for i, step := range []struct {
 		tenants string
 		want    int // for the key of acme
-	}{{boltAlone, http.StatusUnauthorized}, {acmeAndBolt, http.StatusOK}, {boltAlone, http.StatusUnauthorized}} {
+	}{{acmeWithoutKey, http.StatusUnauthorized}, {acmeAndBolt, http.StatusOK}, {acmeWithoutKey, http.StatusUnauthorized}} {
 		f.apply(tenantDocument(2+i, step.tenants))
 		status, _ := f.send("unary", keyOfAcme)
 		assert.Equal(t, step.want, status, "version %d", 2+i)
@@ -304,10 +304,10 @@
 }
 
 // The server rejects the first attempt, and the key is revoked before the second one.
-func TestWaitingRequestIsNotExecutedWithAKeyTakenAway(t *testing.T) {
+func TestWaitingRequestIsNotExecutedWithARevokedKey(t *testing.T) {
 	var f *tenantFleet
 	refuses := failure{func(*http.Request) bool { return true }, func(w http.ResponseWriter, _ http.Header) {
-		f.apply(tenantDocument(2, boltAlone))
+		f.apply(tenantDocument(2, acmeWithoutKey))
 		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}}
@@ -345,7 +345,7 @@
 }
 
 // The server rejects the first attempt, and the key is moved to another tenant before the second one.
-func TestKeyThatIsPassedOnActsForItsNewTenant(t *testing.T) {
+func TestKeyMovedToAnotherTenantActsForThatTenant(t *testing.T) {
 	var f *tenantFleet
 	var refused atomic.Bool
 	refusesFirst := failure{func(*http.Request) bool { return !refused.Swap(true) }, func(w http.ResponseWriter, _ http.Header) {
@@ -388,7 +388,7 @@
 			require.NoError(t, err)
 			streams[key] = answer
 		}
-		f.apply(tenantDocument(2, boltAlone))
+		f.apply(tenantDocument(2, acmeWithoutKey))
 		f.proxy.endRevoked()
 		if ends {
 			_, err := io.ReadAll(streams[keyOfAcme].Body)
--- a/internal/proxy/deadline_test.go
+++ b/internal/proxy/deadline_test.go
@@ -16,15 +16,15 @@
 )
 
 var _ = Describe("the deadline of a request", func() {
-	DescribeTable("is forwarded to the server as the remaining time", func(deadline string, mostMs float64) {
+	DescribeTable("is forwarded to the server as the remaining time", func(deadline string, maxMs float64) {
 		s := startServer("i-1", "s", "", echo)
 		_, front := startProxy(route(routeconfig.NonIdempotent), false, s)
 		_, _, err := sendClientRequest(front, headerDeadline, deadline)
 		Expect(err).NotTo(HaveOccurred())
-		told, err := strconv.ParseFloat(s.received()[0].Header.Get(headerDeadline), 64)
+		forwarded, err := strconv.ParseFloat(s.received()[0].Header.Get(headerDeadline), 64)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(told).To(BeNumerically("<=", mostMs))
-		Expect(told).To(BeNumerically(">", 0))
+		Expect(forwarded).To(BeNumerically("<=", maxMs))
+		Expect(forwarded).To(BeNumerically(">", 0))
 	},
 		Entry("the client's", "3000", 3000.0),
 		Entry("the route's, where the client's is later", "60000", 5000.0),
@@ -39,24 +39,24 @@
 			return false
 		})
 		_, front := startProxy(limited, false, s)
-		began := time.Now()
+		startedAt := time.Now()
 		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(answer.StatusCode).To(Equal(http.StatusGatewayTimeout))
-		Expect(time.Since(began)).To(BeNumerically(">=", 300*time.Millisecond))
+		Expect(time.Since(startedAt)).To(BeNumerically(">=", 300*time.Millisecond))
 		Expect(s.received()).To(HaveLen(1))
 	})
 
 	It("ends when the client disconnects: the server's connection is closed, and there is no retry", func() {
-		hungUp := make(chan struct{}, 2)
+		disconnected := make(chan struct{}, 2)
 		silent := func(conn net.Conn, _ receivedRequest, _ int) bool {
 			_, _ = io.Copy(io.Discard, conn)
-			hungUp <- struct{}{}
+			disconnected <- struct{}{}
 			return false
 		}
 		one, two := startServer("i-1", "s", "", silent), startServer("i-2", "s", "", silent)
 		_, front := startProxy(route(routeconfig.Idempotent), false, one, two)
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 		Expect(err).NotTo(HaveOccurred())
 		request.Host = "h.example"
@@ -70,9 +70,9 @@
 			ended <- err
 		}()
 		Eventually(func() int { return len(one.received()) + len(two.received()) }).WithTimeout(10 * time.Second).Should(Equal(1))
-		leave()
+		cancel()
 		Eventually(ended).WithTimeout(10 * time.Second).Should(Receive(HaveOccurred()))
-		Eventually(hungUp).WithTimeout(10 * time.Second).Should(Receive())
+		Eventually(disconnected).WithTimeout(10 * time.Second).Should(Receive())
 		Expect(len(one.received()) + len(two.received())).To(Equal(1))
 	})
 })
--- a/internal/proxy/handler.go
+++ b/internal/proxy/handler.go
@@ -103,7 +103,7 @@
 		return nil
 	}
 	_ = control.SetReadDeadline(time.Time{})
-	return &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: drawService(route), arrivedAt: arrivedAt,
+	return &proxyRequest{incoming: r, body: body, id: r.Header.Get(headerRequestID), route: route, service: pickService(route), arrivedAt: arrivedAt,
 		deadline: deadline, credentials: sent, tenant: tenant, authorizedBy: table}
 }
 
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -86,25 +86,25 @@
 	if err != nil {
 		return nil, 0
 	}
-	exchanged, err := requestHealthOn(ctx, conn, check)
+	exchange, err := requestHealthOn(ctx, conn, check)
 	if err != nil {
 		return nil, 0
 	}
-	exchanged.finish(p.conns, check.address)
-	return exchanged.response.Header, exchanged.response.StatusCode
+	exchange.finish(p.conns, check.address)
+	return exchange.response.Header, exchange.response.StatusCode
 }
 
 // requestHealthOn requests a server's health on a connection and reads the complete response. If that fails, the connection is closed.
 func requestHealthOn(ctx context.Context, conn *backendConn, check healthCheck) (*backendExchange, error) {
 	request := "GET " + check.healthPath + " HTTP/1.1\r\nHost: " + check.host + "\r\n\r\n"
-	exchanged, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
+	exchange, _, err := sendRequest(ctx, conn, http.MethodGet, "", []byte(request))
 	if err != nil {
 		return nil, err
 	}
-	if err := exchanged.discardBody(); err != nil {
+	if err := exchange.discardBody(); err != nil {
 		return nil, err
 	}
-	return exchanged, nil
+	return exchange, nil
 }
 
 // verifyNewConn checks a server's health on a new connection before a request that must not be executed twice is sent on it, if the service allows
@@ -124,11 +124,11 @@
 	if !hasFewConns || check.healthPath == "" {
 		return true
 	}
-	exchanged, err := requestHealthOn(ctx, conn, check)
+	exchange, err := requestHealthOn(ctx, conn, check)
 	if err != nil {
 		return false
 	}
-	if !exchanged.detachContext() || exchanged.response.Close {
+	if !exchange.detachContext() || exchange.response.Close {
 		conn.discard()
 		return false
 	}
--- a/internal/proxy/kvcache.go
+++ b/internal/proxy/kvcache.go
@@ -25,14 +25,14 @@
 			return
 		}
 		request := "DELETE /kv-handle/" + id + " HTTP/1.1\r\nHost: " + address + "\r\nContent-Length: 0\r\n\r\n"
-		exchanged, _, err := sendRequest(ctx, conn, http.MethodDelete, "", []byte(request))
+		exchange, _, err := sendRequest(ctx, conn, http.MethodDelete, "", []byte(request))
 		if err != nil {
 			return
 		}
-		if err := exchanged.discardBody(); err != nil {
+		if err := exchange.discardBody(); err != nil {
 			return
 		}
-		exchanged.finish(p.conns, address)
+		exchange.finish(p.conns, address)
 	}()
 }
 
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -22,15 +22,15 @@
 type fakeModelServer struct {
 	instance message.Instance
 
-	mu    sync.Mutex
-	asked []http.Header
+	mu             sync.Mutex
+	requestHeaders []http.Header
 }
 
-// seen returns the headers of all requests that were received.
-func (s *fakeModelServer) seen() []http.Header {
+// receivedHeaders returns the headers of all requests that were received.
+func (s *fakeModelServer) receivedHeaders() []http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked)
+	return slices.Clone(s.requestHeaders)
 }
 
 func newFakeModelServer(t *testing.T, id string, stage message.Stage) *fakeModelServer {
@@ -43,7 +43,7 @@
 
 const weightsVersion = "1"
 
-func (s *fakeModelServer) misdirected(header http.Header) bool {
+func (s *fakeModelServer) isMisdirected(header http.Header) bool {
 	stage := message.Decode
 	if header.Get(headerServingStage) == stagePrefill {
 		stage = message.Prefill
@@ -54,11 +54,11 @@
 
 func (s *fakeModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.asked = append(s.asked, r.Header)
+	s.requestHeaders = append(s.requestHeaders, r.Header)
 	s.mu.Unlock()
 	w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	switch {
-	case s.misdirected(r.Header):
+	case s.isMisdirected(r.Header):
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case r.Method == http.MethodDelete:
 	case s.instance.Stage == message.Prefill:
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	request.Host = "h.example"
-	fields = append(fields, headerField{headerRequestID, id}, headerField{headerDeadline, "4000"}, headerField{headerPrefixHash, prefix}, headerField{headerTokenCounts, "20800,20"})
+	fields = append(fields, headerField{headerRequestID, id}, headerField{headerDeadline, "4000"}, headerField{headerPrefixHash, longPromptPrefix}, headerField{headerTokenCounts, "20800,20"})
 	for _, f := range fields {
 		request.Header.Set(f.name, f.value)
 	}
@@ -134,7 +134,7 @@
 			t.Errorf("the client after one that has sent %s gets %d", f.name, status)
 		}
 	}
-	for _, header := range append(prefillServer.seen(), decodeServer.seen()...) {
+	for _, header := range append(prefillServer.receivedHeaders(), decodeServer.receivedHeaders()...) {
 		for _, f := range sent {
 			if header.Get(f.name) == f.value && (f.name != headerServingStage || header.Get(headerExpectInstance) != "i-1") {
 				t.Errorf("%s: %s reached a server", f.name, f.value)
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -80,21 +80,21 @@
 func (p *Proxy) sendPrefill(ctx context.Context, req *proxyRequest, server *placement.Endpoint) (string, outcome) {
 	request := req.encode(headerField{headerExpectInstance, server.ID},
 		headerField{headerServingStage, stagePrefill}, headerField{headerPriority, priorityValue(req)})
-	exchanged, result := p.roundTrip(ctx, req, server, request)
+	exchange, result := p.roundTrip(ctx, req, server, request)
 	if result != outcomeAnswered {
 		return "", result
 	}
-	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxPrefillResponseBytes))
-	if err != nil || !hasDelimitedBody(exchanged.response) {
-		exchanged.abort()
+	body, err := io.ReadAll(io.LimitReader(exchange.response.Body, maxPrefillResponseBytes))
+	if err != nil || !hasDelimitedBody(exchange.response) {
+		exchange.abort()
 		return "", outcomeMayHaveExecuted
 	}
-	exchanged.finish(p.conns, server.Address)
+	exchange.finish(p.conns, server.Address)
 	var response prefillResponse
 	switch {
-	case isNotExecuted(exchanged.response):
+	case isNotExecuted(exchange.response):
 		return "", outcomeNotExecuted
-	case exchanged.response.StatusCode != http.StatusOK || json.Unmarshal(body, &response) != nil || response.KvHandle == "":
+	case exchange.response.StatusCode != http.StatusOK || json.Unmarshal(body, &response) != nil || response.KvHandle == "":
 		return "", outcomeMayHaveExecuted
 	}
 	return server.Address + "/" + response.KvHandle, outcomeAnswered
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -36,14 +36,14 @@
 
 // Proxy is a proxy process, and the handler of its clients' requests. It is safe for concurrent use.
 type Proxy struct {
-	settings  *nodeconfig.Settings
-	log       *logrus.Entry
-	state     *routingState
-	conns     *connPool
-	stats     *requestStats
-	limiter   *tenantLimiter
-	admitted  *admittedRequests // nil unless requests in progress end when their keys are revoked
-	isLeaving atomic.Bool       // the proxy is shutting down and reports that it is not ready
+	settings       *nodeconfig.Settings
+	log            *logrus.Entry
+	state          *routingState
+	conns          *connPool
+	stats          *requestStats
+	limiter        *tenantLimiter
+	admitted       *admittedRequests // nil unless requests in progress end when their keys are revoked
+	isShuttingDown atomic.Bool       // the proxy is shutting down and reports that it is not ready
 }
 
 // newProxy returns a proxy that has neither configuration nor endpoint list yet.
@@ -99,7 +99,7 @@
 // shutdown shuts the proxy down gracefully: it reports that it is not ready, stops accepting connections after a delay, and then waits for the
 // requests in flight.
 func (p *Proxy) shutdown(server *http.Server) error {
-	p.isLeaving.Store(true)
+	p.isShuttingDown.Store(true)
 	grace := p.settings.GracePeriod()
 	delay := min(drainDelay, grace/drainDivisor)
 	time.Sleep(delay)
@@ -116,7 +116,7 @@
 func (p *Proxy) readyRouter() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/ready", func(w http.ResponseWriter, _ *http.Request) {
-		if p.isLeaving.Load() || !p.state.isReady() {
+		if p.isShuttingDown.Load() || !p.state.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/proxy/proxy_suite_test.go
+++ b/internal/proxy/proxy_suite_test.go
@@ -67,9 +67,9 @@
 	defer func() { _ = conn.Close() }()
 	s.mu.Lock()
 	s.conns++
-	crowded := s.resetsNewConns
+	resets := s.resetsNewConns
 	s.mu.Unlock()
-	if crowded {
+	if resets {
 		_, _ = conn.Read(make([]byte, 1)) // the first byte
 		resetConn(conn, receivedRequest{}, 0)
 		return
@@ -99,10 +99,10 @@
 	}
 }
 
-func (s *testServer) setResetsNewConns(crowded bool) {
+func (s *testServer) setResetsNewConns(resets bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.resetsNewConns = crowded
+	s.resetsNewConns = resets
 }
 
 func (s *testServer) received() []receivedRequest {
--- a/internal/proxy/requeststats_test.go
+++ b/internal/proxy/requeststats_test.go
@@ -12,15 +12,15 @@
 
 var _ = Describe("the statistics of requests that are not served", func() {
 	It("are counted by service and reported at intervals", func() {
-		o := newRequestStats()
-		began := o.unserved.takenAt
+		stats := newRequestStats()
+		startedAt := stats.unserved.takenAt
 		refused := func(counts *unservedCounts) { counts.Rejected++ }
-		o.unserved.update("s", refused)
-		o.unserved.update("s", refused)
-		o.unserved.update("t", func(counts *unservedCounts) { counts.BackendFailed++ })
-		Expect(o.unserved.takeDue(began.Add(countsLogInterval - time.Millisecond))).To(BeNil())
-		Expect(o.unserved.takeDue(began.Add(countsLogInterval))).To(Equal(map[string]*unservedCounts{"s": {Rejected: 2}, "t": {BackendFailed: 1}}))
-		Expect(o.unserved.takeDue(began.Add(3 * countsLogInterval))).To(BeNil())
+		stats.unserved.update("s", refused)
+		stats.unserved.update("s", refused)
+		stats.unserved.update("t", func(counts *unservedCounts) { counts.BackendFailed++ })
+		Expect(stats.unserved.takeDue(startedAt.Add(countsLogInterval - time.Millisecond))).To(BeNil())
+		Expect(stats.unserved.takeDue(startedAt.Add(countsLogInterval))).To(Equal(map[string]*unservedCounts{"s": {Rejected: 2}, "t": {BackendFailed: 1}}))
+		Expect(stats.unserved.takeDue(startedAt.Add(3 * countsLogInterval))).To(BeNil())
 	})
 
 	It("name the reserved fields that a client has sent", func() {
@@ -33,15 +33,15 @@
 })
 
 var _ = DescribeTable("a stream is counted by the cause of its delay", func(read, first, pause time.Duration, want streamCounts) {
-	arrived := time.Now()
-	times := &streamTiming{}
+	arrivedAt := time.Now()
+	timing := &streamTiming{}
 	if read > 0 {
-		times.prefilledAt = arrived.Add(read)
+		timing.prefilledAt = arrivedAt.Add(read)
 	}
-	times.recordEvent(arrived.Add(first))
-	times.recordEvent(arrived.Add(first + pause))
+	timing.recordEvent(arrivedAt.Add(first))
+	timing.recordEvent(arrivedAt.Add(first + pause))
 	counts := &streamCounts{}
-	counts.add(&routeconfig.Route{LatencyTargetMs: 400, TokenGapTargetMs: 200}, arrived, times)
+	counts.add(&routeconfig.Route{LatencyTargetMs: 400, TokenGapTargetMs: 200}, arrivedAt, timing)
 	want.Served = 1
 	Expect(*counts).To(Equal(want))
 }, Entry("in time", 100*time.Millisecond, 300*time.Millisecond, 50*time.Millisecond, streamCounts{}),
@@ -52,14 +52,14 @@
 
 var _ = Describe("the statistics of streams", func() {
 	It("are reported at intervals, by route", func() {
-		o := newRequestStats()
-		j := &proxyRequest{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrivedAt: time.Now()}
-		j.timing.recordEvent(j.arrivedAt)
-		o.countStream(j)
-		o.countStream(j)
-		Expect(o.streams.takeDue(o.streams.takenAt.Add(countsLogInterval - time.Millisecond))).To(BeNil())
-		Expect(o.streams.takeDue(o.streams.takenAt.Add(countsLogInterval))).To(Equal(map[string]*streamCounts{"r": {Served: 2}}))
-		Expect(o.streams.takeDue(o.streams.takenAt.Add(3 * countsLogInterval))).To(BeNil())
+		stats := newRequestStats()
+		req := &proxyRequest{route: &routeconfig.Route{Name: "r", LatencyTargetMs: 400}, arrivedAt: time.Now()}
+		req.timing.recordEvent(req.arrivedAt)
+		stats.countStream(req)
+		stats.countStream(req)
+		Expect(stats.streams.takeDue(stats.streams.takenAt.Add(countsLogInterval - time.Millisecond))).To(BeNil())
+		Expect(stats.streams.takeDue(stats.streams.takenAt.Add(countsLogInterval))).To(Equal(map[string]*streamCounts{"r": {Served: 2}}))
+		Expect(stats.streams.takeDue(stats.streams.takenAt.Add(3 * countsLogInterval))).To(BeNil())
 	})
 })
 
--- a/internal/proxy/revocation.go
+++ b/internal/proxy/revocation.go
@@ -45,7 +45,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for req, cancel := range a.requests {
-		if _, err := table.authorize(table.routeNow(req), req.credentials); err != nil {
+		if _, err := table.authorize(table.currentRoute(req), req.credentials); err != nil {
 			cancel()
 			ended++
 		}
--- a/internal/proxy/routetable.go
+++ b/internal/proxy/routetable.go
@@ -16,7 +16,7 @@
 	limits     routeconfig.Limits
 	tenants    *tenantIndex // nil if the configuration has no tenants
 	priorities *priorityRanks
-	byPlace    *iradix.Tree[*routeconfig.Route] // by routeKey
+	byRouteKey *iradix.Tree[*routeconfig.Route] // by routeKey
 	services   map[string]*routeconfig.Service  // by name
 }
 
@@ -29,7 +29,7 @@
 		route := &table.Routes[i]
 		txn.Insert([]byte(routeKey(route.Host, route.PathPrefix)), route)
 	}
-	routes.byPlace = txn.Commit()
+	routes.byRouteKey = txn.Commit()
 	for i := range table.Services {
 		routes.services[table.Services[i].Name] = &table.Services[i]
 	}
@@ -44,15 +44,15 @@
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
 	}
-	_, route, found := t.byPlace.Root().LongestPrefix([]byte(routeKey(host, path)))
+	_, route, found := t.byRouteKey.Root().LongestPrefix([]byte(routeKey(host, path)))
 	if !found {
 		return nil
 	}
 	return route
 }
 
-// drawService chooses the service of a request at random, by the weights of the route.
-func drawService(route *routeconfig.Route) string {
+// pickService chooses the service of a request at random, by the weights of the route.
+func pickService(route *routeconfig.Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Service
 	}
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -143,7 +143,7 @@
 		p.state.withLock(func(float64) { attempt.endpoint.StartDecode(attempt.prompt) })
 		defer p.state.withLock(func(float64) { attempt.endpoint.FinishDecode(attempt.prompt) })
 	}
-	exchanged, result := p.roundTrip(ctx, req, attempt.endpoint, req.encode(fields...))
+	exchange, result := p.roundTrip(ctx, req, attempt.endpoint, req.encode(fields...))
 	if result != outcomeAnswered {
 		p.finishPrefill(req, &attempt, false)
 		if result != outcomeNotSent {
@@ -152,13 +152,13 @@
 		p.recordOutcome(ctx, req, attempt.endpoint, result)
 		return false
 	}
-	if exchanged.response.StatusCode != http.StatusOK {
+	if exchange.response.StatusCode != http.StatusOK {
 		p.finishPrefill(req, &attempt, false)
-		req.cache.handleRejection(exchanged.response)
-		return p.forwardFailure(ctx, relay, req, attempt.endpoint, exchanged)
+		req.cache.handleRejection(exchange.response)
+		return p.forwardFailure(ctx, relay, req, attempt.endpoint, exchange)
 	}
 	req.cache.handle = ""
-	result = p.forwardEvents(relay, req, &attempt, exchanged)
+	result = p.forwardEvents(relay, req, &attempt, exchange)
 	if result == outcomeAnswered {
 		p.stats.countStream(req)
 	}
@@ -193,14 +193,14 @@
 
 // forwardFailure handles a response with a status other than 200. It forwards the response, and returns true, if it is valid, nothing has been
 // written to the client and no retry is allowed.
-func (p *Proxy) forwardFailure(ctx context.Context, relay *eventRelay, req *proxyRequest, endpoint *placement.Endpoint, exchanged *backendExchange) bool {
-	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
+func (p *Proxy) forwardFailure(ctx context.Context, relay *eventRelay, req *proxyRequest, endpoint *placement.Endpoint, exchange *backendExchange) bool {
+	body, err := io.ReadAll(io.LimitReader(exchange.response.Body, maxResponseBytes))
 	result := outcomeMayHaveExecuted
-	if err == nil && hasDelimitedBody(exchanged.response) {
-		exchanged.finish(p.conns, endpoint.Address)
-		result = classifyResponse(exchanged.response)
+	if err == nil && hasDelimitedBody(exchange.response) {
+		exchange.finish(p.conns, endpoint.Address)
+		result = classifyResponse(exchange.response)
 	} else {
-		exchanged.abort()
+		exchange.abort()
 	}
 	retries := req.route.Resumable && req.possibleExecutions+1 < req.route.MaxAttempts
 	if result != outcomeAnswered || relay.headWritten || retries {
@@ -211,36 +211,36 @@
 		return false
 	}
 	p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
-	relay.writeHead(exchanged.response)
+	relay.writeHead(exchange.response)
 	_, _ = relay.w.Write(body) // fails only if the client has disconnected
 	return true
 }
 
 // forwardEvents forwards events until the stream ends, and returns the outcome. Only complete events are written.
-func (p *Proxy) forwardEvents(relay *eventRelay, req *proxyRequest, attempt *streamAttempt, exchanged *backendExchange) outcome {
-	if !hasDelimitedBody(exchanged.response) || exchanged.response.Header.Get(headerStamp) == "" || exchanged.response.Header.Get("Content-Encoding") != "" {
-		exchanged.abort()
+func (p *Proxy) forwardEvents(relay *eventRelay, req *proxyRequest, attempt *streamAttempt, exchange *backendExchange) outcome {
+	if !hasDelimitedBody(exchange.response) || exchange.response.Header.Get(headerStamp) == "" || exchange.response.Header.Get("Content-Encoding") != "" {
+		exchange.abort()
 		p.finishPrefill(req, attempt, false)
 		return outcomeMayHaveExecuted
 	}
-	in := bufio.NewReaderSize(exchanged.response.Body, eventBufferSize)
+	in := bufio.NewReaderSize(exchange.response.Body, eventBufferSize)
 	for {
 		event, err := readEvent(in)
 		p.finishPrefill(req, attempt, err == nil)
 		if err != nil && !errors.Is(err, io.EOF) {
-			exchanged.abort()
+			exchange.abort()
 			return outcomeMayHaveExecuted
 		}
 		if len(event) > 0 {
-			if writeErr := relay.writeEvent(exchanged.response, event); writeErr != nil {
-				exchanged.abort()
+			if writeErr := relay.writeEvent(exchange.response, event); writeErr != nil {
+				exchange.abort()
 				return outcomeCanceled
 			}
 			req.timing.recordEvent(time.Now())
 		}
 		if err != nil {
-			relay.writeHead(exchanged.response)
-			exchanged.finish(p.conns, attempt.endpoint.Address)
+			relay.writeHead(exchange.response)
+			exchange.finish(p.conns, attempt.endpoint.Address)
 			return outcomeAnswered
 		}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -68,8 +68,8 @@
 	})
 })
 
-// prefix is the prefix hash of a prompt that is long enough to be prefilled separately.
-const prefix = "aa:500,bb:300,cc:20000"
+// longPromptPrefix is the prefix hash of a prompt that is long enough to be prefilled separately.
+const longPromptPrefix = "aa:500,bb:300,cc:20000"
 
 // answerPrefill responds to a prefill with a handle.
 func answerPrefill(conn net.Conn, r receivedRequest, _ int) bool {
@@ -83,7 +83,7 @@
 }
 
 var _ = Describe("a prompt", func() {
-	tokens := []string{headerPrefixHash, prefix, headerTokenCounts, "20800,20"}
+	tokens := []string{headerPrefixHash, longPromptPrefix, headerTokenCounts, "20800,20"}
 
 	It("is prefilled at one server and decoded at another", func() {
 		prefillServer := startServer("i-1", "s", message.Prefill, answerPrefill)
@@ -123,7 +123,7 @@
 	})
 
 	DescribeTable("whose prefill is lost is prefilled at another server as far as the route's attempts allow", func(attempts int, separately bool) {
-		met := 0
+		failingFirst := 0
 		for _, ids := range [][]string{{"i-1", "i-3"}, {"i-3", "i-1"}} { // the prompt has affinity to one of them
 			failing := startServer(ids[0], "s", message.Prefill, resetConn)
 			prefillServer := startServer(ids[1], "s", message.Prefill, answerPrefill)
@@ -137,25 +137,25 @@
 			if len(failing.received()) == 0 {
 				continue // the prompt has affinity to the other one
 			}
-			met++
+			failingFirst++
 			Expect(decodeServer.received()[0].Header.Get(headerKVFrom) != "").To(Equal(separately))
 			Expect(len(prefillServer.received()) > 0).To(Equal(separately))
 		}
-		Expect(met).To(Equal(1), "the prompt has affinity to one of them")
+		Expect(failingFirst).To(Equal(1), "the prompt has affinity to one of them")
 	}, Entry("one attempt: by the decode server", 1, false), Entry("two attempts", 2, true))
 
 	It("charges the retry budget for each further prefill server, and not after the last one", func() {
 		rejecting := []*testServer{startServer("i-1", "s", message.Prefill, rejectFull), startServer("i-2", "s", message.Prefill, rejectFull), startServer("i-3", "s", message.Prefill, rejectFull)}
 		decodeServer := startServer("i-4", "s", message.Decode, events(3))
-		asked, front := startProxy(route(routeconfig.Streaming), true, append(rejecting, decodeServer)...)
-		untouched, _ := startProxy(route(routeconfig.Streaming), true, decodeServer)
+		charged, front := startProxy(route(routeconfig.Streaming), true, append(rejecting, decodeServer)...)
+		unused, _ := startProxy(route(routeconfig.Streaming), true, decodeServer)
 		_, body, err := sendClientRequest(front, tokens...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(allEvents(3)))
 		for _, prefillServer := range rejecting {
 			Expect(prefillServer.received()).To(HaveLen(1))
 		}
-		Expect(spendRemainingBudget(asked)).To(Equal(spendRemainingBudget(untouched) - 2))
+		Expect(spendRemainingBudget(charged)).To(Equal(spendRemainingBudget(unused) - 2))
 	})
 
 	It("is prefilled at another server where the first rejects it, as far as the budget allows", func() {
--- a/internal/proxy/tenantlimiter.go
+++ b/internal/proxy/tenantlimiter.go
@@ -78,14 +78,14 @@
 // tokenRequest is a request for the tokens that a client's request costs. It belongs to the goroutine that serves the request. A nil value stands for a
 // request without a limit.
 type tokenRequest struct {
-	limiter   *tenantLimiter
-	tenant    string
-	ticket    tokenlease.Ticket
-	decided   chan tokenlease.Decision
-	decision  tokenlease.Decision
-	isDecided bool
-	isLikely  bool // the lessee expects it to be admitted
-	isOver    bool // commit or release has been called
+	limiter    *tenantLimiter
+	tenant     string
+	ticket     tokenlease.Ticket
+	decided    chan tokenlease.Decision
+	decision   tokenlease.Decision
+	isDecided  bool
+	isLikely   bool // the lessee expects it to be admitted
+	isFinished bool // commit or release has been called
 }
 
 // request asks for the tokens of a client's request, which are waited for until the timeout. It returns at once. The caller has to call release at the
@@ -152,10 +152,10 @@
 
 // commit marks the tokens of an admitted request as spent. It is called before the request is sent to a server.
 func (r *tokenRequest) commit() {
-	if r == nil || r.isOver {
+	if r == nil || r.isFinished {
 		return
 	}
-	r.isOver = true
+	r.isFinished = true
 	r.limiter.mu.Lock()
 	defer r.limiter.mu.Unlock()
 	r.limiter.lessee.Commit(r.limiter.now(), r.decision.Payment)
@@ -164,10 +164,10 @@
 
 // release cancels the token request, or refunds its tokens, if the client's request was sent to no server. After commit it does nothing.
 func (r *tokenRequest) release() {
-	if r == nil || r.isOver {
+	if r == nil || r.isFinished {
 		return
 	}
-	r.isOver = true
+	r.isFinished = true
 	r.limiter.mu.Lock()
 	defer r.limiter.mu.Unlock()
 	delete(r.limiter.waiting, r.ticket)
--- a/internal/proxy/tenantlimiter_test.go
+++ b/internal/proxy/tenantlimiter_test.go
@@ -83,12 +83,12 @@
 }
 
 // limitedTenants are the tenant acme with a limit of 40 requests a second, and bolt without a limit.
-const limited = `{"Name":"acme","ApiKeys":["key-of-acme"],"RatePerS":40,"Burst":40},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
+const limitedTenants = `{"Name":"acme","ApiKeys":["key-of-acme"],"RatePerS":40,"Burst":40},{"Name":"bolt","ApiKeys":["key-of-bolt"]}`
 
 var limitOfAcme = tokenlease.Limit{Rate: 40, Burst: 40}
 
 func TestRequestsBeyondTheLimitAreRefused(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
+	f := newTenantFleet(t, tenantDocument(1, limitedTenants), failure{})
 	s := f.startLessors(limitOfAcme)
 	served, refused := 0, 0
 	for range 60 {
@@ -122,11 +122,11 @@
 
 // A request counts once, however many attempts it takes and however many servers work on it.
 func TestRequestCountsOnce(t *testing.T) {
-	for name, way := range ways {
+	for name, path := range requestPaths {
 		t.Run(name, func(t *testing.T) {
-			f := newTenantFleet(t, tenantDocument(1, limited), way.failures())
+			f := newTenantFleet(t, tenantDocument(1, limitedTenants), path.failures())
 			s := f.startLessors(limitOfAcme)
-			status, _ := f.send(way.route, keyOfAcme)
+			status, _ := f.send(path.route, keyOfAcme)
 			require.Equal(t, http.StatusOK, status)
 			assert.Eventually(t, func() bool { return s.spent() == 1 }, 5*time.Second, 10*time.Millisecond)
 			time.Sleep(2 * tokenReportTime)
@@ -138,7 +138,7 @@
 // A prompt is prefilled while it waits for its tokens. If they are not granted, no server decodes it, and the tenant's next prompts are not prefilled
 // beforehand.
 func TestPromptWithoutTokensIsNotDecoded(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
+	f := newTenantFleet(t, tenantDocument(1, limitedTenants), failure{})
 	s := f.startLessors(limitOfAcme)
 	for share := range s.lessors {
 		s.lessors[share] = tokenlease.NewLessor(1, f.proxy.limiter.allowance, -lessorAge, 0) // with empty buckets
@@ -165,7 +165,7 @@
 const tokenReportTime = 200 * time.Millisecond
 
 func TestRequestThatReachesNoServerCostsNothing(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
+	f := newTenantFleet(t, tenantDocument(1, limitedTenants), failure{})
 	s := f.startLessors(limitOfAcme)
 	data, err := message.PackInstances(nil)
 	require.NoError(t, err)
@@ -179,7 +179,7 @@
 }
 
 func TestWithoutLessorsLimitedTenantsGet503(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
+	f := newTenantFleet(t, tenantDocument(1, limitedTenants), failure{})
 	s := f.startLessors(limitOfAcme)
 	s.fails = true
 	answer, err := f.front.Client().Do(f.newRequest("unary", keyOfAcme))
@@ -193,7 +193,7 @@
 
 // While versions run side by side, a proxy may have an agent that does not support limits. Requests are then served without limits, as that version did.
 func TestAgentOfAnEarlierVersion(t *testing.T) {
-	f := newTenantFleet(t, tenantDocument(1, limited), failure{})
+	f := newTenantFleet(t, tenantDocument(1, limitedTenants), failure{})
 	f.startAgent(http.NotFoundHandler())
 	for range 100 {
 		status, _ := f.send("unary", keyOfAcme)
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -42,24 +42,24 @@
 // idempotent request is treated as a failed attempt as long as another attempt is allowed.
 func (p *Proxy) attemptUnary(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
 	req.tokens.commit()
-	exchanged, result := p.roundTrip(ctx, req, endpoint, req.encode(headerField{headerExpectInstance, endpoint.ID}))
+	exchange, result := p.roundTrip(ctx, req, endpoint, req.encode(headerField{headerExpectInstance, endpoint.ID}))
 	if result != outcomeAnswered {
 		p.recordOutcome(ctx, req, endpoint, result)
 		return nil, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
-	if err != nil || !hasDelimitedBody(exchanged.response) {
-		exchanged.abort()
+	body, err := io.ReadAll(io.LimitReader(exchange.response.Body, maxResponseBytes))
+	if err != nil || !hasDelimitedBody(exchange.response) {
+		exchange.abort()
 		p.recordOutcome(ctx, req, endpoint, outcomeMayHaveExecuted)
 		return nil, nil
 	}
-	exchanged.finish(p.conns, endpoint.Address)
-	result = classifyResponse(exchanged.response)
-	isServerError := exchanged.response.StatusCode >= http.StatusInternalServerError
+	exchange.finish(p.conns, endpoint.Address)
+	result = classifyResponse(exchange.response)
+	isServerError := exchange.response.StatusCode >= http.StatusInternalServerError
 	retries := isServerError && req.route.Kind == routeconfig.Idempotent && req.possibleExecutions+1 < req.route.MaxAttempts
 	if result == outcomeAnswered && !retries {
 		p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
-		return exchanged.response, body
+		return exchange.response, body
 	}
 	if retries && result == outcomeAnswered {
 		result = outcomeMayHaveExecuted
--- a/internal/proxy/unary_test.go
+++ b/internal/proxy/unary_test.go
@@ -64,10 +64,10 @@
 	})
 
 	It("is not sent on a new connection that a server with few connections resets", func() {
-		for _, crowdedFirst := range []bool{true, false} {
+		for _, firstResets := range []bool{true, false} {
 			one, two := startServer("i-1", "s", "", echo), startServer("i-2", "s", "", echo)
-			one.setResetsNewConns(crowdedFirst)
-			two.setResetsNewConns(!crowdedFirst)
+			one.setResetsNewConns(firstResets)
+			two.setResetsNewConns(!firstResets)
 			p, front := startProxy(route(routeconfig.NonIdempotent), false, one, two)
 			p.state.withService("s", func(_ float64, pool *placement.Pool, _ *placement.Planner) { pool.SetMaxConnections(2) })
 			for n := range 6 {
@@ -208,8 +208,8 @@
 	It("waits for a proxy that has just started, and is rejected where the first update does not arrive", func() {
 		s := startServer("i-1", "s", "", echo)
 		ready, _ := startProxy(route(routeconfig.NonIdempotent), false, s)
-		begun := newProxy(ready.settings, ready.log)
-		front := httptest.NewServer(begun)
+		starting := newProxy(ready.settings, ready.log)
+		front := httptest.NewServer(starting)
 		DeferCleanup(front.Close)
 		answer, _, err := sendClientRequest(front)
 		Expect(err).NotTo(HaveOccurred())
@@ -227,7 +227,7 @@
 		packed, err := message.PackTable(&routeconfig.Table{Version: 1, Routes: []routeconfig.Route{route(routeconfig.NonIdempotent)},
 			Services: []routeconfig.Service{{Name: "s", HealthPath: "/health", MaxConnections: 100}}})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(begun.state.applyFeed(&message.Feed{Table: packed, List: list(s.Instance), ProxyCount: 1})).To(Succeed())
+		Expect(starting.state.applyFeed(&message.Feed{Table: packed, List: list(s.Instance), ProxyCount: 1})).To(Succeed())
 		Eventually(statuses).Should(Receive(Equal(http.StatusOK)))
 	})
 
