--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -30,7 +30,7 @@
 	assert.True(t, snapshot)
 	assert.Equal(t, []policy.HostInfo{
 		{ID: 0x5be2a07c, Zone: 1, Kind: 1, Cell: 3, State: policy.Ready, Size: 1.5},
-		// A server that started shortly before this process must not look as if it had started long ago: it warms up.
+		// The start time is kept: a server that started shortly before this process is still warming up.
 		{ID: ID("box"), Zone: 2, Kind: 2, State: policy.Draining, Size: 1, Started: now - 0.5},
 		{ID: 7, Zone: 3, Kind: 0, State: policy.Draining},
 	}, infos)
@@ -43,7 +43,7 @@
 	assert.Equal(t, policy.Gone, g.Host(ID("box")).State)
 	assert.Equal(t, "10.1.0.19:3000", g.Host(ID("box")).Address)
 	mustApply(t, g, now+2, `{"index":43,"snapshot":true,"endpoints":[{"name":"s-00000007","status":"SERVING"}]}`)
-	assert.Equal(t, policy.Gone, g.Host(0x5be2a07c).State, "a snapshot that leaves a server out says that it is gone")
+	assert.Equal(t, policy.Gone, g.Host(0x5be2a07c).State, "a server that a snapshot does not contain is gone")
 	assert.Equal(t, policy.Ready, g.Host(7).State)
 	mustApply(t, g, now+2+forgetSeconds+1, `{"index":44}`)
 	assert.Nil(t, g.Host(0x5be2a07c))
@@ -51,7 +51,7 @@
 	assert.Error(t, err)
 }
 
-// A server that returns from a cordon counts as started then, until the list has a later start.
+// An uncordoned server counts as started at that time, until the list has a later start.
 func TestUncordonedServerCountsAsStarted(t *testing.T) {
 	const now = 1.8e9
 	g := New(nil, nil)
@@ -63,32 +63,32 @@
 	assert.Equal(t, policy.Draining, info.State)
 	again, infos := mustApply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
 	assert.True(t, again)
-	require.Len(t, infos, 1, "it is draining, not left out")
+	require.Len(t, infos, 1, "a cordoned server is draining even if the snapshot does not contain it")
 	assert.Equal(t, policy.Draining, infos[0].State)
 	mustApply(t, g, now+3+forgetSeconds, `{"index":2}`)
 	_, infos = mustApply(t, g, now+4, `{"index":3,"endpoints":[{"name":"box","status":"SERVING","since_ms":1799999000000}]}`)
-	assert.Equal(t, policy.Draining, infos[0].State, "it is not forgotten while it is cordoned")
+	assert.Equal(t, policy.Draining, infos[0].State, "a server is not forgotten while it is cordoned")
 	info, err = g.Uncordon("box", now+9)
 	require.NoError(t, err)
 	assert.Equal(t, policy.HostInfo{ID: ID("box"), State: policy.Ready, Started: now + 9}, info)
 	into := New(nil, nil)
 	_, infos = mustApply(t, into, now+10, string(g.Export()))
-	assert.Equal(t, now+9.0, infos[0].Started, "a successor has it, too")
+	assert.Equal(t, now+9.0, infos[0].Started, "the export contains the start time")
 	_, infos = mustApply(t, g, now+11, `{"index":4,"endpoints":[{"name":"box","status":"SERVING","since_ms":1800000005000}]}`)
 	assert.Equal(t, now+5.0, infos[0].Started)
 }
 
-// All sidecars order the servers alike, in whatever order they come to know them.
+// A server's ID depends on its name only, so that all sidecars order the servers alike, in whatever order they learn of them.
 func TestIDsAreEqualInAllSidecars(t *testing.T) {
 	assert.EqualValues(t, 0x5be2a07c, ID("s-5be2a07c"))
 	assert.Equal(t, ID("readings-1.example"), ID("readings-1.example"))
 	assert.NotEqual(t, ID("readings-1.example"), ID("readings-2.example"))
 	g := New(nil, nil)
 	_, infos := mustApply(t, g, 1, `{"endpoints":[{"name":"a-00000001"},{"name":"b-00000001"},{"name":"a-00000001"}]}`)
-	assert.EqualValues(t, []uint32{1, 2, 1}, []uint32{infos[0].ID, infos[1].ID, infos[2].ID}, "names that clash stay apart")
+	assert.EqualValues(t, []uint32{1, 2, 1}, []uint32{infos[0].ID, infos[1].ID, infos[2].ID}, "names with the same ID get different ones")
 }
 
-// A set that gets the snapshot of another holds the same as one that got change by change, and their checksums are equal.
+// A set built from the snapshot of another, which was built from snapshots and deltas, has the same content and checksum.
 func TestSnapshotAndChecksum(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := New([]string{"a"}, nil)
--- a/internal/endpointset/list.go
+++ b/internal/endpointset/list.go
@@ -12,31 +12,31 @@
 )
 
 // ErrNoEndpoints is returned for a snapshot without endpoints.
-var ErrNoEndpoints = errors.New("endpoint set: endpoints: missing in a whole list")
+var ErrNoEndpoints = errors.New("endpoint set: snapshot without endpoints")
 
-// The statuses of discovery's entries.
+// The statuses of servers in service discovery.
 const (
 	statusServing  = "SERVING"
 	statusDraining = "DRAINING"
 	statusDeleted  = "DELETED"
 )
 
-// statuses are the statuses that are written, by state.
+// statuses are the statuses for encoding, indexed by state.
 var statuses = [...]string{policy.Gone: statusDeleted, policy.Ready: statusServing, policy.Draining: statusDraining}
 
-// list is an object of discovery: a snapshot, or the changes since another version. It is also the form of Snapshot and Export. Names
-// are read in any case, as encoding/json does.
+// list is an object of the watch stream: a snapshot, or a delta with the changes since another version. Snapshot and Export encode it
+// as well. Names of fields are matched without regard to case, as encoding/json does.
 type list struct {
 	Index        uint64             `json:"Index"`
 	Snapshot     bool               `json:"Snapshot"`
 	Endpoints    endpoints          `json:"Endpoints"`
-	UncordonedAt map[string]float64 `json:"Lifted,omitempty"` // in an export only: Host.uncordonedAt by name
+	UncordonedAt map[string]float64 `json:"Lifted,omitempty"` // only in an export: Host.uncordonedAt by name
 }
 
-// endpoints are the entries of a list; nil: the list has no such field.
+// endpoints are the entries of a list. They are nil only if the list has no such field.
 type endpoints []endpoint
 
-// UnmarshalJSON reads null as an empty list.
+// UnmarshalJSON decodes null as an empty list instead of nil.
 func (e *endpoints) UnmarshalJSON(raw []byte) error {
 	all := []endpoint{}
 	if err := json.Unmarshal(raw, &all); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// endpoint is a server as discovery lists it.
+// endpoint is a server in the format of service discovery.
 type endpoint struct {
 	Name    string  `json:"Name"`
 	Address string  `json:"Address"`
@@ -69,7 +69,7 @@
 	return &l, nil
 }
 
-// ParseHeader returns the version of an object of discovery, and whether it is a snapshot, without applying it.
+// ParseHeader returns the version of an object of the watch stream, and whether it is a snapshot, without applying it.
 func ParseHeader(raw []byte) (index uint64, snapshot bool, err error) {
 	var l struct {
 		Index    uint64 `json:"Index"`
@@ -81,7 +81,7 @@
 	return l.Index, l.Snapshot, nil
 }
 
-// Export returns what is known of all servers, for ApplyCached by a successor. Cordons and maintenance are not in it.
+// Export returns all known servers, to be applied by a successor with ApplyCached. It does not contain cordons and maintenance.
 func (g *Set) Export() json.RawMessage {
 	l := list{Index: g.index, Snapshot: true, UncordonedAt: map[string]float64{}}
 	for id := range g.Names {
@@ -98,7 +98,7 @@
 	return l.marshal()
 }
 
-// Snapshot returns the list as discovery would write it: servers that are gone are left out, and cordons are not in it.
+// Snapshot returns the list in the format of service discovery. It contains neither servers that are gone nor cordons.
 func (g *Set) Snapshot() json.RawMessage {
 	l := list{Index: g.index, Snapshot: true, Endpoints: []endpoint{}}
 	for id := range g.Names {
@@ -117,13 +117,13 @@
 func (l *list) marshal() json.RawMessage {
 	raw, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // finite numbers and strings always marshal, and a list that was read has no others
+		panic(err) // can't happen: a parsed list contains only strings and finite numbers
 	}
 	return raw
 }
 
-// Checksum returns the same number for lists with the same content, by whichever snapshots and deltas they came. Sidecars of
-// different versions compare it, so its input must not change.
+// Checksum returns the same number for lists with the same content, by whichever snapshots and deltas they were built. Sidecars of
+// different program versions compare checksums, so the input of the hash must not change.
 func (g *Set) Checksum() uint64 {
 	if g.hasChecksum {
 		return g.checksum
--- a/internal/endpointset/set.go
+++ b/internal/endpointset/set.go
@@ -7,10 +7,10 @@
 	"hazelwheel/policy"
 )
 
-// forgetSeconds is how long a server that is gone is remembered. It is longer than package policy remembers it.
+// forgetSeconds is how long a server that is gone is remembered. It must be longer than in package policy.
 const forgetSeconds = 600
 
-// Set is the set of known servers.
+// Set is the set of known servers, with their cordons and maintenance.
 type Set struct {
 	byName map[string]*Host
 	byID   map[uint32]*Host
@@ -20,10 +20,10 @@
 	index    uint64 // version of the list
 	hasIndex bool
 
-	// By server name, also of servers that no list has named yet.
-	cordonedAt       map[string]float64 // servers that an operator of this sidecar has cordoned, since when
-	maintenanceSince map[string]float64 // servers under maintenance by agreement of all sidecars, since when
-	keptInUse        map[string]bool    // of these, servers that an operator of this sidecar has uncordoned
+	// By server name; may contain servers that no list has contained yet.
+	cordonedAt       map[string]float64 // when an operator of this sidecar cordoned the server
+	maintenanceSince map[string]float64 // since when the server has been under maintenance, on which all sidecars have agreed
+	keptInUse        map[string]bool    // servers under maintenance that an operator of this sidecar has uncordoned
 
 	checksum    uint64 // valid if hasChecksum
 	hasChecksum bool
@@ -41,8 +41,8 @@
 	return i
 }
 
-// New returns an empty set. zones and types are the names in the settings, which have the first numbers in policy.HostInfo; names
-// that only the list has get the next ones.
+// New returns an empty set. zones and types are the names in the settings, which get the first numbers in policy.HostInfo; names that
+// occur only in the list get the next ones.
 func New(zones, types []string) *Set {
 	g := &Set{
 		byName:           map[string]*Host{},
@@ -65,14 +65,14 @@
 // Index returns the version of the list; ok is false if there is none.
 func (g *Set) Index() (index uint64, ok bool) { return g.index, g.hasIndex }
 
-// ForgetIndex drops the version and keeps the list. It is called when the discovery service changes, as each counts its own
-// versions.
+// ForgetIndex drops the version and keeps the list. It is called when the discovery server changes, since each numbers its versions
+// independently.
 func (g *Set) ForgetIndex() { g.hasIndex = false }
 
 // Len returns how many servers are known.
 func (g *Set) Len() int { return len(g.byID) }
 
-// Host returns the server with an ID, nil if it is unknown.
+// Host returns the server with an ID, or nil if it is unknown.
 func (g *Set) Host(id uint32) *Host { return g.byID[id] }
 
 // Names calls yield with the ID and the name of each known server, in order of IDs.
@@ -84,7 +84,7 @@
 	}
 }
 
-// Listed calls yield with each server that is on the list, in no order.
+// Listed calls yield with each server that is listed and not gone, in unspecified order.
 func (g *Set) Listed(yield func(*Host) bool) {
 	for _, h := range g.byID {
 		if h.listedState != policy.Gone && !yield(h) {
@@ -93,21 +93,21 @@
 	}
 }
 
-// Apply applies an object of the watch stream, a snapshot or a delta. It returns the entries for policy.Balancer.UpdateHosts. After
-// an error, for a snapshot without endpoints ErrNoEndpoints, the set is unchanged.
+// Apply applies an object of the watch stream, a snapshot or a delta. It returns the entries for policy.Balancer.UpdateHosts. If it
+// returns an error, which is ErrNoEndpoints for a snapshot without endpoints, the set is unchanged.
 func (g *Set) Apply(raw []byte, now float64) (snapshot bool, infos []policy.HostInfo, err error) {
 	l, err := parseList(raw)
 	if err != nil {
 		return false, nil, err
 	}
-	// Danger: taken for an empty list, a snapshot that was cut short or spelled otherwise would declare all servers gone.
+	// Danger: if they were treated as empty, a snapshot without the field, such as one with a misspelled name, would mark all servers as gone.
 	if l.Snapshot && l.Endpoints == nil {
 		return false, nil, ErrNoEndpoints
 	}
 	return l.Snapshot, g.apply(l, now), nil
 }
 
-// ApplyCached applies a list that this or another sidecar has written, which may be empty.
+// ApplyCached applies a list that was encoded by Export or Snapshot, here or at another sidecar. Unlike for Apply, it may lack endpoints.
 func (g *Set) ApplyCached(raw []byte, now float64) ([]policy.HostInfo, error) {
 	l, err := parseList(raw)
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 func (g *Set) apply(l *list, now float64) (infos []policy.HostInfo) {
-	// Servers out of use that a snapshot leaves out: without an entry they would count as gone instead of draining.
+	// Servers out of use that the snapshot does not contain. They get an entry as well: without one they would count as gone instead of draining.
 	missing := map[string]*Host{}
 	if l.Snapshot {
 		for _, h := range g.byName {
@@ -145,7 +145,7 @@
 	return infos
 }
 
-// updateHost applies an entry of a list. uncordonedAt is that of an export, else 0.
+// updateHost applies an entry of a list. uncordonedAt is the value in an export, or 0.
 func (g *Set) updateHost(e endpoint, uncordonedAt, now float64) *Host {
 	h := g.byName[e.Name]
 	if h == nil {
@@ -158,7 +158,7 @@
 		h.listedState = policy.Ready
 	case statusDeleted:
 		g.markGone(h, now)
-	default: // draining, or a status of a later version: no new requests
+	default: // draining, or a status of a later program version: no new requests
 		h.listedState = policy.Draining
 	}
 	if e.Address != "" {
@@ -167,7 +167,7 @@
 	h.entry = e
 	h.uncordonedAt = max(h.uncordonedAt, uncordonedAt)
 	if e.SinceMS/1000 > h.cordonedAt && h.cordonedAt > 0 && !g.isOutOfUse(h) {
-		h.uncordonedAt, h.cordonedAt = 0, 0 // the list has a restart since then
+		h.uncordonedAt, h.cordonedAt = 0, 0 // the list shows a restart since then
 	}
 	h.listing = policy.HostInfo{
 		ID:      h.ID,
@@ -180,8 +180,8 @@
 	return h
 }
 
-// forgetGone forgets servers that have been gone for forgetSeconds, unless they are out of use: the cordon must hold when the list
-// names them again.
+// forgetGone removes servers that have been gone for forgetSeconds, unless they are out of use: they must still be so when they are
+// listed again.
 func (g *Set) forgetGone(now float64) {
 	for name, h := range g.byName {
 		if h.listedState == policy.Gone && !g.isOutOfUse(h) && now-h.goneAt > forgetSeconds {
@@ -191,7 +191,7 @@
 	}
 }
 
-// markGone marks a server as gone by the list.
+// markGone records that a server is gone according to the list.
 func (g *Set) markGone(h *Host, now float64) {
 	if h.listedState != policy.Gone {
 		h.listedState = policy.Gone
@@ -200,7 +200,7 @@
 	g.effectiveInfo(h)
 }
 
-// effectiveInfo updates a server's State and returns its entry for package policy: the listed one, draining while it is out of use.
+// effectiveInfo updates a server's State and returns its entry for package policy: the listed one, but draining while the server is out of use.
 func (g *Set) effectiveInfo(h *Host) policy.HostInfo {
 	h.State = h.listedState
 	if g.isOutOfUse(h) {
@@ -212,7 +212,7 @@
 	return info
 }
 
-// freeID returns the ID of a name, or the next free one if another name has that; only then the order of arrival matters.
+// freeID returns the ID of a name, or the next free ID if another name has it. Only in that case do IDs depend on the order of arrival.
 func (g *Set) freeID(name string) uint32 {
 	id := ID(name)
 	for g.byID[id] != nil {
--- a/internal/endpointset/stored_form_test.go
+++ b/internal/endpointset/stored_form_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The export passes to a successor of another version, the snapshot to other sidecars and to disk, and checksums are compared
-// between sidecars of different versions: none of their bytes may change.
+// Exports, snapshots and checksums must not change by a byte: exports are read by a successor of another program version, snapshots
+// by other sidecars and from disk, and checksums are compared between sidecars of different versions.
 func TestWrittenFormsAreKept(t *testing.T) {
 	const now = 1.8e9
 	g := New([]string{"a", "b"}, []string{"m1"})
@@ -41,5 +41,5 @@
 	assert.Equal(t, now+9.0, into.Host(0x5be2a07c).Listing().StartedAt)
 	assert.Equal(t, g.Checksum(), into.Checksum())
 	assert.Equal(t, string(g.Snapshot()), string(into.Snapshot()))
-	assert.Nil(t, into.Host(2), "a server that had gone is not kept by the successor")
+	assert.Nil(t, into.Host(2), "a successor does not keep a server that was gone")
 }
--- a/internal/endpointset/stream.go
+++ b/internal/endpointset/stream.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// ErrNotObject is returned for a stream with anything else than JSON objects and white space.
+// ErrNotObject is returned for a stream that contains anything but JSON objects and white space.
 var ErrNotObject = errors.New("not a JSON object")
 
 // maxQuotedBytes bounds what an error quotes of the stream.
 const maxQuotedBytes = 32
 
-// StreamScanner splits the stream of a watch into its JSON objects, which may span any number of lines, and the empty lines
-// between them, which are heartbeats. It remembers how far it has scanned, so that a long object that arrives in many pieces is
-// scanned once. The zero value is ready for use.
+// StreamScanner splits a watch stream into its JSON objects, which may span any number of lines, and the empty lines between them,
+// which are heartbeats. It remembers how far it has scanned, so that a long object that arrives in many pieces is scanned only once.
+// The zero value is ready to use.
 type StreamScanner struct {
 	scanned  int // bytes of the buffer that have been scanned
 	depth    int // of open braces and brackets
 	inString bool
 	escaped  bool
-	afterEnd bool // an object has ended on the present line
+	afterEnd bool // an object has ended on the current line
 }
 
-// Token is what a StreamScanner finds next.
+// Token is what StreamScanner.Next has found.
 type Token uint8
 
 // The tokens of a stream.
@@ -32,8 +32,8 @@
 	Object                 // a complete JSON object
 )
 
-// Next returns the next token of buf and what follows it. For an Object, text is the object. After NeedMore, the next call must
-// get rest with more bytes appended. After an error, which wraps ErrNotObject, the stream can't be scanned any further.
+// Next returns the next token of buf, and in rest the bytes after it. For an Object, text is the object. After NeedMore, the next call
+// must be given rest with more bytes appended. After an error, which wraps ErrNotObject, the stream can't be scanned any further.
 func (s *StreamScanner) Next(buf []byte) (token Token, text, rest []byte, err error) {
 	for ; s.scanned < len(buf); s.scanned++ {
 		b := buf[s.scanned]
@@ -63,7 +63,7 @@
 	return NeedMore, nil, buf, nil
 }
 
-// scanObjectByte takes a byte of an object and returns whether it is the object's last.
+// scanObjectByte scans a byte of an object and returns whether it is the object's last.
 func (s *StreamScanner) scanObjectByte(b byte) bool {
 	switch {
 	case s.escaped:
--- a/internal/endpointset/stream_test.go
+++ b/internal/endpointset/stream_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A stream has the same tokens in whatever pieces it arrives.
+// The tokens of a stream do not depend on how it is split into pieces.
 func TestStreamScannerIsIndependentOfPieces(t *testing.T) {
 	const stream = "\n{\n  \"index\": 3,\n\n  \"endpoints\": [ {\"name\": \"a}\\\"{\"} ]\n}\r\n\n{\"index\":4}\n\n"
 	want, err := scan(stream)
