--- a/internal/endpointset/endpointset_test.go
+++ b/internal/endpointset/endpointset_test.go
@@ -20,8 +20,8 @@
 func TestApply(t *testing.T) {
 	const now = 1.8e9
 	g := New([]string{"a", "b"}, []string{"m1", "m2"})
-	_, held := g.Index()
-	assert.False(t, held)
+	_, hasIndex := g.Index()
+	assert.False(t, hasIndex)
 	snapshot, infos := mustApply(t, g, now, `{"index":41,"snapshot":true,"endpoints":[
 		{"name":"s-5be2a07c","address":"10.1.0.18:3000","zone":"b","type":"m2","group":3,"status":"SERVING","weight":1.5,"since_ms":0},
 		{"name":"box","address":"10.1.0.19:3000","zone":"c","type":"m9","status":"DRAINING","weight":1,"since_ms":1799999999500},
@@ -34,8 +34,8 @@
 		{ID: ID("box"), Zone: 2, Kind: 2, State: policy.Draining, Size: 1, Started: now - 0.5},
 		{ID: 7, Zone: 3, Kind: 0, State: policy.Draining},
 	}, infos)
-	index, held := g.Index()
-	assert.True(t, held)
+	index, hasIndex := g.Index()
+	assert.True(t, hasIndex)
 	assert.EqualValues(t, 41, index)
 
 	_, infos = mustApply(t, g, now+1, `{"index":42,"snapshot":false,"endpoints":[{"name":"box","status":"DELETED"}]}`)
@@ -61,8 +61,8 @@
 	info, err := g.Cordon("box", now+1)
 	require.NoError(t, err)
 	assert.Equal(t, policy.Draining, info.State)
-	again, infos := mustApply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
-	assert.True(t, again)
+	isSnapshot, infos := mustApply(t, g, now+2, `{"index":2,"snapshot":true,"endpoints":[]}`)
+	assert.True(t, isSnapshot)
 	require.Len(t, infos, 1, "a cordoned server is draining even if the snapshot does not contain it")
 	assert.Equal(t, policy.Draining, infos[0].State)
 	mustApply(t, g, now+3+forgetSeconds, `{"index":2}`)
@@ -71,8 +71,8 @@
 	info, err = g.Uncordon("box", now+9)
 	require.NoError(t, err)
 	assert.Equal(t, policy.HostInfo{ID: ID("box"), State: policy.Ready, Started: now + 9}, info)
-	into := New(nil, nil)
-	_, infos = mustApply(t, into, now+10, string(g.Export()))
+	successor := New(nil, nil)
+	_, infos = mustApply(t, successor, now+10, string(g.Export()))
 	assert.Equal(t, now+9.0, infos[0].Started, "the export contains the start time")
 	_, infos = mustApply(t, g, now+11, `{"index":4,"endpoints":[{"name":"box","status":"SERVING","since_ms":1800000005000}]}`)
 	assert.Equal(t, now+5.0, infos[0].Started)
@@ -110,15 +110,15 @@
 		if rapid.Bool().Draw(r, "cordoned") {
 			g.CordonName("x", 1)
 		}
-		to := New([]string{"a"}, nil)
-		snapshot, _, err := to.Apply(g.Snapshot(), 2)
+		restored := New([]string{"a"}, nil)
+		snapshot, _, err := restored.Apply(g.Snapshot(), 2)
 		require.NoError(r, err)
 		assert.True(r, snapshot)
-		assert.Equal(r, g.Checksum(), to.Checksum())
-		assert.Equal(r, g.index, to.index)
-		assert.JSONEq(r, string(g.Snapshot()), string(to.Snapshot()))
-		_, _, err = to.Apply([]byte(`{"index":99,"endpoints":[{"name":"new","status":"SERVING"}]}`), 3)
+		assert.Equal(r, g.Checksum(), restored.Checksum())
+		assert.Equal(r, g.index, restored.index)
+		assert.JSONEq(r, string(g.Snapshot()), string(restored.Snapshot()))
+		_, _, err = restored.Apply([]byte(`{"index":99,"endpoints":[{"name":"new","status":"SERVING"}]}`), 3)
 		require.NoError(r, err)
-		assert.NotEqual(r, g.Checksum(), to.Checksum())
+		assert.NotEqual(r, g.Checksum(), restored.Checksum())
 	})
 }
--- a/internal/endpointset/stream_test.go
+++ b/internal/endpointset/stream_test.go
@@ -59,9 +59,9 @@
 	require.Len(t, want, 5)
 	rapid.Check(t, func(t *rapid.T) {
 		var pieces []string
-		for left := stream; left != ""; {
-			n := rapid.IntRange(1, len(left)).Draw(t, "bytes")
-			pieces, left = append(pieces, left[:n]), left[n:]
+		for remaining := stream; remaining != ""; {
+			n := rapid.IntRange(1, len(remaining)).Draw(t, "bytes")
+			pieces, remaining = append(pieces, remaining[:n]), remaining[n:]
 		}
 		got, err := scan(pieces...)
 		require.NoError(t, err)
