--- a/internal/http1/append.go
+++ b/internal/http1/append.go
@@ -10,7 +10,7 @@
 	return dst
 }
 
-// AppendHeader appends field lines, Content-Length unless length is negative, and the empty line that ends the head.
+// AppendHeader appends field lines, a Content-Length field unless length is negative, and the empty line that ends the head.
 func AppendHeader(dst []byte, h Header, length int) []byte {
 	return appendHeadEnd(AppendFields(dst, h), length)
 }
@@ -34,7 +34,8 @@
 	return append(append(append(append(dst, method...), ' '), target...), " HTTP/1.1\r\n"...)
 }
 
-// AppendRequestEnd appends what follows a request's field lines: Content-Length, the empty line and the body.
+// AppendRequestEnd appends the part of a request after its field lines: Content-Length, the empty line and the body. A GET without a
+// body has no Content-Length.
 func AppendRequestEnd(dst []byte, method string, body []byte) []byte {
 	length := len(body)
 	if length == 0 && method == "GET" {
@@ -48,13 +49,13 @@
 	return append(AppendResponseHead(dst, status, h, len(body)), body...)
 }
 
-// AppendResponseHead appends a response's head. With a negative length the header must say how the body is delimited.
+// AppendResponseHead appends a response's head. If length is negative, h must contain the field that delimits the body.
 func AppendResponseHead(dst []byte, status int, h Header, length int) []byte {
 	dst = strconv.AppendInt(append(dst, "HTTP/1.1 "...), int64(status), 10)
 	return AppendHeader(append(dst, " \r\n"...), h, length)
 }
 
-// ChunkedField is the field of a message whose body is chunked.
+// ChunkedField is the header field of a message with a chunked body.
 var ChunkedField = Field{Name: "Transfer-Encoding", Value: "chunked"}
 
 // AppendChunk appends data as one chunk. Empty data appends nothing: an empty chunk would end the body.
@@ -66,5 +67,5 @@
 	return append(append(dst, data...), "\r\n"...)
 }
 
-// AppendLastChunk appends the end of a chunked body, without trailers.
+// AppendLastChunk appends the last chunk, which ends a chunked body, without trailers.
 func AppendLastChunk(dst []byte) []byte { return append(dst, "0\r\n\r\n"...) }
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// determineFraming finds how the body is delimited (RFC 9112, 6.3); withoutLength is the stage of a message without
-// Content-Length and Transfer-Encoding. Danger: a message with both, or with two lengths, can be read in two ways by two
-// recipients and smuggle a request; it is rejected.
+// determineFraming determines how the body is delimited (RFC 9112, 6.3) and sets the stage after the head. withoutLength is the
+// stage for a message with neither Content-Length nor Transfer-Encoding. Danger: a message with both, or with two different
+// lengths, can be read in two ways by two recipients and smuggle a request; it is rejected.
 func (m *message) determineFraming(withoutLength stage) error {
 	length := -1
 	for _, f := range m.Header {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// readBody parses what has been received of the body.
+// readBody parses the received part of the body.
 func (m *message) readBody(buf *Buffer) error {
 	for {
 		switch m.stage {
@@ -99,7 +99,7 @@
 	return n
 }
 
-// readChunkSize parses a chunk's header (RFC 9112, 7.1); extensions are ignored.
+// readChunkSize parses the line with a chunk's size (RFC 9112, 7.1). Chunk extensions are ignored.
 func (m *message) readChunkSize(buf *Buffer) error {
 	line, ok, err := m.readLine(buf)
 	if err != nil || !ok {
@@ -120,13 +120,13 @@
 	return nil
 }
 
-// BodyLength returns the body's length from Content-Length; -1 without one.
+// BodyLength returns the value of Content-Length, or -1 if there is none.
 func (m *message) BodyLength() int { return m.declaredLength }
 
 // ReceivedBodyBytes returns how many bytes of the body have been received.
 func (m *message) ReceivedBodyBytes() int { return m.receivedBody }
 
-// TakeBody returns the part of the body received since the last call. It is valid until the next call of Next.
+// TakeBody removes and returns the part of the body received since the last call. The slice is valid until the next call of Next.
 func (m *message) TakeBody() []byte {
 	body := m.Body
 	m.Body = m.Body[:0]
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// readLine removes a line from buf and returns it without its end; false if none is complete. Danger: a bare line feed ends a
-// line for some recipients and not for others (RFC 9112, 2.2), and two that disagree see different messages; it is rejected.
+// readLine removes a line from buf and returns it without its CRLF. ok is false if the line is incomplete. Danger: some recipients
+// accept a bare line feed as the end of a line and others don't (RFC 9112, 2.2), so that they would see different messages; it is
+// rejected.
 func (m *message) readLine(buf *Buffer) (line []byte, ok bool, err error) {
 	raw := buf.Bytes()
 	end := bytes.IndexByte(raw[m.scannedBytes:], '\n')
@@ -29,7 +30,7 @@
 	return raw[:end-1], true, nil
 }
 
-// readHead reads lines until the head is complete, and reports whether it is.
+// readHead reads the received lines of the head, and reports whether the head is complete.
 func (m *message) readHead(buf *Buffer) (done bool, err error) {
 	if done, err = m.readCompleteHead(buf); done || err != nil {
 		return done, err
@@ -49,8 +50,8 @@
 	}
 }
 
-// readCompleteHead reads a head that has been received completely, as most are, at once: its lines are substrings of one
-// string.
+// readCompleteHead is the fast path for a head that has been received completely: its lines are substrings of one string. If done is
+// false without an error, readHead has to go on line by line.
 func (m *message) readCompleteHead(buf *Buffer) (done bool, err error) {
 	raw := buf.Bytes()
 	if m.startLine != "" || m.scannedBytes > 0 || m.lineBytes > 0 {
@@ -71,7 +72,7 @@
 		}
 		rest = rest[i+1:]
 	}
-	if m.startLine == "" { // there were empty lines only
+	if m.startLine == "" { // only empty lines
 		buf.Discard(len(text))
 		return false, nil
 	}
@@ -85,11 +86,11 @@
 // typicalFieldCount is the initial capacity of a Header.
 const typicalFieldCount = 8
 
-// addHeadLine adds a line of the head other than the empty one that ends it. Empty lines before the start line are ignored (RFC
-// 9112, 2.2).
+// addHeadLine handles a line of the head other than the empty one that ends it: the start line or a field line. Empty lines before
+// the start line are ignored (RFC 9112, 2.2).
 func (m *message) addHeadLine(line string) error {
 	switch {
-	case m.startLine == "" && line == "": // an empty line before a message means nothing
+	case m.startLine == "" && line == "":
 		return nil
 	case m.startLine == "":
 		m.startLine = line
--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -11,7 +11,7 @@
 // Header is a header section: the fields in their order.
 type Header []Field
 
-// Get returns the first value of a field, "" if there is none. Field names are case-insensitive.
+// Get returns the first value of a field, or "" if there is none. Field names are case-insensitive.
 func (h Header) Get(name string) string {
 	for _, f := range h {
 		if strings.EqualFold(f.Name, name) {
@@ -32,8 +32,7 @@
 	return n > 1
 }
 
-// containsToken reports whether a list-based field (RFC 9110, 5.6.1) contains a token, which is compared without regard to
-// case.
+// containsToken reports whether a list-based field (RFC 9110, 5.6.1) contains a token. The comparison ignores case.
 func (h Header) containsToken(name, token string) bool {
 	for _, f := range h {
 		if !strings.EqualFold(f.Name, name) {
@@ -48,8 +47,8 @@
 	return false
 }
 
-// hopByHopFields are the fields of a single connection (RFC 9110, 7.6.1) and those of framing, which is written anew for each;
-// by the length of their names.
+// hopByHopFields are the fields that apply to a single connection (RFC 9110, 7.6.1) or to the framing of a message, which each sender
+// determines itself. They are indexed by the length of their names.
 var hopByHopFields = func() (by [32][]string) {
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
@@ -58,7 +57,7 @@
 	return by
 }()
 
-// IsHopByHop reports whether a field concerns one connection or its framing, whatever Connection says.
+// IsHopByHop reports whether a field applies to a single connection or to framing, even if the Connection field does not list it.
 func IsHopByHop(name string) bool {
 	if len(name) >= len(hopByHopFields) {
 		return false
@@ -71,8 +70,8 @@
 	return false
 }
 
-// EndToEnd returns the fields that a proxy forwards (RFC 9110, 7.6.1): those that are not hop-by-hop and not named by
-// Connection, and those of except even if Connection names them. The result is a copy.
+// EndToEnd returns a copy of the fields that a proxy forwards (RFC 9110, 7.6.1): those that are neither hop-by-hop nor listed in
+// Connection. Fields in except are kept even if Connection lists them.
 func (h Header) EndToEnd(except ...string) Header {
 	kept := make(Header, 0, len(h)+1)
 	hasConnection := h.Get("Connection") != ""
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -12,7 +12,7 @@
 
 var limits = Limits{HeadBytes: 200, BufferedBodyBytes: 20}
 
-// errorStatus returns the status of an *Error; 0 for any other.
+// errorStatus returns the status of an *Error, or 0 for any other error.
 func errorStatus(err error) int {
 	var e *Error
 	if errors.As(err, &e) {
@@ -21,7 +21,8 @@
 	return 0
 }
 
-// feedInPieces feeds text in pieces of each size from 1, so that each boundary falls everywhere.
+// feedInPieces calls f once for each size of the pieces in which text is fed, from 1 byte to all of it, so that a piece ends at each
+// offset.
 func feedInPieces(text string, f func(feed func(next func(*Buffer) bool))) {
 	for size := 1; size <= len(text); size++ {
 		f(func(next func(*Buffer) bool) {
@@ -46,31 +47,31 @@
 		status     int
 	}{
 		{"without a body", "GET / HTTP/1.1\r\n" + host + "\r\n", []string{""}, 0},
-		{"two, with lines before", "\r\nPOST /a HTTP/1.1\r\n" + host + "content-length: 3\r\n\r\nabc\r\nGET / HTTP/1.1\r\n" + host + "\r\n",
+		{"two, each after an empty line", "\r\nPOST /a HTTP/1.1\r\n" + host + "content-length: 3\r\n\r\nabc\r\nGET / HTTP/1.1\r\n" + host + "\r\n",
 			[]string{"abc", ""}, 0},
 		{"chunks", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: Chunked\r\n\r\n3 ;x\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: 1\r\n\r\n",
 			[]string{"abc0123456789"}, 0},
-		{"length at the bound", "POST / HTTP/1.1\r\n" + host + "Content-Length: 20\r\n\r\n01234567890123456789", []string{"01234567890123456789"}, 0},
+		{"length at the limit", "POST / HTTP/1.1\r\n" + host + "Content-Length: 20\r\n\r\n01234567890123456789", []string{"01234567890123456789"}, 0},
 		{"same length twice", "POST / HTTP/1.1\r\n" + host + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", []string{"x"}, 0},
-		{"length past it", "POST / HTTP/1.1\r\n" + host + "Content-Length: 21\r\n\r\n", nil, 413},
+		{"length above the limit", "POST / HTTP/1.1\r\n" + host + "Content-Length: 21\r\n\r\n", nil, 413},
 		{"huge length", "POST / HTTP/1.1\r\n" + host + "Content-Length: 99999999999999999999\r\n\r\n", nil, 400},
 		{"signed length", "POST / HTTP/1.1\r\n" + host + "Content-Length: +1\r\n\r\n", nil, 400},
 		{"empty length", "POST / HTTP/1.1\r\n" + host + "Content-Length:\r\n\r\n", nil, 400},
-		{"chunks past the bound", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n15\r\n", nil, 413},
-		{"chunk size", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nx\r\n", nil, 400},
+		{"chunks above the limit", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n15\r\n", nil, 413},
+		{"invalid chunk size", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\nx\r\n", nil, 400},
 		{"empty chunk size", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n\r\n", nil, 400},
-		{"long chunk", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", nil, 400},
-		{"trailer", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\nbad\r\n", nil, 400},
-		{"other coding", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", nil, 501},
+		{"chunk longer than its size", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", nil, 400},
+		{"invalid trailer", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: chunked\r\n\r\n0\r\nbad\r\n", nil, 400},
+		{"unsupported coding", "POST / HTTP/1.1\r\n" + host + "Transfer-Encoding: gzip, chunked\r\n\r\n", nil, 501},
 		{"chunks in 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", nil, 400},
 		{"space before the colon", "GET / HTTP/1.1\r\nHost : h\r\n\r\n", nil, 400},
-		{"folded", "GET / HTTP/1.1\r\n" + host + "A: b\r\n c\r\n\r\n", nil, 400},
+		{"folded line", "GET / HTTP/1.1\r\n" + host + "A: b\r\n c\r\n\r\n", nil, 400},
 		{"control byte", "GET / HTTP/1.1\r\n" + host + "A: b\x00\r\n\r\n", nil, 400},
 		{"two hosts", "GET / HTTP/1.1\r\n" + host + host + "\r\n", nil, 400},
 		{"bare line feed", "GET / HTTP/1.1\n" + host + "\r\n", nil, 400},
-		{"target", "GET /\x80 HTTP/1.1\r\n" + host + "\r\n", nil, 400},
+		{"invalid target", "GET /\x80 HTTP/1.1\r\n" + host + "\r\n", nil, 400},
 		{"no target", "GET HTTP/1.1\r\n" + host + "\r\n", nil, 400},
-		{"version", "GET / HTTP/3\r\n" + host + "\r\n", nil, 505},
+		{"unsupported version", "GET / HTTP/3\r\n" + host + "\r\n", nil, 505},
 		{"long line", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 300), nil, 431},
 		{"many lines", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 50), nil, 431},
 	} {
@@ -99,22 +100,22 @@
 	for _, c := range []struct {
 		name, text string
 		body       string
-		keep, end  bool // end: whole only with the end of the connection
+		keep, end  bool // IsPersistent is expected; the response is complete only at the end of the connection
 		bad        bool
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", "ab", true, false, false},
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 200\r\nContent-Length: 1\r\n\r\na", "a", true, false, false},
 		{"until the end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", "abc", false, true, false},
-		{"until an end that nobody told of", "HTTP/1.1 200 OK\r\n\r\nabc", "", true, false, true},
-		{"old, until the end", "HTTP/1.0 200 OK\r\n\r\nabc", "abc", false, true, false},
-		{"to close", "HTTP/1.1 200 OK\r\nConnection: x, Close\r\nContent-Length: 0\r\n\r\n", "", false, false, false},
-		{"old", "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", "", false, false, false},
-		{"old, kept", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 0\r\n\r\n", "", true, false, false},
+		{"until an unannounced end", "HTTP/1.1 200 OK\r\n\r\nabc", "", true, false, true},
+		{"HTTP/1.0, until the end", "HTTP/1.0 200 OK\r\n\r\nabc", "abc", false, true, false},
+		{"with Connection: close", "HTTP/1.1 200 OK\r\nConnection: x, Close\r\nContent-Length: 0\r\n\r\n", "", false, false, false},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", "", false, false, false},
+		{"HTTP/1.0, keep-alive", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 0\r\n\r\n", "", true, false, false},
 		{"no body", "HTTP/1.1 204 No Content\r\n\r\n", "", true, false, false},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", "ab", true, false, false},
-		{"switch", "HTTP/1.1 101 Switching\r\n\r\n", "", false, false, true},
-		{"status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, false, true},
-		{"past the bound", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 21), "", false, false, true},
+		{"protocol switch", "HTTP/1.1 101 Switching\r\n\r\n", "", false, false, true},
+		{"invalid status", "HTTP/1.1 2x0 OK\r\n\r\n", "", false, false, true},
+		{"body above the limit", "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 21), "", false, false, true},
 	} {
 		feedInPieces(c.text, func(feed func(func(*Buffer) bool)) {
 			p := NewResponseParser(limits)
@@ -138,10 +139,10 @@
 	buf.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na"))
 	_, err := p.Next(&buf)
 	assert.NoError(t, err)
-	assert.False(t, p.HandleEOF(), "a body that is cut off is not whole")
+	assert.False(t, p.HandleEOF(), "a truncated body is not complete")
 }
 
-// Bytes that aren't HTTP are rejected by the first of them, though no line end is received.
+// Bytes that aren't HTTP are rejected as soon as the first wrong one is received, without waiting for the end of a line.
 func TestResponseParserRejectsNoiseEarly(t *testing.T) {
 	for text, bad := range map[string]bool{"": false, "HT": false, "\r\nHTTP/1.1 2": false, "HTTP/1.1 200 OK\r\nA": false,
 		"HTTQ": true, "\x00\xff": true, "HTTP/2.0 200 OK\r\n": true, "HTTP/1.1 2x0 OK\r\nA": true,
@@ -158,12 +159,12 @@
 	assert.Equal(t, Header{{"X-Two", "2"}}, h.EndToEnd())
 }
 
-// checkRoundTrip writes a request as a proxy forwards it and parses that again.
+// checkRoundTrip encodes a parsed request as a proxy forwards it, and checks that it is parsed again with the same target and body.
 func checkRoundTrip(t *testing.T, p *RequestParser) {
 	again, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
 	h := p.Header.EndToEnd()
 	if !slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, "Host") }) {
-		h = append(h, Field{"Host", "h"}) // a request of HTTP/1.0 needs none
+		h = append(h, Field{"Host", "h"}) // required by HTTP/1.1, but not by HTTP/1.0
 	}
 	buf.Write(AppendRequest(nil, p.Method, p.Target, h, p.Body))
 	whole, err := again.Next(&buf)
@@ -172,7 +173,8 @@
 	}
 }
 
-// Whatever is received, a parser finishes or waits for more, keeps to its limits, and accepts what AppendRequest writes.
+// Whatever is received, the parsers terminate, keep to their limits and return errors with a status. Requests that are accepted
+// survive a round trip through AppendRequest.
 func FuzzParsers(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"), 3)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"), 5)
@@ -195,7 +197,7 @@
 				_, respErr = resp.Next(&b)
 			}
 			if len(req.Body) > limits.BufferedBodyBytes || len(resp.Body) > limits.BufferedBodyBytes {
-				t.Fatal("more than the limit is held")
+				t.Fatal("the buffered body exceeds the limit")
 			}
 		}
 		if reqErr != nil && errorStatus(reqErr) == 0 {
@@ -204,7 +206,7 @@
 	})
 }
 
-// A target in absolute form becomes one in origin form, and its authority the Host.
+// A target in absolute form is converted to origin form, and its authority replaces Host.
 func TestAbsoluteFormIsConverted(t *testing.T) {
 	for target, want := range map[string][2]string{
 		"http://service.internal/latest-reading/7?a=b": {"/latest-reading/7?a=b", "service.internal"},
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,5 @@
-// Package http1 parses and writes HTTP/1.1 messages (RFC 9112, with the semantics of RFC 9110). Its parsers are fed from a buffer as bytes
-// are received and do no I/O. They are strict where two recipients could read a message differently: such a message is rejected with an
-// *Error.
+// Package http1 parses and writes HTTP/1.1 messages (RFC 9112, with the semantics of RFC 9110). Its parsers are incremental: they read from a
+// buffer as bytes are received, and do no I/O. They reject messages that two recipients could read differently, with an *Error.
 package http1
 
 import "hazelwheel/internal/buffer"
@@ -8,7 +7,7 @@
 // Buffer holds the received bytes that a parser reads from.
 type Buffer = buffer.Buffer
 
-// stage is where a parser is within a message.
+// stage is the position of a parser within a message.
 type stage uint8
 
 const (
@@ -16,34 +15,34 @@
 	inBody
 	inChunkSize
 	inChunk
-	inChunkEnd // at the line end after a chunk's data
+	inChunkEnd // at the CRLF after a chunk's data
 	inTrailer
 	untilEnd // the body ends with the connection
 	complete
 )
 
-// message is the state that both parsers share. Its methods are for the goroutine of the connection.
+// message is the state that both parsers have in common. It is not safe for concurrent use.
 type message struct {
 	Header Header
-	Body   []byte // buffered body; TakeBody takes from it
+	Body   []byte // the received body, except for the parts removed by TakeBody
 
 	limits         Limits
 	stage          stage
-	scannedBytes   int // of the present line, without its end so far
-	lineBytes      int // of the head, chunk header or trailers so far; bounded by limits.HeadBytes
+	scannedBytes   int // of the current line, in which no line feed was found
+	lineBytes      int // of the complete lines of the head, chunk size or trailers so far; bounded by limits.HeadBytes
 	startLine      string
-	remaining      int // bytes of the body or chunk to come
-	declaredLength int // Content-Length; -1 without one
-	receivedBody   int // bytes of the body so far, also those taken by TakeBody
+	remaining      int // bytes of the body or chunk not received yet
+	declaredLength int // Content-Length, or -1
+	receivedBody   int // bytes of the body so far, including those removed by TakeBody
 	isChunked      bool
 	minorVersion   int
 }
 
-// reset prepares for the next message. The body's memory isn't reused: a caller may hold it.
+// reset prepares for the next message. The body's memory isn't reused, since a caller may still refer to it.
 func (m *message) reset() { *m = message{limits: m.limits} }
 
-// advance parses what has been received. parseHead is called for a complete head and sets the stage after it, or leaves it at
-// inHead if another head follows.
+// advance parses the received bytes and reports whether the message is complete. It calls parseHead for a complete head. parseHead
+// sets the next stage, or leaves it at inHead if another head follows.
 func (m *message) advance(buf *Buffer, parseHead func() error) (bool, error) {
 	for m.stage == inHead {
 		if done, err := m.readHead(buf); err != nil || !done {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// RequestParser parses a client's requests, one after another. After Next has returned true its fields hold a request, until
-// the next call of Next or Release.
+// RequestParser parses a client's requests, one after another. After Next has returned true, its fields contain a request until the
+// next call of Next or Release.
 type RequestParser struct {
 	message
 	Method string
@@ -15,8 +15,8 @@
 	return RequestParser{message: message{limits: limits}}
 }
 
-// Next parses what buf has received and reports whether a request is complete. An error, which is an *Error, is final: the
-// parser can't go on.
+// Next parses the bytes in buf and reports whether a request is complete. After an error, which is an *Error, the parser must not be
+// used any more.
 func (p *RequestParser) Next(buf *Buffer) (bool, error) {
 	if p.stage == complete {
 		p.reset()
@@ -57,8 +57,8 @@
 	return p.determineFraming(complete)
 }
 
-// convertToOriginForm converts a target in absolute form, which every server must accept (RFC 9112, 3.2.2), into origin form.
-// Its authority replaces the value of Host. A target in another form stays as it is; no route matches it.
+// convertToOriginForm converts a target in absolute form, which every server must accept (RFC 9112, 3.2.2), to origin form. Its
+// authority replaces the value of Host. A target in any other form is left unchanged; no route matches it.
 func (p *RequestParser) convertToOriginForm() error {
 	const scheme = "http://"
 	if len(p.Target) < len(scheme) || !strings.EqualFold(p.Target[:len(scheme)], scheme) {
@@ -70,7 +70,7 @@
 		end = len(rest)
 	}
 	authority := rest[:end]
-	if authority == "" || strings.Contains(authority, "@") { // userinfo can disguise the host (RFC 9110, 4.2.4)
+	if authority == "" || strings.Contains(authority, "@") { // userinfo can be used to disguise the host (RFC 9110, 4.2.4)
 		return malformed("bad target")
 	}
 	for i, f := range p.Header {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Release drops a complete request, whose body may be large. It has no effect on one that is incomplete.
+// Release drops a complete request, to free the memory of its body. It has no effect on an incomplete request.
 func (p *RequestParser) Release() {
 	if p.stage == complete {
 		p.reset()
@@ -92,7 +92,7 @@
 	}
 }
 
-// HasBegun reports whether a part of a request has been received.
+// HasBegun reports whether a request has been received in part, at least its request line.
 func (p *RequestParser) HasBegun() bool {
 	return p.stage != complete && (p.stage != inHead || p.startLine != "")
 }
@@ -102,9 +102,9 @@
 	return p.stage != inHead && p.stage != complete && len(p.Body) == 0 && p.Header.containsToken("Expect", "100-continue")
 }
 
-// MinorVersion returns the minor version of the request's HTTP/1.
+// MinorVersion returns the minor HTTP version of the request, 0 or 1.
 func (p *RequestParser) MinorVersion() int { return p.minorVersion }
 
-// IsPersistent reports whether the connection persists after the response. For HTTP/1.0 it is false, also with "Connection:
+// IsPersistent reports whether the connection persists after the response. For HTTP/1.0 it is always false, even with "Connection:
 // keep-alive".
 func (p *RequestParser) IsPersistent() bool { return p.minorVersion > 0 && p.isPersistent() }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -10,10 +10,10 @@
 type ResponseParser struct {
 	message
 	Status           int
-	interimResponses int // responses that came before the final one
+	interimResponses int // interim responses received so far
 }
 
-// maxInterimResponses bounds the interim (1xx) responses to one request.
+// maxInterimResponses bounds the number of interim (1xx) responses to one request.
 const maxInterimResponses = 100
 
 // NewResponseParser returns a parser that rejects responses beyond the limits.
@@ -21,8 +21,8 @@
 	return ResponseParser{message: message{limits: limits}}
 }
 
-// Next parses what buf has received and reports whether the response is complete. Interim responses are skipped. An error,
-// which is an *Error, is final.
+// Next parses the bytes in buf and reports whether the response is complete. Interim responses are skipped. After an error, which is
+// an *Error, the parser must not be used any more.
 func (p *ResponseParser) Next(buf *Buffer) (bool, error) {
 	done, err := p.advance(buf, p.parseHead)
 	if err == nil && p.stage == inHead {
@@ -31,8 +31,8 @@
 	return done, err
 }
 
-// checkPartialHead checks the part of a head that has been received. Danger: a backend that doesn't speak HTTP may never send a
-// line end, and the response would be waited for until its time-out.
+// checkPartialHead checks the received part of an incomplete head. Danger: a backend that doesn't speak HTTP may never send the end of
+// a line; without this check its response would be awaited until the timeout.
 func (p *ResponseParser) checkPartialHead(buf *Buffer) error {
 	if p.startLine != "" {
 		_, err := p.parseStatusLine()
@@ -80,18 +80,18 @@
 		return err
 	}
 	if p.stage == untilEnd && p.isPersistent() {
-		// Danger: a body delimited by the end of the connection looks complete wherever it is cut. It is accepted only with
-		// "Connection: close", by which the server announces that end.
+		// Danger: a body that is delimited by the end of the connection looks complete wherever it is truncated. It is accepted only if
+		// the server announces the end with "Connection: close".
 		return malformed("neither a length nor an end")
 	}
 	return nil
 }
 
-// HasBegun reports whether any of the response has been received.
+// HasBegun reports whether a part of the response has been received, at least its status line.
 func (p *ResponseParser) HasBegun() bool { return p.stage != inHead || p.startLine != "" }
 
-// HandleEOF must be called when the backend has closed the connection. It reports whether the response is complete by that (RFC
-// 9112, 6.3 and 8).
+// HandleEOF must be called when the backend has closed the connection. It reports whether the response is then complete (RFC 9112, 6.3
+// and 8).
 func (p *ResponseParser) HandleEOF() bool {
 	if p.stage == untilEnd {
 		p.stage = complete
