--- a/internal/netio/multiplex/multiplex.go
+++ b/internal/netio/multiplex/multiplex.go
@@ -1,5 +1,6 @@
 // Package multiplex shares one event loop between two handlers: a core, which gets the connections of the loop's own listeners, and a
-// companion, which gets the connections that it dials and those of listeners that it opens itself. Neither handler notices the other.
+// companion, which gets the connections that it dials and those of listeners that it opens itself. The handlers are independent of each
+// other.
 package multiplex
 
 import (
@@ -8,13 +9,13 @@
 	"hazelwheel/internal/netio"
 )
 
-// SharedLoop is an event loop with two handlers. All its methods are for that loop, or for before it runs.
+// SharedLoop is an event loop with two handlers. Its methods may be called only on that loop, or before it runs.
 type SharedLoop struct {
 	loop         netio.EventLoop
 	handlers     [memberCount]netio.Handler
 	isCompanions func(netio.Conn) bool
-	alarmAt      [memberCount]float64 // +Inf: none is set
-	armedAt      float64              // the alarm that is set in loop; +Inf: none is
+	alarmAt      [memberCount]float64 // +Inf: no alarm is set
+	armedAt      float64              // the alarm that is set in loop; +Inf: none
 }
 
 // The members of a SharedLoop, in the order of their calls.
@@ -24,7 +25,7 @@
 	memberCount
 )
 
-// view is the event loop as one member sees it: the alarm is its own, all else is shared.
+// view is the event loop of one member, with an alarm of its own. All other methods are those of the shared loop.
 type view struct {
 	netio.EventLoop
 	shared *SharedLoop
@@ -42,8 +43,8 @@
 // Companion returns the event loop for the companion.
 func (l *SharedLoop) Companion() netio.EventLoop { return view{l.loop, l, companionMember} }
 
-// Handler returns the handler that the event loop is to call: it passes each call to the core or the companion. isCompanions reports
-// whether a connection is the companion's; its answer for a connection must not change. Handler must be called before the loop runs.
+// Handler returns the handler for the event loop. It passes each call to the core or the companion. isCompanions reports whether a
+// connection belongs to the companion; its result for a connection must not change. Handler must be called before the loop runs.
 func (l *SharedLoop) Handler(core, companion netio.Handler, isCompanions func(netio.Conn) bool) netio.Handler {
 	l.handlers, l.isCompanions = [memberCount]netio.Handler{core, companion}, isCompanions
 	return (*dispatcher)(l)
@@ -55,7 +56,7 @@
 	v.shared.setEarliestAlarm()
 }
 
-// setEarliestAlarm sets the event loop's one alarm to the earlier of the two.
+// setEarliestAlarm sets the event loop's only alarm to the earlier of the members' alarms.
 func (l *SharedLoop) setEarliestAlarm() {
 	if earliest := min(l.alarmAt[coreMember], l.alarmAt[companionMember]); earliest != l.armedAt && !math.IsInf(earliest, 1) {
 		l.armedAt = earliest
@@ -89,7 +90,7 @@
 // Closed implements netio.Handler.
 func (d *dispatcher) Closed(c netio.Conn, err error) { d.handlerOf(c).Closed(c, err) }
 
-// Alarm implements netio.Handler: it calls the members whose alarms are due, and sets the next.
+// Alarm implements netio.Handler: it calls the members whose alarms are due, and sets the next alarm.
 func (d *dispatcher) Alarm() {
 	now := d.loop.Now()
 	d.armedAt = math.Inf(1)
