--- a/internal/netio/virtual/close.go
+++ b/internal/netio/virtual/close.go
@@ -1,6 +1,6 @@
 package virtual
 
-// sendReset sends the peer a reset, once: where it is lost the peer learns of the end only when it sends something.
+// sendReset sends the peer a reset. It is not retransmitted: if it is lost, the peer learns of the end only when it sends something.
 func (c *Conn) sendReset() {
 	if c.peer == nil || c.machine.down {
 		return
@@ -11,30 +11,30 @@
 }
 
 // receiveReset handles a resetEvent. Bytes received before the reset can still be read, as on Linux; unacknowledged bytes are
-// dropped. fromNetwork is 1 if the network injected the reset (Network.Reset) and 0 if the peer sent it, which a lossy path can
-// lose.
+// dropped. fromNetwork is 1 if the network injected the reset (see Network.Reset), and 0 if the peer sent it. Only the latter can be
+// lost on a lossy path.
 func (c *Conn) receiveReset(fromNetwork int32) {
 	if c.state == discarded || c.resetReceived || fromNetwork == 0 && c.peer != nil && !c.peer.delivers(c) {
 		return
 	}
 	c.resetReceived = true
 	c.epoch++
-	// Danger: bytes that the socket had not accepted remain in OutboundBuffered until the handler is notified. By them a program
-	// knows that a request was never sent completely.
+	// Danger: OutboundBuffered must include the bytes that the socket had not accepted until the handler is notified. From them a
+	// program knows that a request was never sent completely.
 	c.outbound = append(c.outbound[:0], c.outbound[c.outboundStart+c.inSocket:]...)
 	c.outboundStart, c.inSocket, c.inFlight, c.arrived = 0, 0, 0, 0
 	if c.state == orphaned {
 		c.state = discarded
 		return
 	}
-	if c.state == handshaking { // never accepted, and never will be
+	if c.state == handshaking { // the connection has not been accepted yet and will not be
 		c.state, c.listener = discarded, nil
 		return
 	}
 	c.markReady()
 }
 
-// Reset resets a connection at both ends, as a middlebox would.
+// Reset resets a connection at both ends, as a middlebox may do.
 func (n *Network) Reset(c *Conn) {
 	for _, end := range [...]*Conn{c, c.peer} {
 		if end != nil && end.state != discarded {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Blackhole loses all further packets of a connection in both directions, with both ends open.
+// Blackhole drops all further packets of a connection in both directions. Both ends stay open.
 func (n *Network) Blackhole(c *Conn) {
 	c.blackholed = true
 	if c.peer != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// closeWrite sends a FIN after the bytes in the socket.
+// closeWrite sends a FIN after the bytes that have been written.
 func (c *Conn) closeWrite() {
 	if !c.writeClosed && !c.resetReceived {
 		c.writeClosed, c.closedAt, c.bytesReadAtClose = true, c.process.networkTime(), c.bytesRead
@@ -61,15 +61,15 @@
 	}
 }
 
-// close calls Handler.Closed and closes the connection. Buffered bytes are offered to the socket once and then dropped. Danger:
-// unread bytes turn the close into a reset, which destroys what the peer has not acknowledged, in either direction.
+// close calls Handler.Closed and closes the connection. Buffered bytes are moved to the socket as far as it has space, and the rest is
+// dropped. As on Linux, a close with unread bytes sends a reset, and unacknowledged bytes in both directions are lost.
 func (c *Conn) close(err error) {
 	p := c.process
 	p.removeConn(c)
 	if c.closedAt == 0 {
 		c.closedAt, c.bytesReadAtClose = p.networkTime(), c.bytesRead
 	}
-	if c.opened { // before the socket is closed, as in gnet
+	if c.opened { // called before the socket is closed, as by gnet
 		p.network.hashCall(p.networkTime(), Closed, p, c.id, nil)
 		p.network.trace(Event{At: p.networkTime(), Kind: Closed, Process: p.options.Name, Peer: c.peerName(), Conn: c.id, Err: err})
 		p.handler.Closed(c, err)
--- a/internal/netio/virtual/descriptors.go
+++ b/internal/netio/virtual/descriptors.go
@@ -1,12 +1,12 @@
 package virtual
 
-// Descriptors returns how many descriptors the process has in use, and the most it has had.
+// Descriptors returns the current and the peak number of descriptors that the process has in use.
 func (p *Process) Descriptors() (current, peak int) { return p.descriptors, p.peakDescriptors }
 
-// DescriptorFailures returns how often no descriptor was free.
+// DescriptorFailures returns how often the process needed a descriptor and none was free.
 func (p *Process) DescriptorFailures() int { return p.descriptorFailures }
 
-// acquireDescriptor takes one of the process's descriptors; false if none is free.
+// acquireDescriptor takes one of the process's descriptors. It returns false if none is free.
 func (p *Process) acquireDescriptor() bool {
 	if p.descriptors >= p.options.MaxDescriptors {
 		p.descriptorFailures++
@@ -18,7 +18,7 @@
 	return true
 }
 
-// releaseDescriptor returns a descriptor, and has a listener that waited for one accept again.
+// releaseDescriptor frees a descriptor, and makes listeners that waited for one accept again.
 func (p *Process) releaseDescriptor() {
 	p.descriptors--
 	for _, l := range p.listeners {
@@ -38,7 +38,7 @@
 	p.conns = append(p.conns, c)
 }
 
-// removeConn removes a connection and releases its descriptor; it has no effect on one that is closed.
+// removeConn removes a connection and releases its descriptor. It has no effect on a closed connection.
 func (p *Process) removeConn(c *Conn) {
 	if !c.hasDescriptor {
 		return
--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -5,8 +5,8 @@
 // dial is an outgoing connection that isn't established yet.
 type dial struct {
 	process           *Process
-	address           netip.AddrPort // that was dialed
-	target            *Machine       // with that address; nil: there is none
+	address           netip.AddrPort // the dialed address
+	target            *Machine       // the machine with that address; nil: none
 	deadline          float64
 	context           any
 	done              func(error)
@@ -39,14 +39,14 @@
 	return d.cancel
 }
 
-// sendSyn sends a SYN and schedules the next, with exponential backoff.
+// sendSyn sends a SYN and schedules its retransmission, with exponential backoff.
 func (d *dial) sendSyn() {
 	if d.finished {
 		return
 	}
 	n := d.process.network
 	if d.target == nil {
-		d.target = n.byIP[d.address.Addr().String()] // it may have been created since
+		d.target = n.byIP[d.address.Addr().String()] // the machine may have been created meanwhile
 	}
 	if d.target != nil {
 		n.enqueueEvent(n.arrivalTime(d.process.machine, d.target, n.now+d.process.turnSeconds), scheduledEvent{kind: synEvent, dial: d})
@@ -63,7 +63,7 @@
 	if !n.delivers(d.process.machine, machine) || d.process.machine.down {
 		return
 	}
-	if c.peer != nil { // the SYN-ACK was lost, or is under way
+	if c.peer != nil { // a repeated SYN: the SYN-ACK was lost, or is in flight
 		if c.peer.state != discarded && c.state == handshaking {
 			n.enqueueEvent(n.arrivalTime(machine, d.process.machine, 0), scheduledEvent{kind: synAckEvent, dial: d, conn: c.peer})
 		}
@@ -99,7 +99,7 @@
 	c.sendSegment(0, false)
 	p := d.process
 	p.addConn(c)
-	// Open is called from a post: bytes that arrive before it are handled after it.
+	// Open is called from a post, which runs at the end of the turn. Bytes that arrive before are handled after it.
 	p.posts = append(p.posts, func() {
 		if c.hasDescriptor {
 			c.reportOpen(d.reportResult)
@@ -127,7 +127,7 @@
 	}
 }
 
-// receiveRefusal handles a refusalEvent: no process listens at the address.
+// receiveRefusal handles a refusalEvent, which means that no process listens at the address.
 func (d *dial) receiveRefusal() {
 	if !d.finished && d.process.network.delivers(d.target, d.process.machine) {
 		d.fail(errRefused)
@@ -145,16 +145,16 @@
 	d.process.Post(func() { d.reportResult(err) })
 }
 
-// cancel gives the dial up.
+// cancel aborts the dial and has the handler notified.
 func (d *dial) cancel() { d.fail(errDialCancelled) }
 
-// abort ends the dial of a process that exits, without notice.
+// abort ends the dial of a process that exits, without notifying the handler.
 func (d *dial) abort() {
 	d.remove()
 	d.conn.state = discarded
 }
 
-// remove takes the dial off the process's list.
+// remove marks the dial as finished and removes it from the process's list.
 func (d *dial) remove() {
 	p := d.process
 	d.finished = true
--- a/internal/netio/virtual/errors.go
+++ b/internal/netio/virtual/errors.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// The errors of Handler.Closed, Write and dials. Those of the network are the system calls' own, so that a program can tell them apart by
-// errors.Is as with real sockets.
+// The errors of Handler.Closed, Write and dials. Network errors wrap the same system call errors as those of real sockets, so that errors.Is
+// works alike.
 var (
 	errReset         = os.NewSyscallError("read", syscall.ECONNRESET)
 	errBrokenPipe    = os.NewSyscallError("write", syscall.EPIPE)
--- a/internal/netio/virtual/listener.go
+++ b/internal/netio/virtual/listener.go
@@ -10,14 +10,14 @@
 type listener struct {
 	owner            *Process
 	backlog          int
-	queue            []*Conn // the accept queue: established connections, not accepted yet
-	descriptorWanted bool    // the last accept found no free descriptor
+	queue            []*Conn // accept queue: connections that are established but not accepted yet
+	descriptorWanted bool    // the last accept failed for lack of a descriptor
 	closed           bool
 	port             uint16
 	addedLater       bool // opened by Process.Listen
 }
 
-// listenAt opens a listener without a check of the port.
+// listenAt opens a listener. The caller has checked that the port is free.
 func (p *Process) listenAt(port uint16, addedLater bool) *listener {
 	l := &listener{owner: p, backlog: p.options.Backlog, port: port, addedLater: addedLater}
 	p.machine.listeners[port] = l
@@ -47,13 +47,12 @@
 	}, nil
 }
 
-// accept accepts one connection of a listener. Without a free descriptor (EMFILE) it stays in the accept queue.
+// accept accepts one connection of a listener. If no descriptor is free (EMFILE), the connection stays in the accept queue.
 func (p *Process) accept(l *listener) {
 	if len(l.queue) == 0 || l.closed {
 		return
 	}
 	if !p.acquireDescriptor() {
-		// As with EMFILE: the connection stays where it is.
 		l.descriptorWanted = true
 		return
 	}
@@ -85,8 +84,8 @@
 
 func anyListener(*listener) bool { return true }
 
-// closeListenersIf closes the listeners that match. Connections in their accept queues are reset, with or without notice to the
-// peers.
+// closeListenersIf closes the listeners that match. Connections in their accept queues are discarded; with sendResets their peers are
+// sent resets.
 func (p *Process) closeListenersIf(sendResets bool, matches func(*listener) bool) {
 	p.listeners = slices.DeleteFunc(p.listeners, func(l *listener) bool {
 		if !matches(l) {
--- a/internal/netio/virtual/machine.go
+++ b/internal/netio/virtual/machine.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// Machine is a host of the network: an address with processes and sockets.
+// Machine is a host on the network, with an IP address, processes and sockets.
 type Machine struct {
 	network                  *Network
 	ip                       netip.Addr
@@ -15,12 +15,12 @@
 	down                     bool
 	listeners                map[uint16]*listener // by port, for lookups; never iterated
 	processes                []*Process
-	lastDialPort             uint16  // the local port given to the last dial
-	delayedShare             float64 // of the handshakes that take longer
-	maxHandshakeDelaySeconds float64 // by at most so much
+	lastDialPort             uint16  // the local port of the last dial
+	delayedShare             float64 // fraction of the handshakes that are delayed
+	maxHandshakeDelaySeconds float64 // maximum delay of these
 }
 
-// Machine returns the machine with an address; it is created if there is none.
+// Machine returns the machine with an address, and creates it if it does not exist.
 func (n *Network) Machine(ip string) *Machine {
 	if m := n.byIP[ip]; m != nil {
 		return m
@@ -45,13 +45,13 @@
 // IsDown reports whether the machine is powered off.
 func (m *Machine) IsDown() bool { return m.down }
 
-// SetHandshakeDelay delays a share of the handshakes of connections dialed to the machine by up to maxSeconds; a share of 0
-// ends this.
+// SetHandshakeDelay delays a fraction (share) of the handshakes of connections to the machine by up to maxSeconds. A share of 0 ends the
+// delays.
 func (m *Machine) SetHandshakeDelay(share, maxSeconds float64) {
 	m.delayedShare, m.maxHandshakeDelaySeconds = share, maxSeconds
 }
 
-// handshakeDelay returns the delay of one handshake. It draws from the seed only while a share is set.
+// handshakeDelay returns the random delay of one handshake. It draws random numbers only while delays are set.
 func (m *Machine) handshakeDelay() float64 {
 	if m.delayedShare == 0 || m.network.rand.Float64() >= m.delayedShare {
 		return 0
@@ -59,8 +59,8 @@
 	return m.maxHandshakeDelaySeconds * m.network.rand.Float64()
 }
 
-// PowerOff stops the machine without notice to its peers, as a power failure does: its processes are gone, and connections to
-// it stay open at the other end. Danger: Process.Kill is different, it resets them.
+// PowerOff stops the machine without notifying its peers, as a power failure does: its processes end, and connections to it stay open at
+// the other end. Process.Kill, in contrast, resets the connections.
 func (m *Machine) PowerOff() {
 	m.down = true
 	for _, p := range m.processes {
@@ -70,21 +70,20 @@
 	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "vanished"})
 }
 
-// PowerOn starts a machine again that was powered off, with no process. Segments for its former connections are answered with a
-// reset.
+// PowerOn restarts a machine that was powered off, without any process. Segments for its former connections are answered with a reset.
 func (m *Machine) PowerOn() {
 	m.down = false
 	m.network.trace(Event{Kind: StateChanged, Process: m.ipText, Peer: "returned"})
 }
 
-// Process returns a process that has not been started.
+// Process returns a new process on the machine, which Run starts.
 func (m *Machine) Process(options ProcessOptions) *Process {
 	options.setDefaults()
 	m.network.processCount++
 	return &Process{network: m.network, machine: m, options: options, number: m.network.processCount}
 }
 
-// nextPort returns an ephemeral port for a dial.
+// nextPort returns the next ephemeral port for a dial.
 func (m *Machine) nextPort() uint16 {
 	for {
 		m.lastDialPort++
--- a/internal/netio/virtual/path.go
+++ b/internal/netio/virtual/path.go
@@ -3,7 +3,7 @@
 // Path describes how packets travel from one machine to another.
 type Path struct {
 	LatencySeconds  float64
-	JitterSeconds   float64 // upper bound of the random delay added to each packet; a connection's packets stay in order
+	JitterSeconds   float64 // maximum of the random delay added to each packet; the packets of a connection stay in order
 	LossProbability float64 // from 0 to 1
 	BytesPerSecond  float64 // of each connection; 0: unlimited
 }
@@ -14,7 +14,7 @@
 // PathOf returns how packets travel from one machine to another.
 func (n *Network) PathOf(from, to *Machine) Path { return n.paths[from.number][to.number] }
 
-// SetPartitioned loses all packets from one machine to another, or none any longer. TCP retransmits with backoff what was lost.
+// SetPartitioned sets whether all packets from one machine to another are lost, or none. Lost bytes are retransmitted with backoff.
 func (n *Network) SetPartitioned(from, to *Machine, partitioned bool) {
 	p := &n.paths[from.number][to.number]
 	if p.LossProbability = 0; partitioned {
@@ -22,18 +22,18 @@
 	}
 }
 
-// SetRate limits each connection from one machine to another to so many bytes a second; 0: unlimited.
+// SetRate limits the rate of each connection from one machine to another; 0 means unlimited.
 func (n *Network) SetRate(from, to *Machine, bytesPerSecond float64) {
 	n.paths[from.number][to.number].BytesPerSecond = bytesPerSecond
 }
 
-// arrivalTime returns when a packet that leaves now, or at a later time, arrives. It draws the jitter from the seed.
+// arrivalTime returns when a packet arrives that is sent at a time, or now if that has passed. The jitter is random.
 func (n *Network) arrivalTime(from, to *Machine, at float64) float64 {
 	p := &n.paths[from.number][to.number]
 	return max(at, n.now) + p.LatencySeconds + p.JitterSeconds*n.rand.Float64()
 }
 
-// delivers reports whether a packet that would arrive now gets through. It draws from the seed on a lossy path.
+// delivers reports whether a packet that would arrive now is delivered. On a lossy path this is random.
 func (n *Network) delivers(from, to *Machine) bool {
 	if to.down {
 		return false
--- a/internal/netio/virtual/process.go
+++ b/internal/netio/virtual/process.go
@@ -17,20 +17,20 @@
 	handler netio.Handler
 
 	listeners     []*listener
-	conns         []*Conn // that have a descriptor; their order has no meaning
+	conns         []*Conn // open connections, in no particular order
 	dials         []*dial
 	ready         []readyItem // for the next turn
-	batch         []readyItem // of the present turn
+	batch         []readyItem // being handled in the current turn
 	posts         []func()
 	yields        []func()
-	alarmAt       float64 // by the network's time; NaN: none is set
+	alarmAt       float64 // by the network's clock; NaN: no alarm is set
 	localAlarmAt  float64 // the same by the process's clock
-	alarmEventAt  float64 // the first time with an alarmEvent in the queue; +Inf: there is none
+	alarmEventAt  float64 // earliest time of an alarmEvent in the queue; +Inf: none
 	clock         clock
 	alarmDue      bool
-	turnSeconds   float64 // that the calls of this turn have taken so far
+	turnSeconds   float64 // duration of the calls in this turn so far
 	busyUntil     float64
-	stalledUntil  float64 // the event loop does not turn before this time
+	stalledUntil  float64 // the event loop does not run before this time
 	turnScheduled bool
 	inTurn        bool
 	started       bool
@@ -42,8 +42,8 @@
 
 var _ netio.EventLoop = (*Process)(nil)
 
-// Run starts a program. Its first call comes with the first turn of the event loop. If an address can't be listened at, Run
-// returns an error and starts nothing.
+// Run starts a program. Its handler is first called in the first turn of the event loop. If listening at an address fails, Run returns an
+// error and starts nothing.
 func (p *Process) Run(handler netio.Handler) error {
 	for _, text := range p.options.Listen {
 		a, err := netip.ParseAddrPort(text)
@@ -77,13 +77,13 @@
 // IsRunning reports whether the process has been started and has not ended.
 func (p *Process) IsRunning() bool { return p.handler != nil && !p.ended }
 
-// Conns returns the connections that are open; the slice is valid until the next event.
+// Conns returns the open connections. The slice is valid until the next event.
 func (p *Process) Conns() []*Conn { return p.conns }
 
 // Dialing returns the number of dials in progress.
 func (p *Process) Dialing() int { return len(p.dials) }
 
-// Kill ends the process at once, as SIGKILL does: its connections are reset and its address refuses dials.
+// Kill ends the process at once, as SIGKILL does: its connections are reset, and dials to its addresses are refused.
 func (p *Process) Kill() {
 	if p.ended || p.handler == nil {
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-// terminate ends the process without a call of its handler. Its connections are reset, with or without notice to the peers.
+// terminate ends the process without calling its handler. Its connections are discarded; with sendResets their peers are sent resets.
 func (p *Process) terminate(sendResets bool) {
 	if p.ended {
 		return
@@ -125,8 +125,8 @@
 	p.conns, p.dials, p.ready, p.posts = nil, nil, nil, nil
 }
 
-// SetConnReadRate sets how fast the process reads from one connection, in bytes a second; 0: the process's rate; below 0: not
-// at all.
+// SetConnReadRate sets how fast the process reads from one connection, in bytes per second. 0 means the process's rate, and below 0
+// nothing is read.
 func (p *Process) SetConnReadRate(conn netio.Conn, rate float64) {
 	if c := conn.(*Conn); c.process == p {
 		if c.readRate = rate; rate >= 0 {
@@ -135,8 +135,8 @@
 	}
 }
 
-// SetReadRate sets how fast the process reads from each connection without a rate of its own, in bytes a second; 0: unlimited;
-// below 0: not at all.
+// SetReadRate sets how fast the process reads from each connection without a rate of its own, in bytes per second. 0 means unlimited, and
+// below 0 nothing is read.
 func (p *Process) SetReadRate(rate float64) {
 	p.options.ReadRate = rate
 	for _, c := range p.conns {
@@ -176,7 +176,7 @@
 	p.scheduleTurn()
 }
 
-// exit ends the process in order: each open connection is closed and the handler notified.
+// exit ends the process gracefully: each open connection is closed and the handler is notified.
 func (p *Process) exit() {
 	p.closeListeners()
 	for len(p.conns) > 0 {
--- a/internal/netio/virtual/queue.go
+++ b/internal/netio/virtual/queue.go
@@ -32,7 +32,7 @@
 	call    func()
 }
 
-// dispatch makes an event happen.
+// dispatch executes an event.
 func (n *Network) dispatch(e *scheduledEvent) {
 	switch e.kind {
 	case callEvent:
@@ -66,19 +66,19 @@
 	}
 }
 
-// queueEntry is an event in the queue, a heap with four children a node, ordered by time and then by the order of scheduling.
+// queueEntry is an entry of the event queue. The queue is a 4-ary heap, ordered by time and then by the order of scheduling.
 type queueEntry struct {
 	at    float64
 	seq   uint64
 	event int32
 }
 
-// before reports whether the event of a happens before that of b.
+// before reports whether a comes before b.
 func (a *queueEntry) before(b *queueEntry) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
-// enqueueEvent schedules an event; a time that is past or not a number means now.
+// enqueueEvent schedules an event. A time that has passed, or NaN, means now.
 func (n *Network) enqueueEvent(at float64, e scheduledEvent) {
-	if !(at > n.now) { // negated so that NaN counts
+	if !(at > n.now) { // negated so that it is true for NaN
 		at = n.now
 	}
 	var index int32
@@ -102,7 +102,7 @@
 	n.queue[i] = entry
 }
 
-// dequeueEvent removes the next event; the queue must not be empty.
+// dequeueEvent removes and returns the next entry. The queue must not be empty.
 func (n *Network) dequeueEvent() queueEntry {
 	q := n.queue
 	first, last := q[0], q[len(q)-1]
--- a/internal/netio/virtual/receive.go
+++ b/internal/netio/virtual/receive.go
@@ -1,9 +1,9 @@
 package virtual
 
-// maxReadSize is the number of bytes that one call of Handler.Traffic gets at most.
+// maxReadSize is the maximum number of bytes passed to one call of Handler.Traffic.
 const maxReadSize = 64 << 10
 
-// slowReadIntervalSeconds is the least time between two reads of a connection with a read rate.
+// slowReadIntervalSeconds is the minimum time between two reads of a connection with a read rate.
 const slowReadIntervalSeconds = 0.02
 
 // bufferInbound appends received bytes to the socket's receive buffer.
@@ -46,15 +46,15 @@
 	}
 }
 
-// handleReady handles what has happened to the connection since the last turn: space in the socket, received bytes, then its
-// end.
+// handleReady handles what has happened to the connection since the last turn: first space in the send buffer, then received bytes, then
+// the end of the connection.
 func (c *Conn) handleReady() {
 	c.isReady = false
 	if !c.hasDescriptor || !c.opened {
 		return
 	}
 	if c.resetReceived && c.unacceptedBytes() > 0 {
-		c.close(errBrokenPipe) // gnet writes before it reads, and the write fails
+		c.close(errBrokenPipe) // as with gnet, which writes before it reads: the write fails
 		return
 	}
 	if c.writable && !c.resetReceived && !c.resumeWriting() {
@@ -79,8 +79,8 @@
 	}
 }
 
-// resumeWriting refills the socket, which has space again. It returns false if that has closed the connection: bytes behind a FIN can't
-// be sent.
+// resumeWriting moves buffered bytes to the socket, which has space again. If a FIN is due or sent, the bytes can't be sent any more; it
+// then closes the connection and returns false.
 func (c *Conn) resumeWriting() bool {
 	c.writable = false
 	if c.writeClosed {
@@ -100,8 +100,8 @@
 	return c.readRate
 }
 
-// read passes unread bytes to the handler, as many as one call and the rate allow. It returns true if the connection is still open and
-// nothing is left unread, and schedules the next read if something is.
+// read passes unread bytes to the handler, limited by maxReadSize and the rate. It returns true if the connection is still open and no
+// bytes are left unread. If bytes are left, it schedules the next read.
 func (c *Conn) read(rate float64) bool {
 	p := c.process
 	n := min(c.unreadBytes(), maxReadSize)
@@ -149,7 +149,7 @@
 	c.markReady()
 }
 
-// sendWindowUpdate notifies a peer that waits for space in the receive window.
+// sendWindowUpdate notifies the peer if it is waiting for space in the receive window.
 func (c *Conn) sendWindowUpdate() {
 	if c.windowUpdateDue {
 		c.windowUpdateDue = false
--- a/internal/netio/virtual/send.go
+++ b/internal/netio/virtual/send.go
@@ -2,28 +2,28 @@
 
 import "net"
 
-// TCP's time-outs before a retransmission; each is twice the one before.
+// The timeouts of TCP before a retransmission. Each is twice the one before.
 const (
 	initialRetransmitSeconds = 0.2
 	maxRetransmitSeconds     = 10.0
 	initialSynTimeoutSeconds = 1.0
 )
 
-// writeMark records when the bytes before an offset of the stream were written.
+// writeMark records when the bytes up to an offset of the stream (end) were written.
 type writeMark struct {
 	end uint64
 	at  float64
 }
 
-// Write implements netio.Conn. As with gnet, a connection found broken is closed, and its handler notified, before Write
-// returns.
+// Write implements netio.Conn. As with gnet, if the connection turns out to be broken, it is closed and the handler is notified before
+// Write returns.
 func (c *Conn) Write(p []byte) (int, error) {
 	if !c.hasDescriptor {
 		return 0, net.ErrClosed
 	}
 	c.network.trace(Event{At: c.process.networkTime(), Kind: Sent, Process: c.process.options.Name, Peer: c.peerName(), Conn: c.id, N: len(p), Data: p})
 	if c.unacceptedBytes() == 0 && (c.resetReceived || c.writeClosed && len(p) > 0) {
-		c.close(errBrokenPipe) // as gnet does, before Write returns
+		c.close(errBrokenPipe)
 		return 0, errBrokenPipe
 	}
 	if c.outboundStart > 0 && c.outboundStart == len(c.outbound) {
@@ -39,13 +39,13 @@
 	return len(p), nil
 }
 
-// fillSocket moves written bytes into the socket's send buffer, as far as it has space.
+// fillSocket moves buffered bytes to the socket's send buffer, as far as it has space.
 func (c *Conn) fillSocket() {
 	c.inSocket += max(min(c.unacceptedBytes(), c.process.options.SendBuffer-c.inSocket), 0)
 }
 
-// transmit sends the unsent bytes of the socket as far as the peer's receive window and the path's rate allow, in segments that
-// are split at random, and the FIN after the last byte.
+// transmit sends the unsent bytes of the socket as far as the peer's receive window and the path's rate allow, in segments of random
+// size, and the FIN after the last byte.
 func (c *Conn) transmit() {
 	if c.state == discarded || c.resetReceived || c.segmentLost || c.peer == nil || c.state == handshaking {
 		return
@@ -73,10 +73,10 @@
 	}
 }
 
-// rateBurstSeconds is for how long a connection may exceed its rate: so many seconds' bytes are sent at once.
+// rateBurstSeconds is the size of a burst on a path with a limited rate: the bytes of this many seconds are sent at once.
 const rateBurstSeconds = 0.05
 
-// limitToRate returns how many of size bytes may be sent now on a path of so many bytes a second, and schedules the rest.
+// limitToRate returns how many of n bytes may be sent now on a path with a limited rate, and schedules the sending of the rest.
 func (c *Conn) limitToRate(n int, bytesPerSecond float64) int {
 	if c.nextSendAt > c.network.now {
 		n = 0
@@ -91,14 +91,13 @@
 	return n
 }
 
-// resumeTransmit handles a rateEvent: it sends what limitToRate has held back.
+// resumeTransmit handles a rateEvent: it sends the bytes that limitToRate has delayed.
 func (c *Conn) resumeTransmit() {
 	c.sendScheduled = false
 	c.transmit()
 }
 
-// claimFin reports whether the FIN can be sent now, and records that it is. It goes with the last bytes or in a segment of its
-// own.
+// claimFin reports whether the FIN can be sent now, and marks it as sent. It is sent with the last bytes or in a segment of its own.
 func (c *Conn) claimFin() bool {
 	if !c.writeClosed || c.finSent || c.unsentBytes() > 0 || c.unacceptedBytes() > 0 {
 		return false
@@ -107,20 +106,19 @@
 	return true
 }
 
-// sendSegment schedules the arrival of a segment of n bytes, no earlier than those sent before.
+// sendSegment schedules the arrival of a segment of n bytes, not before that of the segments sent earlier.
 func (c *Conn) sendSegment(n int, fin bool) {
 	c.lastArrivalAt = max(c.lastArrivalAt, c.network.arrivalTime(c.machine, c.peer.machine, c.network.now+c.process.turnSeconds))
 	c.network.enqueueEvent(c.lastArrivalAt, scheduledEvent{kind: segmentEvent, conn: c, n: int32(n), fin: fin, epoch: c.epoch})
 }
 
-// delivers reports whether a packet of this connection arriving now at the other end gets there. It draws from the seed on a
-// lossy path.
+// delivers reports whether a packet from this end that would arrive now at the other end is delivered. On a lossy path this is random.
 func (c *Conn) delivers(to *Conn) bool {
 	return !c.blackholed && c.network.delivers(c.machine, to.machine)
 }
 
-// deliverSegment handles a segmentEvent: a segment sent by c arrives at the peer. The acknowledgement returns at once unless
-// the way back loses it.
+// deliverSegment handles a segmentEvent: a segment sent by c arrives at the peer. The acknowledgement arrives at once, unless the path
+// back loses it.
 func (c *Conn) deliverSegment(n int, fin bool, epoch uint32) {
 	if epoch != c.epoch || c.resetReceived {
 		return
@@ -132,7 +130,7 @@
 		return
 	}
 	if to.state == discarded || to.resetReceived || to.state == orphaned && n > 0 {
-		// Danger: as on Linux, bytes for a socket that its process has closed end it, with what it still has to send.
+		// As on Linux, bytes for a socket that its process has closed reset the connection. What the socket still had to send is lost.
 		to.sendReset()
 		to.state = discarded
 		c.loseInFlight()
@@ -159,7 +157,7 @@
 	}
 }
 
-// acknowledge removes the bytes that have arrived at the peer from the socket.
+// acknowledge removes the bytes that have arrived at the peer from the send buffer.
 func (c *Conn) acknowledge() {
 	if c.arrived == 0 {
 		return
@@ -195,7 +193,7 @@
 	c.network.enqueueEvent(c.network.now+c.retransmitSeconds, scheduledEvent{kind: retransmitEvent, conn: c})
 }
 
-// retransmit handles a retransmitEvent: it sends what was lost again, or has a lost acknowledgement repeated.
+// retransmit handles a retransmitEvent: it resends what was lost, or has the peer repeat a lost acknowledgement.
 func (c *Conn) retransmit() {
 	c.retransmitScheduled = false
 	if c.state == discarded || c.resetReceived {
@@ -208,7 +206,7 @@
 		}
 	} else if c.arrived > 0 {
 		if c.delivers(c.peer) && c.peer.delivers(c) {
-			if c.peer.state == discarded { // it has no record of the connection any more
+			if c.peer.state == discarded { // the peer does not know the connection any more
 				c.peer.sendReset()
 			}
 			c.acknowledge()
@@ -219,7 +217,7 @@
 	c.transmit()
 }
 
-// takeWriteTime returns when the byte before offset was written, and drops the marks before it.
+// takeWriteTime returns when the byte before offset was written, and drops the marks that are not needed any more.
 func (c *Conn) takeWriteTime(offset uint64) float64 {
 	i := 0
 	for c.writeMarks[i].end < offset {
--- a/internal/netio/virtual/trace.go
+++ b/internal/netio/virtual/trace.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// trace passes an event to Trace; an event without a time happens now.
+// trace passes an event to Trace. If it has no time, it gets the current one.
 func (n *Network) trace(e Event) {
 	if n.Trace != nil {
 		if e.At == 0 {
@@ -16,7 +16,7 @@
 	}
 }
 
-// EventKind is what an Event reports.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // The kinds of events.
@@ -31,12 +31,12 @@
 	Lost                                  // a segment of N bytes was lost
 	ResetSent                             // a reset was sent
 	DescriptorsExhausted                  // a process found no free descriptor
-	StateChanged                          // a process or machine was started, stopped, killed or lost
+	StateChanged                          // a process was started, killed or ended, or a machine was powered off or on
 )
 
 var kindNames = [...]string{"opened", "received", "sent", "ended", "dialed", "not up", "alarm", "lost", "reset", "no descriptor", "changed"}
 
-// String returns the kind as traces show it.
+// String returns the name of the kind in traces.
 func (k EventKind) String() string { return kindNames[k] }
 
 // Event is an entry of the network's trace.
@@ -48,7 +48,7 @@
 	Conn    uint64 // Conn.ID; 0 if the event concerns no connection
 	N       int
 	Err     error
-	Data    []byte // of Received and Sent; valid until Trace returns
+	Data    []byte // the bytes, for Received and Sent; valid until Trace returns
 }
 
 // String returns the event as one line, without its time.
@@ -69,7 +69,7 @@
 	return s
 }
 
-// hashCall adds a call of a handler to the hash of the history.
+// hashCall adds a call to a handler to the hash of the history.
 func (n *Network) hashCall(at float64, kind EventKind, p *Process, conn uint64, data []byte) {
 	b := n.hashBuffer[:]
 	binary.LittleEndian.PutUint64(b, math.Float64bits(at))
--- a/internal/netio/virtual/turn.go
+++ b/internal/netio/virtual/turn.go
@@ -8,7 +8,7 @@
 	listener *listener
 }
 
-// Stall stops the event loop until a time. What arrives meanwhile is handled in one turn after it.
+// Stall suspends the event loop until a time. Everything that arrives meanwhile is handled in one turn after it.
 func (p *Process) Stall(until float64) {
 	p.stalledUntil = max(p.stalledUntil, until)
 }
@@ -16,13 +16,13 @@
 // EndStall ends a Stall at once.
 func (p *Process) EndStall() {
 	p.stalledUntil = 0
-	if !p.ended && p.handler != nil && !p.inTurn { // the turn scheduled for the stall's end comes too late
+	if !p.ended && p.handler != nil && !p.inTurn { // a turn that is already scheduled for the end of the stall would come too late
 		p.turnScheduled = true
 		p.network.enqueueEvent(max(p.network.now, p.busyUntil), scheduledEvent{kind: turnEvent, process: p})
 	}
 }
 
-// Post implements netio.EventLoop: f is called at the end of this turn, or in the next.
+// Post implements netio.EventLoop: f is called at the end of the current turn, or in the next one.
 func (p *Process) Post(f func()) {
 	if p.ended {
 		return
@@ -31,8 +31,8 @@
 	p.scheduleTurn()
 }
 
-// Yield implements netio.EventLoop: f is called after the connections that are ready in this turn, or in the next if these have
-// been handled. Danger: called with the posts, it would come before bytes that arrived while these took their time.
+// Yield implements netio.EventLoop: f is called after the ready connections of the current turn, or of the next one if the current ones
+// have been handled. Danger: if it were called with the posts, it would precede bytes that arrive while earlier posts are running.
 func (p *Process) Yield(f func()) {
 	if p.ended {
 		return
@@ -41,7 +41,7 @@
 	p.scheduleTurn()
 }
 
-// runYields calls the functions given to Yield before now.
+// runYields calls the functions given to Yield so far.
 func (p *Process) runYields() {
 	due := p.yields
 	p.yields = nil
@@ -68,11 +68,11 @@
 	}
 }
 
-// handleAlarmEvent handles an alarmEvent: the handler is called in the next turn, or the event is put off if the alarm was
-// moved.
+// handleAlarmEvent handles an alarmEvent: it makes the next turn call the handler, or schedules another event if the alarm was moved to a
+// later time.
 func (p *Process) handleAlarmEvent() {
 	if p.ended || p.network.now < p.alarmEventAt {
-		return // an event scheduled later for an earlier time has replaced this one
+		return // another event was scheduled for an earlier time and has replaced this one
 	}
 	p.alarmEventAt = math.Inf(1)
 	switch {
@@ -85,7 +85,8 @@
 	}
 }
 
-// scheduleTurn schedules a turn of the event loop, as soon as the wake-up delay, a stall and the present turn's calls allow.
+// scheduleTurn schedules a turn of the event loop unless one is scheduled. It starts as soon as the wake-up delay, a stall and the duration
+// of the last turn's calls allow.
 func (p *Process) scheduleTurn() {
 	if p.turnScheduled || p.inTurn || p.ended || p.handler == nil {
 		return
@@ -98,10 +99,10 @@
 	p.network.enqueueEvent(max(at, p.busyUntil, p.stalledUntil), scheduledEvent{kind: turnEvent, process: p})
 }
 
-// addCallTime adds the time of one call of the handler to the turn.
+// addCallTime adds the simulated duration of one call of the handler to the turn.
 func (p *Process) addCallTime() { p.turnSeconds += p.options.CallSeconds }
 
-// runTurn is one turn of the event loop: the ready connections, the yields, the posts, then the alarm.
+// runTurn runs one turn of the event loop. It handles the ready connections, the yields, the posts and the alarm, in this order.
 func (p *Process) runTurn() {
 	p.turnScheduled = false
 	if p.ended {
@@ -153,10 +154,10 @@
 	}
 }
 
-// maxPostsPerTurn bounds the posts of one turn: a post that posts itself must not stop the simulation.
+// maxPostsPerTurn bounds the posts of one turn, so that a post that posts itself does not block the simulation.
 const maxPostsPerTurn = 4096
 
-// runPosts calls the posted functions, also those posted by them.
+// runPosts calls the posted functions, including those that they post.
 func (p *Process) runPosts() {
 	done := 0
 	for ; done < len(p.posts) && done < maxPostsPerTurn && !p.ended && !p.stopping; done++ {
--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -18,7 +18,7 @@
 // startTime is the Unix time at which the tests' networks start.
 const startTime = 1.7e9
 
-// recordingHandler records its calls and checks their order.
+// recordingHandler records its calls, and checks that there is no call for a connection after Closed.
 type recordingHandler struct {
 	t        assert.TestingT
 	process  *Process
@@ -50,7 +50,7 @@
 	p.calls = append(p.calls, "traffic")
 	id := c.(*Conn).id
 	_, over := p.closed[id]
-	assert.False(p.t, over, "bytes after the end")
+	assert.False(p.t, over, "Traffic after Closed")
 	assert.NotEmpty(p.t, data)
 	p.received[id].Write(data)
 	if p.onData != nil {
@@ -62,7 +62,7 @@
 	p.calls = append(p.calls, "closed")
 	id := c.(*Conn).id
 	_, over := p.closed[id]
-	assert.False(p.t, over, "two ends")
+	assert.False(p.t, over, "Closed called twice")
 	p.closed[id] = err
 	if p.onClosed != nil {
 		p.onClosed(c)
@@ -89,7 +89,7 @@
 
 const serverAddress = "10.0.0.2:80"
 
-// connectPair starts two handlers, of which the first dials the second, and returns the dial's results.
+// connectPair starts two handlers, a and b. a dials b, and the results of the dial are appended to dialResults.
 func connectPair(t assert.TestingT, network *Network, client, server ProcessOptions) (a, b *recordingHandler, dialResults *[]error) {
 	server.Listen = []string{serverAddress}
 	a, b = startHandler(t, network, "10.0.0.1", client), startHandler(t, network, "10.0.0.2", server)
@@ -99,8 +99,8 @@
 	return a, b, dialResults
 }
 
-// Written bytes arrive complete and in order, however segments are split, lost and delayed and however slowly they are read;
-// each side gets one end.
+// Written bytes arrive completely and in order, however segments are split, lost and delayed and however slowly they are read. Closed is
+// called once at each side.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := New(rapid.Uint64().Draw(t, "seed"), startTime)
@@ -115,7 +115,7 @@
 		network.RunUntil(network.Now() + 5)
 		if len(b.conns) == 0 {
 			require.Len(t, *dialResults, 1)
-			return // the dial was lost on the way
+			return // the dial failed because its packets were lost
 		}
 		ends := []*Conn{a.conns[0], b.conns[0]}
 		var sent [2]bytes.Buffer
@@ -145,7 +145,7 @@
 		last := rapid.SliceOfN(rapid.Byte(), 1, ends[0].process.options.SendBuffer).Draw(t, "last")
 		_, err := ends[0].Write(last)
 		require.NoError(t, err)
-		ends[0].process.Close(ends[0]) // behind what the socket has taken
+		ends[0].process.Close(ends[0]) // the bytes that the socket has accepted are still sent
 		network.RunUntil(network.Now() + 40)
 		assert.Equal(t, append(sent[0].Bytes(), last...), b.received[ends[0].id].Bytes())
 		assert.Equal(t, map[uint64]error{ends[0].id: nil}, a.closed)
@@ -155,7 +155,7 @@
 	})
 }
 
-// Each way for a connection to end reports its own error at either end.
+// Handler.Closed gets the error at each side that fits the way in which the connection ended.
 func TestConnectionEnds(t *testing.T) {
 	write := func(p *recordingHandler, text string) { _, _ = p.conns[0].Write([]byte(text)) }
 	for name, c := range map[string]struct {
@@ -247,14 +247,14 @@
 	}
 }
 
-// Each way for a dial to fail reports its own error, at its own time.
+// The error and the time of a dial's result depend on how the dial fails or succeeds.
 func TestDialResults(t *testing.T) {
 	var network *Network
 	var a, b *recordingHandler
 	for name, c := range map[string]struct {
 		prepare func()
 		want    error
-		at      float64 // when the dial ends, from its beginning
+		at      float64 // time from the start of the dial to its result
 	}{
 		"refused":                        {func() { b.process.StopListening(func() {}) }, syscall.ECONNREFUSED, 0.001},
 		"refused after a kill":           {func() { b.process.Kill() }, syscall.ECONNREFUSED, 0.001},
@@ -310,7 +310,7 @@
 	assert.Equal(t, 1, a.process.descriptors)
 }
 
-// A peer that doesn't read fills its receive window, then the send buffer, then the event loop's buffer; once it reads, sending
+// If a peer doesn't read, its receive window fills first, then the send buffer, then the buffer of the event loop. Once it reads, sending
 // continues.
 func TestBackpressureOfSlowReader(t *testing.T) {
 	network := New(4, startTime)
@@ -331,7 +331,7 @@
 	network.RunUntil(network.Now() + 3)
 	assert.Len(t, b.text(0), 10_000)
 	assert.True(t, b.process.NothingToRead(b.conns[0]))
-	// In Closed, OutboundBuffered still returns what was never sent.
+	// During Closed, OutboundBuffered still returns the number of bytes that were never sent.
 	b.process.SetConnReadRate(b.conns[0], -1)
 	_, err = a.conns[0].Write(make([]byte, 10_000))
 	require.NoError(t, err)
@@ -344,7 +344,7 @@
 	assert.ErrorIs(t, a.closed[a.conns[0].id], syscall.EPIPE)
 }
 
-// Connections above the limit of descriptors wait in the accept queue until one is free.
+// Connections beyond the limit of descriptors wait in the accept queue until a descriptor is free.
 func TestConnectionsWaitInBacklogForDescriptor(t *testing.T) {
 	network := New(5, startTime)
 	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{MaxDescriptors: 3, ReservedDescriptors: 1})
@@ -361,7 +361,7 @@
 	assert.Equal(t, []int{3, 3}, []int{now, most})
 }
 
-// A stalled event loop handles all that has arrived in one turn after the stall, the alarm last.
+// After a stall, the event loop handles everything that has arrived in one turn, the alarm last.
 func TestStalledLoopHandlesAllAtOnce(t *testing.T) {
 	network := New(6, startTime)
 	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{})
@@ -377,7 +377,7 @@
 	assert.Empty(t, b.calls)
 	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "post", "alarm"}, b.calls)
-	assert.InDelta(t, startTime+0.6, b.conns[0].PeerWrote(), 1e-3) // the time of "two"
+	assert.InDelta(t, startTime+0.6, b.conns[0].PeerWrote(), 1e-3) // when "two" was written
 	assert.Equal(t, b.conns[0].PeerWrote(), b.conns[0].PeerEnded())
 	assert.Equal(t, "onetwo", b.text(0))
 }
@@ -386,7 +386,7 @@
 func TestOrderOfCalls(t *testing.T) {
 	network := New(7, startTime)
 	a, b, _ := connectPair(t, network, ProcessOptions{}, ProcessOptions{})
-	// Closed is called within Close, and posts after the present call, in order.
+	// Closed is called during Close, and posts are called after the current call, in order.
 	b.onData = func(c netio.Conn, _ []byte) {
 		b.process.Post(func() {
 			b.calls = append(b.calls, "first")
@@ -403,7 +403,7 @@
 	b.calls = nil
 	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"traffic", "closed", "end of call", "first", "second", "third"}, b.calls)
-	// A yielded function is called after all pending events, also those that arrived during posts.
+	// A yielded function is called after all pending events, including those that arrived during posts.
 	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
 	network.RunUntil(network.Now() + 1)
 	b.calls, b.onData = nil, nil
@@ -426,12 +426,12 @@
 	network.RunUntil(start + 5)
 	assert.Equal(t, []string{"alarm"}, b.calls)
 	b.process.SetAlarm(math.NaN())
-	// A rejected connection is closed with nothing of it read.
+	// A connection that Open rejects is closed without reading from it.
 	b.refuse, b.calls = true, nil
 	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
 	network.RunUntil(network.Now() + 1)
 	assert.Equal(t, []string{"open", "closed"}, b.calls)
-	// Write on a broken connection returns the error, and closes it, before the loop has noticed.
+	// Write on a broken connection returns an error and closes the connection, even before the event loop has detected the reset.
 	b.refuse = false
 	a.process.Dial(serverAddress, network.Now()+1, nil, func(error) {})
 	network.RunUntil(network.Now() + 1)
@@ -446,7 +446,7 @@
 	assert.Equal(t, []string{"closed"}, b.calls)
 }
 
-// runEchoDay runs echoing programs through a partition and a kill, and returns the history's hash.
+// runEcho runs echo programs through a partition and a kill, and returns the hash of the history.
 func runEchoDay(seed uint64) uint64 {
 	network := New(seed, startTime)
 	network.SplitProbability = 0.5
@@ -472,12 +472,12 @@
 	return network.Hash()
 }
 
-// discardT is a TestingT for runs whose assertions don't matter.
+// discardT is a TestingT that ignores failed assertions.
 type discardT struct{}
 
 func (discardT) Errorf(string, ...any) {}
 
-// Equal seeds give equal histories, also on several goroutines at once.
+// The same seed produces the same history, even if several networks run on different goroutines.
 func TestSeedDeterminesHistory(t *testing.T) {
 	first := runEchoDay(1)
 	for range 3 {
