--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -49,12 +49,12 @@
 
 // hopByHopFields are the fields that apply to a single connection (RFC 9110, 7.6.1) or to the framing of a message, which each sender
 // determines itself. They are indexed by the length of their names.
-var hopByHopFields = func() (by [32][]string) {
+var hopByHopFields = func() (byLength [32][]string) {
 	for _, name := range []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"} {
-		by[len(name)] = append(by[len(name)], name)
+		byLength[len(name)] = append(byLength[len(name)], name)
 	}
-	return by
+	return byLength
 }()
 
 // IsHopByHop reports whether a field applies to a single connection or to framing, even if the Connection field does not list it.
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -81,8 +81,8 @@
 			var err error
 			feed(func(buf *Buffer) bool {
 				for {
-					var whole bool
-					if whole, err = p.Next(buf); !whole {
+					var done bool
+					if done, err = p.Next(buf); !done {
 						return err == nil
 					}
 					bodies = append(bodies, string(p.Body))
@@ -98,10 +98,10 @@
 
 func TestResponseParser(t *testing.T) {
 	for _, c := range []struct {
-		name, text string
-		body       string
-		keep, end  bool // IsPersistent is expected; the response is complete only at the end of the connection
-		bad        bool
+		name, text           string
+		body                 string
+		persistent, needsEOF bool // expected IsPersistent; whether the response is complete only after HandleEOF
+		wantError            bool
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", "ab", true, false, false},
 		{"interim", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 200\r\nContent-Length: 1\r\n\r\na", "a", true, false, false},
@@ -119,20 +119,20 @@
 	} {
 		feedInPieces(c.text, func(feed func(func(*Buffer) bool)) {
 			p := NewResponseParser(limits)
-			var whole bool
+			var done bool
 			var err error
 			feed(func(buf *Buffer) bool {
-				whole, err = p.Next(buf)
+				done, err = p.Next(buf)
 				return err == nil
 			})
-			require.Equal(t, c.bad, err != nil, c.name)
-			if c.bad {
+			require.Equal(t, c.wantError, err != nil, c.name)
+			if c.wantError {
 				return
 			}
-			require.Equal(t, !c.end, whole, c.name)
+			require.Equal(t, !c.needsEOF, done, c.name)
 			require.True(t, p.HandleEOF(), c.name)
 			require.Equal(t, c.body, string(p.Body), c.name)
-			require.Equal(t, c.keep, p.IsPersistent(), c.name)
+			require.Equal(t, c.persistent, p.IsPersistent(), c.name)
 		})
 	}
 	p, buf := NewResponseParser(limits), Buffer{}
@@ -161,15 +161,15 @@
 
 // checkRoundTrip encodes a parsed request as a proxy forwards it, and checks that it is parsed again with the same target and body.
 func checkRoundTrip(t *testing.T, p *RequestParser) {
-	again, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
+	reparsed, buf := NewRequestParser(Limits{HeadBytes: 1000, BufferedBodyBytes: 20}), Buffer{}
 	h := p.Header.EndToEnd()
 	if !slices.ContainsFunc(h, func(f Field) bool { return strings.EqualFold(f.Name, "Host") }) {
 		h = append(h, Field{"Host", "h"}) // required by HTTP/1.1, but not by HTTP/1.0
 	}
 	buf.Write(AppendRequest(nil, p.Method, p.Target, h, p.Body))
-	whole, err := again.Next(&buf)
-	if !whole || err != nil || string(again.Body) != string(p.Body) || again.Target != p.Target {
-		t.Fatalf("%q was written as %q: %v", p.startLine, again.startLine, err)
+	done, err := reparsed.Next(&buf)
+	if !done || err != nil || string(reparsed.Body) != string(p.Body) || reparsed.Target != p.Target {
+		t.Fatalf("%q was written as %q: %v", p.startLine, reparsed.startLine, err)
 	}
 }
 
@@ -182,19 +182,19 @@
 	f.Fuzz(func(t *testing.T, in []byte, size int) {
 		size = max(size, 1)
 		req, resp := NewRequestParser(limits), NewResponseParser(limits)
-		var a, b Buffer
+		var reqBuf, respBuf Buffer
 		var reqErr, respErr error
 		for ; len(in) > 0; in = in[min(size, len(in)):] {
 			piece := in[:min(size, len(in))]
-			a.Write(piece)
-			b.Write(piece)
-			for whole := true; whole && reqErr == nil; {
-				if whole, reqErr = req.Next(&a); whole {
+			reqBuf.Write(piece)
+			respBuf.Write(piece)
+			for done := true; done && reqErr == nil; {
+				if done, reqErr = req.Next(&reqBuf); done {
 					checkRoundTrip(t, &req)
 				}
 			}
 			if respErr == nil {
-				_, respErr = resp.Next(&b)
+				_, respErr = resp.Next(&respBuf)
 			}
 			if len(req.Body) > limits.BufferedBodyBytes || len(resp.Body) > limits.BufferedBodyBytes {
 				t.Fatal("the buffered body exceeds the limit")
@@ -220,12 +220,12 @@
 	} {
 		p, buf := NewRequestParser(limits), Buffer{}
 		buf.Write([]byte("GET " + target + " HTTP/1.1\r\nHost: old\r\n\r\n"))
-		whole, err := p.Next(&buf)
+		done, err := p.Next(&buf)
 		if want[0] == "" {
 			assert.Error(t, err, target)
 			continue
 		}
-		assert.True(t, whole && err == nil, target)
+		assert.True(t, done && err == nil, target)
 		assert.Equal(t, want, [2]string{p.Target, p.Header.Get("Host")}, target)
 	}
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -41,7 +41,7 @@
 	const prefix = "HTTP/1."
 	received := bytes.TrimLeft(buf.Bytes(), "\r\n")
 	if n := min(len(received), len(prefix)); string(received[:n]) != prefix[:n] {
-		return malformed("no HTTP")
+		return malformed("not an HTTP response")
 	}
 	return nil
 }
@@ -65,10 +65,10 @@
 	}
 	switch p.Status = status; {
 	case status == 101:
-		return malformed("protocol switched unasked")
+		return malformed("unexpected protocol switch")
 	case status < 200:
 		if p.interimResponses++; p.interimResponses > maxInterimResponses {
-			return malformed("interim responses without end")
+			return malformed("too many interim responses")
 		}
 		p.reset()
 		return nil
@@ -82,7 +82,7 @@
 	if p.stage == untilEnd && p.isPersistent() {
 		// Danger: a body that is delimited by the end of the connection looks complete wherever it is truncated. It is accepted only if
 		// the server announces the end with "Connection: close".
-		return malformed("neither a length nor an end")
+		return malformed("response without a length on a persistent connection")
 	}
 	return nil
 }
