--- a/internal/netio/multiplex/multiplex.go
+++ b/internal/netio/multiplex/multiplex.go
@@ -11,11 +11,11 @@
 
 // SharedLoop is an event loop with two handlers. Its methods may be called only on that loop, or before it runs.
 type SharedLoop struct {
-	loop         netio.EventLoop
-	handlers     [memberCount]netio.Handler
-	isCompanions func(netio.Conn) bool
-	alarmAt      [memberCount]float64 // +Inf: no alarm is set
-	armedAt      float64              // the alarm that is set in loop; +Inf: none
+	loop            netio.EventLoop
+	handlers        [memberCount]netio.Handler
+	isCompanionConn func(netio.Conn) bool
+	alarmAt         [memberCount]float64 // +Inf: no alarm is set
+	armedAt         float64              // the alarm that is set in loop; +Inf: none
 }
 
 // The members of a SharedLoop, in the order of their calls.
@@ -43,10 +43,10 @@
 // Companion returns the event loop for the companion.
 func (l *SharedLoop) Companion() netio.EventLoop { return view{l.loop, l, companionMember} }
 
-// Handler returns the handler for the event loop. It passes each call to the core or the companion. isCompanions reports whether a
+// Handler returns the handler for the event loop. It passes each call to the core or the companion. isCompanionConn reports whether a
 // connection belongs to the companion; its result for a connection must not change. Handler must be called before the loop runs.
-func (l *SharedLoop) Handler(core, companion netio.Handler, isCompanions func(netio.Conn) bool) netio.Handler {
-	l.handlers, l.isCompanions = [memberCount]netio.Handler{core, companion}, isCompanions
+func (l *SharedLoop) Handler(core, companion netio.Handler, isCompanionConn func(netio.Conn) bool) netio.Handler {
+	l.handlers, l.isCompanionConn = [memberCount]netio.Handler{core, companion}, isCompanionConn
 	return (*dispatcher)(l)
 }
 
@@ -69,7 +69,7 @@
 
 // handlerOf returns the handler that a connection belongs to.
 func (d *dispatcher) handlerOf(c netio.Conn) netio.Handler {
-	if d.isCompanions(c) {
+	if d.isCompanionConn(c) {
 		return d.handlers[companionMember]
 	}
 	return d.handlers[coreMember]
