--- a/internal/netio/sockets/epoll.go
+++ b/internal/netio/sockets/epoll.go
@@ -24,8 +24,8 @@
 		if err != nil {
 			continue
 		}
-		for _, waiting := range registeredFDs(n) {
-			if waiting == fd {
+		for _, polled := range registeredFDs(n) {
+			if polled == fd {
 				return n
 			}
 		}
--- a/internal/netio/sockets/eventloop.go
+++ b/internal/netio/sockets/eventloop.go
@@ -134,16 +134,16 @@
 // all sockets that were ready before the waker are handled first.
 func (e *EventLoop) Yield(f func()) {
 	e.yielded = append(e.yielded, f)
-	if len(e.yielded) == 1 && e.waker.ring() != nil { // an error means that the engine has closed the waker
+	if len(e.yielded) == 1 && e.waker.wake() != nil { // an error means that the engine has closed the waker
 		e.execute(e.runYields)
 	}
 }
 
 // runYields calls the functions given to Yield.
 func (e *EventLoop) runYields() {
-	todo := e.yielded
+	yielded := e.yielded
 	e.yielded = nil
-	for _, f := range todo {
+	for _, f := range yielded {
 		f()
 	}
 }
--- a/internal/netio/sockets/handler.go
+++ b/internal/netio/sockets/handler.go
@@ -53,7 +53,7 @@
 	if h.loop.loop == nil {
 		h.loop.attach(c)
 	}
-	if w, own := c.Context().(*waker); own {
+	if w, isWaker := c.Context().(*waker); isWaker {
 		h.loop.waker = w
 		return nil, gnet.None
 	}
@@ -66,7 +66,7 @@
 // OnTraffic passes received bytes to the handler.
 func (h *gnetHandler) OnTraffic(c gnet.Conn) gnet.Action {
 	data, err := c.Next(-1)
-	if _, own := c.Context().(*waker); own {
+	if _, isWaker := c.Context().(*waker); isWaker {
 		h.loop.runYields()
 	} else if err == nil {
 		h.loop.handler.Traffic(c, data)
@@ -87,7 +87,7 @@
 	if err == io.EOF { //nolint:errorlint // must not match an error that wraps io.EOF
 		err = errUnreadReset
 	}
-	if _, own := c.Context().(*waker); !own {
+	if _, isWaker := c.Context().(*waker); !isWaker {
 		h.loop.handler.Closed(c, err)
 	} else {
 		h.loop.signalDone()
--- a/internal/netio/sockets/inherit.go
+++ b/internal/netio/sockets/inherit.go
@@ -70,8 +70,8 @@
 	if err := client.Start(); err != nil {
 		return err
 	}
-	wakeUp := &waker{}
-	if err := wakeUp.connect(func(c net.Conn, w *waker) error {
+	ownWaker := &waker{}
+	if err := ownWaker.connect(func(c net.Conn, w *waker) error {
 		_, err := client.EnrollContext(c, w)
 		return err
 	}); err != nil {
--- a/internal/netio/sockets/listen.go
+++ b/internal/netio/sockets/listen.go
@@ -67,8 +67,8 @@
 // after all events of a poll have been handled, so that no event of the listener is pending. Danger: gnet would otherwise try to accept
 // from the closed listener, and an accept that fails stops its engine.
 func (e *EventLoop) closeDrainedListener(fd int, closed func()) {
-	wait := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
-	if ready, err := unix.Poll(wait, 0); ready > 0 || err == unix.EINTR {
+	pollFDs := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
+	if ready, err := unix.Poll(pollFDs, 0); ready > 0 || err == unix.EINTR {
 		e.Yield(func() { e.execute(func() { e.closeDrainedListener(fd, closed) }) })
 		return
 	}
--- a/internal/netio/sockets/stop_test.go
+++ b/internal/netio/sockets/stop_test.go
@@ -32,17 +32,17 @@
 // StopListening is done. Otherwise a program without open connections would stop then, and the connection would be reset.
 func TestStopListeningOpensAcceptedConnections(t *testing.T) {
 	address := ownAddress(t)
-	n, h := New(slog.New(slog.DiscardHandler), address), &respondingHandler{}
+	loop, h := New(slog.New(slog.DiscardHandler), address), &respondingHandler{}
 	ended, opened, clients := make(chan error, 1), make(chan int, 1), make(chan net.Conn, 1)
-	n.Post(func() { // this blocks the loop, so that it does not accept the connection yet
+	loop.Post(func() { // this blocks the loop, so that it does not accept the connection yet
 		c, err := net.Dial("tcp4", address)
 		if err == nil {
 			_, _ = c.Write([]byte("request"))
 		}
 		clients <- c
-		n.StopListening(func() { opened <- h.opened })
+		loop.StopListening(func() { opened <- h.opened })
 	})
-	go func() { ended <- n.Run(h) }()
+	go func() { ended <- loop.Run(h) }()
 	c := <-clients
 	require.NotNil(t, c)
 	defer c.Close()
@@ -51,17 +51,17 @@
 	text, err := io.ReadAll(io.LimitReader(c, int64(len("answer"))))
 	require.NoError(t, err)
 	assert.Equal(t, "answer", string(text))
-	n.Post(n.Stop)
+	loop.Post(loop.Stop)
 	assert.NoError(t, <-ended)
 }
 
 // Clients connect in a loop while the listener is being closed. A connection is established at the client before the last packet of the
 // handshake has reached the server. If the listener dropped that packet, the connection and its request would be reset.
 func TestStopListeningAnswersAllThatHaveConnected(t *testing.T) {
-	const rounds, atOnce, clients = 8, 8, 16
+	const rounds, parallel, clients = 8, 8, 16
 	for range rounds {
 		var running sync.WaitGroup
-		for range atOnce {
+		for range parallel {
 			running.Go(func() {
 				served, unanswered := stopUnderLoad(t, clients)
 				assert.Positive(t, served)
@@ -91,8 +91,8 @@
 // refused. It returns how many connections were answered, and how many were established but not answered.
 func stopUnderLoad(t *testing.T, clients int) (served, unanswered int) {
 	address := ownAddress(t)
-	n, ended := New(slog.New(slog.DiscardHandler), address), make(chan error, 1)
-	go func() { ended <- n.Run(&respondingHandler{}) }()
+	loop, ended := New(slog.New(slog.DiscardHandler), address), make(chan error, 1)
+	go func() { ended <- loop.Run(&respondingHandler{}) }()
 	require.Eventually(t, func() bool {
 		c, err := net.Dial("tcp4", address)
 		return err == nil && c.Close() == nil
@@ -129,13 +129,13 @@
 	}
 	time.Sleep(5 * time.Millisecond)
 	stopped := make(chan struct{})
-	n.Post(func() { n.StopListening(func() { close(stopped) }) })
+	loop.Post(func() { loop.StopListening(func() { close(stopped) }) })
 	<-stopped
 	for range clients {
 		sum := <-tallies
 		served, unanswered = served+sum.served, unanswered+sum.unanswered
 	}
-	n.Post(n.Stop)
+	loop.Post(loop.Stop)
 	assert.NoError(t, <-ended)
 	return served, unanswered
 }
--- a/internal/netio/sockets/waker.go
+++ b/internal/netio/sockets/waker.go
@@ -8,7 +8,7 @@
 type waker struct{ peer net.Conn }
 
 // wake wakes the event loop by sending a byte to gnet's end of the connection.
-func (w *waker) ring() error {
+func (w *waker) wake() error {
 	if w == nil {
 		return errStopped
 	}
@@ -23,21 +23,21 @@
 		return err
 	}
 	defer l.Close()
-	own, err := net.Dial("tcp4", l.Addr().String())
+	enrolled, err := net.Dial("tcp4", l.Addr().String())
 	if err != nil {
 		return err
 	}
 	for w.peer == nil {
 		c, err := l.Accept()
 		if err != nil {
-			own.Close()
+			enrolled.Close()
 			return err
 		}
-		if c.RemoteAddr().String() != own.LocalAddr().String() {
+		if c.RemoteAddr().String() != enrolled.LocalAddr().String() {
 			c.Close() // another process on this machine may have dialed the port
 			continue
 		}
 		w.peer = c
 	}
-	return enroll(own, w)
+	return enroll(enrolled, w)
 }
