--- a/internal/netio/virtual/dial.go
+++ b/internal/netio/virtual/dial.go
@@ -51,8 +51,8 @@
 	if d.target != nil {
 		n.enqueueEvent(n.arrivalTime(d.process.machine, d.target, n.now+d.process.turnSeconds), scheduledEvent{kind: synEvent, dial: d})
 	}
-	if again := n.now + d.synTimeoutSeconds; again < d.deadline {
-		n.enqueueEvent(again, scheduledEvent{kind: synRetryEvent, dial: d})
+	if retryAt := n.now + d.synTimeoutSeconds; retryAt < d.deadline {
+		n.enqueueEvent(retryAt, scheduledEvent{kind: synRetryEvent, dial: d})
 		d.synTimeoutSeconds *= 2
 	}
 }
--- a/internal/netio/virtual/virtual_test.go
+++ b/internal/netio/virtual/virtual_test.go
@@ -49,8 +49,8 @@
 func (p *recordingHandler) Traffic(c netio.Conn, data []byte) {
 	p.calls = append(p.calls, "traffic")
 	id := c.(*Conn).id
-	_, over := p.closed[id]
-	assert.False(p.t, over, "Traffic after Closed")
+	_, isClosed := p.closed[id]
+	assert.False(p.t, isClosed, "Traffic after Closed")
 	assert.NotEmpty(p.t, data)
 	p.received[id].Write(data)
 	if p.onData != nil {
@@ -61,8 +61,8 @@
 func (p *recordingHandler) Closed(c netio.Conn, err error) {
 	p.calls = append(p.calls, "closed")
 	id := c.(*Conn).id
-	_, over := p.closed[id]
-	assert.False(p.t, over, "Closed called twice")
+	_, isClosed := p.closed[id]
+	assert.False(p.t, isClosed, "Closed called twice")
 	p.closed[id] = err
 	if p.onClosed != nil {
 		p.onClosed(c)
@@ -159,27 +159,27 @@
 func TestConnectionEnds(t *testing.T) {
 	write := func(p *recordingHandler, text string) { _, _ = p.conns[0].Write([]byte(text)) }
 	for name, c := range map[string]struct {
-		play        func(network *Network, a, b *recordingHandler)
+		run         func(network *Network, a, b *recordingHandler)
 		received    string // by the dialing side
 		a, b        error  // of Handler.Closed
 		aUnnotified bool
 		bUnnotified bool
 		bReceive    string
 	}{
-		"FIN behind an answer": {play: func(network *Network, a, b *recordingHandler) {
+		"FIN behind an answer": {run: func(network *Network, a, b *recordingHandler) {
 			write(a, "ask")
 			network.RunUntil(network.Now() + 0.1)
 			write(b, "answer")
 			b.process.Close(b.conns[0])
 		}, received: "answer", a: io.EOF, bReceive: "ask"},
-		"CloseWrite ends both directions": {play: func(network *Network, a, b *recordingHandler) { b.process.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
-		"closing with unread bytes resets": {play: func(network *Network, a, b *recordingHandler) {
+		"CloseWrite ends both directions": {run: func(network *Network, a, b *recordingHandler) { b.process.CloseWrite(b.conns[0]) }, a: io.EOF, b: io.EOF},
+		"closing with unread bytes resets": {run: func(network *Network, a, b *recordingHandler) {
 			b.process.Stall(network.Now() + 0.2)
 			write(a, "ask")
 			network.RunUntil(network.Now() + 0.1)
 			b.process.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"a reset drops unsent bytes": {play: func(network *Network, a, b *recordingHandler) {
+		"a reset drops unsent bytes": {run: func(network *Network, a, b *recordingHandler) {
 			network.SetPartitioned(b.process.machine, a.process.machine, true)
 			write(b, "answer")
 			network.RunUntil(network.Now() + 0.05)
@@ -189,23 +189,23 @@
 			network.RunUntil(network.Now() + 0.01)
 			b.process.Close(b.conns[0])
 		}, a: syscall.ECONNRESET},
-		"bytes before a reset are read": {play: func(network *Network, a, b *recordingHandler) {
+		"bytes before a reset are read": {run: func(network *Network, a, b *recordingHandler) {
 			a.process.Stall(network.Now() + 0.2)
 			write(b, "answer")
 			b.process.Kill()
 		}, received: "answer", a: syscall.ECONNRESET, bUnnotified: true},
-		"bytes for a closed socket are answered with a reset": {play: func(network *Network, a, b *recordingHandler) {
+		"bytes for a closed socket are answered with a reset": {run: func(network *Network, a, b *recordingHandler) {
 			a.process.Stall(network.Now() + 0.2)
 			b.process.Close(b.conns[0])
 			network.RunUntil(network.Now() + 0.1)
 			write(a, "late")
 		}, a: syscall.ECONNRESET},
-		"a machine that is powered off sends nothing": {play: func(network *Network, a, b *recordingHandler) {
+		"a machine that is powered off sends nothing": {run: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
 			network.RunUntil(network.Now() + 20)
 			write(a, "anybody?")
 		}, aUnnotified: true, bUnnotified: true},
-		"a machine that is powered on again resets": {play: func(network *Network, a, b *recordingHandler) {
+		"a machine that is powered on again resets": {run: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
 			network.RunUntil(network.Now() + 20)
 			b.process.machine.PowerOn()
@@ -213,18 +213,18 @@
 			assert.Empty(t, a.closed)
 			write(a, "anybody?")
 		}, a: syscall.ECONNRESET, bUnnotified: true},
-		"bytes written while it was off are answered with a reset": {play: func(network *Network, a, b *recordingHandler) {
+		"bytes written while it was off are answered with a reset": {run: func(network *Network, a, b *recordingHandler) {
 			b.process.machine.PowerOff()
 			write(a, "anybody?")
 			network.RunUntil(network.Now() + 20)
 			b.process.machine.PowerOn()
 		}, a: syscall.ECONNRESET, bUnnotified: true},
-		"a blackholed connection stays open": {play: func(network *Network, a, b *recordingHandler) {
+		"a blackholed connection stays open": {run: func(network *Network, a, b *recordingHandler) {
 			network.Blackhole(a.conns[0])
 			write(a, "anybody?")
 		}, aUnnotified: true, bUnnotified: true},
-		"a reset by a middlebox": {play: func(network *Network, a, b *recordingHandler) { network.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
-		"a loop that stops":      {play: func(network *Network, a, b *recordingHandler) { b.process.Stop() }, a: io.EOF},
+		"a reset by a middlebox": {run: func(network *Network, a, b *recordingHandler) { network.Reset(a.conns[0]) }, a: syscall.ECONNRESET, b: syscall.ECONNRESET},
+		"a loop that stops":      {run: func(network *Network, a, b *recordingHandler) { b.process.Stop() }, a: io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			network := New(1, startTime)
@@ -232,7 +232,7 @@
 			require.Equal(t, []error{nil}, *dialResults)
 			assert.Equal(t, "mine", a.conns[0].Context())
 			assert.Equal(t, serverAddress, a.conns[0].RemoteAddr().String())
-			c.play(network, a, b)
+			c.run(network, a, b)
 			network.RunUntil(network.Now() + 30)
 			for side, p := range []*recordingHandler{a, b} {
 				err, notified := p.closed[a.conns[0].id]
@@ -357,8 +357,8 @@
 	network.RunUntil(network.Now() + 1)
 	require.Len(t, b.conns, 2)
 	assert.Equal(t, "early", b.text(1))
-	now, most := b.process.Descriptors()
-	assert.Equal(t, []int{3, 3}, []int{now, most})
+	now, peak := b.process.Descriptors()
+	assert.Equal(t, []int{3, 3}, []int{now, peak})
 }
 
 // After a stall, the event loop handles everything that has arrived in one turn, the alarm last.
@@ -447,7 +447,7 @@
 }
 
 // runEcho runs echo programs through a partition and a kill, and returns the hash of the history.
-func runEchoDay(seed uint64) uint64 {
+func runEcho(seed uint64) uint64 {
 	network := New(seed, startTime)
 	network.SplitProbability = 0.5
 	server := startHandler(discardT{}, network, "10.0.0.2", ProcessOptions{Listen: []string{serverAddress}, Shuffle: true, MaxWakeDelaySeconds: 1e-4})
@@ -479,17 +479,17 @@
 
 // The same seed produces the same history, even if several networks run on different goroutines.
 func TestSeedDeterminesHistory(t *testing.T) {
-	first := runEchoDay(1)
+	first := runEcho(1)
 	for range 3 {
 		done := make(chan uint64)
-		go func() { done <- runEchoDay(1) }()
-		assert.NotEqual(t, first, runEchoDay(2))
+		go func() { done <- runEcho(1) }()
+		assert.NotEqual(t, first, runEcho(2))
 		assert.Equal(t, first, <-done)
 	}
 }
 
 func BenchmarkEcho(b *testing.B) {
 	for range b.N {
-		runEchoDay(1)
+		runEcho(1)
 	}
 }
