--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -24,12 +24,12 @@
 // Len returns the number of unread bytes.
 func (b *Buffer) Len() int { return len(b.data) - b.start }
 
-// maxIdleCapacity is the capacity that an empty buffer keeps in Rest.
+// maxIdleCapacity is the capacity that an empty buffer keeps after ReleaseMemory.
 const maxIdleCapacity = 4 << 10
 
-// Rest releases the memory of an empty buffer that has grown beyond maxIdleCapacity. Otherwise hundreds of idle
+// ReleaseMemory releases the memory of an empty buffer that has grown beyond maxIdleCapacity. Otherwise hundreds of idle
 // connections would each keep as much memory as their largest message needed.
-func (b *Buffer) Rest() {
+func (b *Buffer) ReleaseMemory() {
 	if b.Len() == 0 && cap(b.data) > maxIdleCapacity {
 		b.data, b.start = nil, 0
 	}
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -161,7 +161,7 @@
 		}
 		l.received.Discard(n)
 	}
-	l.received.Rest()
+	l.received.ReleaseMemory()
 }
 
 // closeForProtocolError closes a link for what the peer sent. Each error is logged once.
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -89,7 +89,7 @@
 		return
 	}
 	c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
-	c.input.Rest()
+	c.input.ReleaseMemory()
 	c.accountHeldBytes(c.input.Len())
 	// The next request may be in the buffer; it is handled as an event of its own.
 	if c.conn == nil {
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -83,7 +83,7 @@
 // makeIdleFrom is makeIdle for a connection whose server may be at work until a time: it is used before that only if no other can be had.
 func (b *backendConn) makeIdleFrom(at float64) {
 	b.attempt, b.idleSince = nil, at
-	b.input.Rest()
+	b.input.ReleaseMemory()
 	if b.sidecar.assignToWaiter(b) {
 		return
 	}
