--- a/internal/endpointset/set.go
+++ b/internal/endpointset/set.go
@@ -100,7 +100,8 @@
 	if err != nil {
 		return false, nil, err
 	}
-	// Danger: if they were treated as empty, a snapshot without the field, such as one with a misspelled name, would mark all servers as gone.
+	// Danger: a snapshot without endpoints, such as one that is truncated or has a misspelled field name, must not be treated as an empty list:
+	// all servers would be marked as gone.
 	if l.Snapshot && l.Endpoints == nil {
 		return false, nil, ErrNoEndpoints
 	}
@@ -180,8 +181,8 @@
 	return h
 }
 
-// forgetGone removes servers that have been gone for forgetSeconds, unless they are out of use: they must still be so when they are
-// listed again.
+// forgetGone removes servers that have been gone for forgetSeconds, unless they are out of use: their cordon or maintenance
+// must still apply when they are listed again.
 func (g *Set) forgetGone(now float64) {
 	for name, h := range g.byName {
 		if h.listedState == policy.Gone && !g.isOutOfUse(h) && now-h.goneAt > forgetSeconds {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxAttemptsPerRequest bounds the attempts of one request, those that reach no server included.
+	// maxAttemptsPerRequest bounds the attempts for one request, including those that reach no server.
 	maxAttemptsPerRequest = 4
 	// backendConnectTimeout bounds the time to connect to a server, including the health check on the new connection if there is one.
 	backendConnectTimeout = 300 * time.Millisecond
--- a/internal/proxy/backendexchange.go
+++ b/internal/proxy/backendexchange.go
@@ -15,9 +15,9 @@
 	maxSurplusResponses = 3
 	// maxSurplusBytes bounds how much of a discarded body is read.
 	maxSurplusBytes = 1 << 20
-	// defaultKeepAlive is how long a connection may be idle if the response has no Keep-Alive time-out.
+	// defaultKeepAlive is how long a connection may be idle if the response has no Keep-Alive timeout.
 	defaultKeepAlive = 6 * time.Second
-	// keepAliveMargin is subtracted from the server's time-out, so that the server is not the first to close the connection.
+	// keepAliveMargin is subtracted from the server's timeout, so that the server is not the first to close the connection.
 	keepAliveMargin = time.Second
 )
 
--- a/internal/proxy/healthcheck.go
+++ b/internal/proxy/healthcheck.go
@@ -18,8 +18,8 @@
 	sweepTicks = 20
 )
 
-// runHealthChecks starts the health checks that are due at each tick, writes the log lines that are due and sweeps expired state and
-// connections, until the context ends.
+// runHealthChecks starts the health checks that are due at each tick until the context ends. It also writes the periodic log lines, and sweeps
+// expired state and connections.
 func (p *Proxy) runHealthChecks(ctx context.Context) {
 	ticker := time.NewTicker(healthCheckTick)
 	defer ticker.Stop()
--- a/internal/proxy/priority.go
+++ b/internal/proxy/priority.go
@@ -10,7 +10,7 @@
 const maxPriority = 9
 
 // priorityRanks derives the Priority field of requests from the priorities of tenants and routes. The tenant's priority, or the route's for
-// requests without one, is the primary criterion. Among requests of equal rank the route's priority decides, so that a tenant's urgent requests
+// requests without one, is the primary criterion. Among requests that are equal in it the route's priority decides, so that a tenant's urgent requests
 // still go before its other ones.
 type priorityRanks struct {
 	precedences []int // distinct priorities of tenants, and of routes for requests without a tenant's; sorted
--- a/internal/proxy/proxyrequest.go
+++ b/internal/proxy/proxyrequest.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// defaultMaxBodyBytes bounds a request's body where the configuration sets no limit.
+	// defaultMaxBodyBytes bounds a request's body if the configuration sets no limit.
 	defaultMaxBodyBytes = 4 << 20
 	// maxTokenCount bounds the number of tokens that a client can declare.
 	maxTokenCount = 1 << 22
@@ -66,7 +66,7 @@
 	return body, 0
 }
 
-// timeLimit returns how long a request may take: the route's time-out, or the client's deadline if that is shorter.
+// timeLimit returns how long a request may take: the route's timeout, or the client's deadline if that is shorter.
 func timeLimit(r *http.Request, route *routeconfig.Route) time.Duration {
 	limit := nodeconfig.FromMillis(route.TimeoutMs)
 	if ms, err := strconv.ParseFloat(r.Header.Get(headerDeadline), 64); err == nil && ms > 0 {
--- a/internal/proxy/requeststats.go
+++ b/internal/proxy/requeststats.go
@@ -30,7 +30,7 @@
 		tenants: newPeriodicCounts[string, tenantCounts]()}
 }
 
-// logDue writes the log lines that are due.
+// logDue writes the log lines of all counts whose interval has passed.
 func (p *Proxy) logDue(now time.Time) {
 	p.logRejected(now)
 	p.logUnserved(now)
--- a/internal/proxy/stream.go
+++ b/internal/proxy/stream.go
@@ -80,7 +80,8 @@
 		if attempt == maxPrefillAttempts || !p.retriesPrefill(req, result) {
 			break
 		}
-		// Another prefill server is tried, since a prefill at a decode server would delay the streams there.
+		// Another prefill server is tried: one that has failed, or is changing its stage, is no reason for a prefill at a decode server, which would
+		// delay the streams there.
 		excluded = append(excluded, plan.PrefillServer)
 	}
 	return p.attemptDecode(ctx, relay, req, prompt)
