--- a/internal/endpointset/stream_test.go
+++ b/internal/endpointset/stream_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A stream has the same tokens in whatever pieces it arrives.
+// The tokens of a stream do not depend on how it is split into pieces.
 func TestStreamScannerIsIndependentOfPieces(t *testing.T) {
 	const stream = "\n{\n  \"index\": 3,\n\n  \"endpoints\": [ {\"name\": \"a}\\\"{\"} ]\n}\r\n\n{\"index\":4}\n\n"
 	want, err := scan(stream)
@@ -59,9 +59,9 @@
 	require.Len(t, want, 5)
 	rapid.Check(t, func(t *rapid.T) {
 		var pieces []string
-		for left := stream; left != ""; {
-			n := rapid.IntRange(1, len(left)).Draw(t, "bytes")
-			pieces, left = append(pieces, left[:n]), left[n:]
+		for remaining := stream; remaining != ""; {
+			n := rapid.IntRange(1, len(remaining)).Draw(t, "bytes")
+			pieces, remaining = append(pieces, remaining[:n]), remaining[n:]
 		}
 		got, err := scan(pieces...)
 		require.NoError(t, err)
--- a/internal/proxy/misdirected_test.go
+++ b/internal/proxy/misdirected_test.go
@@ -17,20 +17,20 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// fakeModelServer checks the reserved fields of requests as model servers do: a request for another stage, instance or version of weights
-// gets 421.
+// fakeModelServer checks the reserved fields of requests as model servers do: a request for another stage, instance or version of the model
+// weights gets 421.
 type fakeModelServer struct {
 	instance message.Instance
 
-	mu    sync.Mutex
-	asked []http.Header
+	mu             sync.Mutex
+	requestHeaders []http.Header
 }
 
-// seen returns the headers of all requests that were received.
-func (s *fakeModelServer) seen() []http.Header {
+// receivedHeaders returns the headers of all requests that were received.
+func (s *fakeModelServer) receivedHeaders() []http.Header {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked)
+	return slices.Clone(s.requestHeaders)
 }
 
 func newFakeModelServer(t *testing.T, id string, stage message.Stage) *fakeModelServer {
@@ -43,7 +43,7 @@
 
 const weightsVersion = "1"
 
-func (s *fakeModelServer) misdirected(header http.Header) bool {
+func (s *fakeModelServer) isMisdirected(header http.Header) bool {
 	stage := message.Decode
 	if header.Get(headerServingStage) == stagePrefill {
 		stage = message.Prefill
@@ -54,11 +54,11 @@
 
 func (s *fakeModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.asked = append(s.asked, r.Header)
+	s.requestHeaders = append(s.requestHeaders, r.Header)
 	s.mu.Unlock()
 	w.Header().Set(headerRequestID, r.Header.Get(headerRequestID))
 	switch {
-	case s.misdirected(r.Header):
+	case s.isMisdirected(r.Header):
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case r.Method == http.MethodDelete:
 	case s.instance.Stage == message.Prefill:
@@ -70,7 +70,7 @@
 	}
 }
 
-// promptFront returns a server with a proxy whose route sends prompts to these model servers.
+// promptFront starts a proxy with a route for prompts to these model servers.
 func promptFront(t *testing.T, servers ...*fakeModelServer) *httptest.Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -98,14 +98,14 @@
 	return front
 }
 
-// sendPrompt sends a prompt with further fields and returns the status.
+// sendPrompt sends a prompt with additional header fields and returns the status.
 func sendPrompt(t *testing.T, front *httptest.Server, id string, fields ...headerField) int {
 	request, err := http.NewRequest(http.MethodPost, front.URL+"/p/x", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	request.Host = "h.example"
-	fields = append(fields, headerField{headerRequestID, id}, headerField{headerDeadline, "4000"}, headerField{headerPrefixHash, prefix}, headerField{headerTokenCounts, "20800,20"})
+	fields = append(fields, headerField{headerRequestID, id}, headerField{headerDeadline, "4000"}, headerField{headerPrefixHash, longPromptPrefix}, headerField{headerTokenCounts, "20800,20"})
 	for _, f := range fields {
 		request.Header.Set(f.name, f.value)
 	}
@@ -120,8 +120,7 @@
 	return answer.StatusCode
 }
 
-// TestReservedHeadersOfClientsAreDropped has clients send the fields that only proxies set. Their requests are served, and so are those of
-// other clients after them.
+// Clients send the fields that only proxies set. Their requests are served as if they had not, and so are those of other clients after them.
 func TestReservedHeadersOfClientsAreDropped(t *testing.T) {
 	prefillServer, decodeServer := newFakeModelServer(t, "i-1", message.Prefill), newFakeModelServer(t, "i-2", message.Decode)
 	front := promptFront(t, prefillServer, decodeServer)
@@ -135,7 +134,7 @@
 			t.Errorf("the client after one that has sent %s gets %d", f.name, status)
 		}
 	}
-	for _, header := range append(prefillServer.seen(), decodeServer.seen()...) {
+	for _, header := range append(prefillServer.receivedHeaders(), decodeServer.receivedHeaders()...) {
 		for _, f := range sent {
 			if header.Get(f.name) == f.value && (f.name != headerServingStage || header.Get(headerExpectInstance) != "i-1") {
 				t.Errorf("%s: %s reached a server", f.name, f.value)
--- a/internal/proxy/unary.go
+++ b/internal/proxy/unary.go
@@ -23,12 +23,12 @@
 		if endpoint == nil {
 			break
 		}
-		response, body := p.attemptUnary(ctx, req, endpoint) //nolint:bodyclose // body holds all of it
+		response, body := p.attemptUnary(ctx, req, endpoint) //nolint:bodyclose // the body has been read completely
 		if response != nil {
 			copyResponseHeader(w, response)
 			w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 			w.WriteHeader(response.StatusCode)
-			_, _ = w.Write(body) // a client that has disconnected needs none
+			_, _ = w.Write(body) // fails only if the client has disconnected
 			return
 		}
 		if !req.lastOutcome.allowsRetry(req.route) || req.possibleExecutions >= req.route.MaxAttempts || ctx.Err() != nil {
@@ -38,28 +38,28 @@
 	p.respondFailure(ctx, w, req)
 }
 
-// attemptUnary makes one attempt, and returns the response with its complete body. Where it returns nil, req.lastOutcome says why. A server
-// error of an idempotent request is no response as long as another attempt is allowed.
+// attemptUnary makes one attempt, and returns the response with its complete body. If it returns nil, req.lastOutcome says why. A server error for an
+// idempotent request is treated as a failed attempt as long as another attempt is allowed.
 func (p *Proxy) attemptUnary(ctx context.Context, req *proxyRequest, endpoint *placement.Endpoint) (*http.Response, []byte) {
 	req.tokens.commit()
-	exchanged, result := p.roundTrip(ctx, req, endpoint, req.encode(headerField{headerExpectInstance, endpoint.ID}))
+	exchange, result := p.roundTrip(ctx, req, endpoint, req.encode(headerField{headerExpectInstance, endpoint.ID}))
 	if result != outcomeAnswered {
 		p.recordOutcome(ctx, req, endpoint, result)
 		return nil, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(exchanged.response.Body, maxResponseBytes))
-	if err != nil || !hasDelimitedBody(exchanged.response) {
-		exchanged.abort()
+	body, err := io.ReadAll(io.LimitReader(exchange.response.Body, maxResponseBytes))
+	if err != nil || !hasDelimitedBody(exchange.response) {
+		exchange.abort()
 		p.recordOutcome(ctx, req, endpoint, outcomeMayHaveExecuted)
 		return nil, nil
 	}
-	exchanged.finish(p.conns, endpoint.Address)
-	result = classifyResponse(exchanged.response)
-	isServerError := exchanged.response.StatusCode >= http.StatusInternalServerError
+	exchange.finish(p.conns, endpoint.Address)
+	result = classifyResponse(exchange.response)
+	isServerError := exchange.response.StatusCode >= http.StatusInternalServerError
 	retries := isServerError && req.route.Kind == routeconfig.Idempotent && req.possibleExecutions+1 < req.route.MaxAttempts
 	if result == outcomeAnswered && !retries {
 		p.recordOutcome(ctx, req, endpoint, outcomeAnswered)
-		return exchanged.response, body
+		return exchange.response, body
 	}
 	if retries && result == outcomeAnswered {
 		result = outcomeMayHaveExecuted
