--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,10 +1,10 @@
 package policy
 
-// Actions is what the host program does for a Balancer. Calls take effect at the time of the event that is being handled,
-// must return without blocking and must not call back into the Balancer.
+// Actions is what a Balancer asks the host program to do. Calls take effect at the time of the event that is being handled, must
+// return without blocking and must not call back into the Balancer.
 type Actions interface {
-	// Send starts the next attempt of a request, numbered from 0. AttemptDone must follow, with TimedOut at the request's
-	// deadline at the latest.
+	// Send starts the next attempt of a request; attempts are numbered from 0. AttemptDone must follow, with TimedOut at the
+	// request's deadline at the latest.
 	Send(request, host uint32)
 	// Cancel cancels an attempt.
 	Cancel(request uint32, attempt int)
@@ -12,13 +12,14 @@
 	Probe(host uint32)
 	// CloseIdle closes the idle connections to a host.
 	CloseIdle(host uint32)
-	// Refuse is a final answer: a retry is harmless, best after the given seconds.
+	// Refuse gives a request its final answer: it is refused, and a retry is harmless, best after the given seconds.
 	Refuse(request uint32, retryAfterSeconds float64)
-	// Fail is a final answer: the request may have been executed.
+	// Fail gives a request its final answer: it failed, and may have been executed.
 	Fail(request uint32)
-	// WakeAfter arms the timer: Wake must be called after the given seconds. Earlier calls may still fire.
+	// WakeAfter arms the timer: Wake must be called after the given seconds. Wake-ups that were armed before may still come.
 	WakeAfter(seconds float64)
-	// Watch requests the endpoint list and subscribes to its changes. UpdateHosts must follow, with ListFailed if it fails.
+	// Watch requests the endpoint list and subscribes to its changes. UpdateHosts must follow, with ListFailed if the request
+	// fails.
 	Watch()
 	// Log writes a change of state to the operators' log.
 	Log(text string)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// tenantDecaySeconds is the time constant over which the tenants' requests are compared.
+	// tenantDecaySeconds is the time constant of the decaying request counts by which tenants are compared.
 	tenantDecaySeconds = 5.0
 	// arrivalDecaySeconds is the time constant of the arrival rate.
 	arrivalDecaySeconds = 2.0
@@ -15,18 +15,18 @@
 	retryBudgetRatio = 0.1
 	// maxRetryBudget is how many retries may be saved up.
 	maxRetryBudget = 10
-	// maxWorkSeconds bounds the hints of a request's work that are believed.
+	// maxWorkSeconds is the bound from which on a hint of a request's work is ignored as implausible.
 	maxWorkSeconds = 1e6
 	// meanWorkGain is the gain of the moving average of work hints.
 	meanWorkGain = 0.02
-	// timeoutTolerance is by what fraction the timeouts of first tries of a class may differ.
+	// timeoutTolerance is the relative difference up to which the timeouts of first tries of a class count as equal.
 	timeoutTolerance = 0.02
-	// maxTimeoutVotes bounds how many longer tries it takes to replace the usual timeout of a class.
+	// maxTimeoutVotes bounds the number of longer tries that it takes to replace the usual timeout of a class.
 	maxTimeoutVotes = 100
 )
 
-// StartRequest takes a request from a client. It has been sent, refused or queued when the call returns; each request gets
-// exactly one final answer, of the host or by Actions.Refuse or Actions.Fail.
+// StartRequest accepts a request from a client. When the call returns, the request has been sent, refused or queued. Each request
+// gets exactly one final answer: from a host, or by Actions.Refuse or Actions.Fail.
 func (b *Balancer) StartRequest(now float64, q Request) {
 	b.now = now
 	if q.Class < 0 || q.Class >= len(b.settings.Classes) {
@@ -67,8 +67,8 @@
 	b.dispatch(r)
 }
 
-// exceedsShare counts a request and returns whether its tenant sends clearly more than its share, by a margin that covers the
-// random variation of small numbers. Such a request is dispatched after the others and is not held.
+// exceedsShare counts a request and returns whether its tenant sends more than its share, by a margin that covers the random
+// variation of small numbers. A request beyond the share is dispatched after the others and is not held.
 func (b *Balancer) exceedsShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenantRequests) {
 		return false
@@ -86,11 +86,11 @@
 	return b.tenantRequests[tenant] > 1.4*fair+2*math.Sqrt(fair)+1
 }
 
-// firstTryAge returns how many seconds before this try of a client its first one must have been, 0 if this is the first.
+// firstTryAge returns how many seconds before this try of a client the first try must have started; 0 if this is the first.
 //
-// Danger: work on a later try is lost once the target of the first has passed. A try with less time than is usual for its
-// class was cut short by the client's total timeout, and what is left of that tells when the first try was. Where clients
-// don't mark retries, those with a shorter timeout than the others are mistaken for retries.
+// Work on a later try is wasted once the latency target of the first one has passed. A try with less time than usual for its
+// class was cut short by the client's total timeout, and the time that is left of that timeout tells when the first try started.
+// Where clients don't mark retries, clients with a shorter timeout than the others are mistaken for retrying ones.
 func (b *Balancer) firstTryAge(q Request) float64 {
 	timeout := &b.clientTimeouts[q.Class]
 	left := q.Deadline - b.now + q.HeldBackSeconds
@@ -101,7 +101,7 @@
 		return max(b.settings.Classes[q.Class].TotalTimeoutSeconds-left, 0)
 	case left < (1+timeoutTolerance)*timeout.usualSeconds:
 		timeout.votes = min(timeout.votes+1, maxTimeoutVotes)
-	default: // longer than usual: it replaces the usual one only after as many as voted for that
+	default: // longer than usual: replaces the usual one only after more longer tries than there were votes for the usual one
 		timeout.votes--
 		if timeout.votes < 0 {
 			timeout.usualSeconds = left
@@ -111,7 +111,7 @@
 	return 0
 }
 
-// clientTimeout is the usual timeout of a class's first tries, found by majority vote.
+// clientTimeout is the usual timeout of a class's first tries, found by majority vote (Boyer-Moore).
 type clientTimeout struct {
 	usualSeconds float64
 	votes        int // tries that confirmed usualSeconds, less those that were longer
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -3,15 +3,16 @@
 import "slices"
 
 const (
-	// sendDecaySeconds is the time constant of the own send rate.
+	// sendDecaySeconds is the time constant of this proxy's send rate.
 	sendDecaySeconds = 10.0
-	// fastAnswerFraction, of the tightest latency target, is the longest delay of an answer from a host that has spare capacity.
+	// fastAnswerFraction is the delay, as a fraction of the tightest latency target, below which an answer shows that the host has
+	// spare capacity.
 	fastAnswerFraction = 0.1
-	// minExpectedSeconds bounds expected delays from below, as delays are divided by them.
+	// minExpectedSeconds is the lower bound of expected delays, which are used as divisors.
 	minExpectedSeconds = 1e-6
 )
 
-// startAttempt sends a request to a host and returns whether the rules allowed it. Every send passes here.
+// startAttempt sends a request to a host and returns whether the rules allowed it. All sends go through it.
 func (b *Balancer) startAttempt(r *request, h *host) bool {
 	if b.now >= r.Deadline || len(r.attempts) >= max(b.settings.MaxAttempts, 1) || !b.mayAttempt(r, h) {
 		return false
@@ -33,10 +34,10 @@
 	return true
 }
 
-// mayAttempt returns whether the rules let a request go to a host now: the host takes new requests and, while it warms up, has
-// budget left, and no earlier attempt forbids another one. An earlier attempt that may have run allows another only if the
-// class is Safe, or Keyed and the host shares the first one's keys within the deduplication window; while it is in flight,
-// only as a hedge to another host.
+// mayAttempt returns whether the rules let a request go to a host now. The host must take new requests and, while it warms up,
+// have budget left, and no earlier attempt may rule out another one. After an earlier attempt that may have run, another is
+// allowed only if the class is Safe, or if it is Keyed, the host shares the keys of the earlier host, and the deduplication
+// window has not ended. While the earlier attempt is in flight, the new one must also be a hedge to another host.
 func (b *Balancer) mayAttempt(r *request, h *host) bool {
 	if h.isWithdrawn || !b.hasSlowStartBudget(h) {
 		return false
@@ -56,8 +57,8 @@
 	return true
 }
 
-// isSafeToRefuse returns whether the client may be told that another try is harmless: nothing has run, or hosts drop a repeat
-// wherever it goes.
+// isSafeToRefuse returns whether the client may be told that a retry is harmless: no host has executed the request, the request
+// is idempotent, or all hosts drop repeats of it.
 func (b *Balancer) isSafeToRefuse(r *request) bool {
 	return r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll ||
 		!slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
@@ -75,10 +76,10 @@
 	a := &r.attempts[res.Attempt]
 	a.isDone = true
 	a.mayHaveRun = a.mayHaveRun && !res.Outcome.NeverRan()
-	// Danger: some requests crash or hang whichever host executes them, and each attempt or retry would cost another host. One
-	// proxy sees too few of them to tell them apart, so a request that was lost in execution is not sent again, and its target
-	// is set to now, so that its marked retries are refused within the client's total timeout. The price: what was lost by a
-	// fault of the host is not retried either, but its target has mostly passed by then.
+	// Some requests crash or hang every host that executes them, and each attempt or retry would take down another host. One proxy
+	// sees too few such requests to recognize them. A request that was lost in execution is therefore not sent again, and its
+	// target is set to now, so that its marked retries are refused within the client's total timeout. The drawback is that
+	// requests lost by a fault of the host are not retried either, but their targets have mostly passed by then.
 	lostInExecution := !res.Final && (res.Outcome == TimedOut || res.Outcome == Reset && (!onlyConnLost || r.suspectHost != nil))
 	if res.Outcome == Reset {
 		r.suspectHost = h
@@ -99,9 +100,9 @@
 	}
 }
 
-// sendQueued sends the first requests of the queue before they are due, as long as there are hosts for them. Danger: without it
-// a host stands idle while requests wait for their next dispatch. It is called when a host with spare capacity has become
-// free; a host with a queue is left to work it off.
+// sendQueued sends the first requests of the queue before they are due, as long as there are hosts for them; otherwise a host
+// would be idle while requests wait for their next dispatch. It is called after an answer that shows spare capacity at a host. A
+// host with a queue is left to work it off.
 func (b *Balancer) sendQueued() {
 	for {
 		first := b.queue.peek()
@@ -111,8 +112,8 @@
 	}
 }
 
-// retry dispatches a request again after a failed attempt if the target, the limit of attempts, the retry budget and the rules
-// allow it; else it answers the request as unserved.
+// retry dispatches a request again after a failed attempt if its target, the limit of attempts, the retry budget and the rules
+// allow it; otherwise it answers the request as unserved.
 func (b *Balancer) retry(r *request) {
 	if b.now < r.targetAt && len(r.attempts) < b.settings.MaxAttempts && b.retryBudget >= 1 &&
 		slices.ContainsFunc(b.members, func(h *host) bool { return b.mayAttempt(r, h) }) {
@@ -123,7 +124,7 @@
 	b.answerUnserved(r)
 }
 
-// finishRequest forgets a request that has its final answer and, with cancelInFlight, cancels its attempts in flight where the
+// finishRequest forgets a request that has its final answer. With cancelInFlight it also cancels the attempts in flight, if the
 // host program can do so.
 func (b *Balancer) finishRequest(r *request, cancelInFlight bool) {
 	for i := range r.attempts {
@@ -139,10 +140,10 @@
 	delete(b.requestsByID, r.ID)
 }
 
-// StreamStarted takes note that a streamed answer has begun, which is the request's final answer. The attempt stays in flight.
+// StreamStarted records that a streamed answer has begun, which is the request's final answer. The attempt stays in flight.
 func (b *Balancer) StreamStarted(now float64, id uint32) { b.endRequest(now, id, false) }
 
-// Abandoned takes note that a client has gone: its request needs no answer, and its attempts are cancelled.
+// Abandoned records that a client has disconnected: its request needs no answer, and its attempts are cancelled.
 func (b *Balancer) Abandoned(now float64, id uint32) { b.endRequest(now, id, true) }
 
 func (b *Balancer) endRequest(now float64, id uint32, cancelInFlight bool) {
@@ -152,5 +153,5 @@
 	}
 }
 
-// ownSendRate returns this proxy's own traffic, in requests of mean work a second.
+// ownSendRate returns the rate at which this proxy sends work, in requests of mean work a second.
 func (b *Balancer) ownSendRate() float64 { return b.sendRate.valueAt(b.now, sendDecaySeconds) }
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -32,7 +32,7 @@
 			r.finish(q, 0, c.outcome)
 			r.advance(c.after + 0.002)
 			if len(q.attempts) != c.sends || q.answer != c.ended {
-				t.Errorf("%d sends, %q; want %d, %q", len(q.attempts), q.answer, c.sends, c.ended)
+				t.Errorf("%d sends, answer %q; want %d, %q", len(q.attempts), q.answer, c.sends, c.ended)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 	r.advance(0.6)
 	r.finish(q, 0, TimedOut)
 	if q.answer != "failed" {
-		t.Errorf("ended %q", q.answer)
+		t.Errorf("answer %q, want failed", q.answer)
 	}
 }
 
@@ -55,12 +55,12 @@
 	q := r.request(Request{ID: 1, Class: 0, Deadline: 1})
 	r.advance(0.29)
 	if len(q.attempts) != 1 {
-		t.Fatalf("copies of a request that is only slow: %+v", q.attempts)
+		t.Fatalf("a request that is only slow was sent again: %+v", q.attempts)
 	}
 	r.balancer.Abandoned(r.now, q.ID)
 	q.answer = "abandoned"
 	if !q.attempts[0].isCancelled {
-		t.Error("the attempt of a departed client was not cancelled")
+		t.Error("the attempt for a client that has disconnected was not cancelled")
 	}
 	r.advance(0.4)
 	r.finish(q, 0, OK)
@@ -72,7 +72,7 @@
 	for _, c := range []struct {
 		name    string
 		outcome Outcome
-		after   float64 // how long the attempt was in flight
+		after   float64 // when the attempt ends
 		second  Request // the next try
 		sent    bool
 	}{
@@ -90,11 +90,11 @@
 			r.advance(c.after)
 			r.finish(q, 0, c.outcome)
 			if len(q.attempts) != 1 || q.answer != "refused" {
-				t.Fatalf("%d sends, %q", len(q.attempts), q.answer)
+				t.Fatalf("%d sends, answer %q; want one send, refused", len(q.attempts), q.answer)
 			}
 			c.second.ID, c.second.Deadline = 2, r.now+0.5
 			if k := r.request(c.second); len(k.attempts) > 0 != c.sent {
-				t.Errorf("next try: %d sends, %q", len(k.attempts), k.answer)
+				t.Errorf("next try: %d sends, answer %q", len(k.attempts), k.answer)
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 		q := r.request(Request{ID: 99, Deadline: r.now + 0.6})
 		ask(99, 0)
 		if len(q.attempts) != 1 {
-			t.Fatal("not sent")
+			t.Fatal("the request was not sent")
 		}
 		q.attempts[0].sentAt = r.now
 		dead := q.attempts[0].host
@@ -141,7 +141,7 @@
 		}
 		ask(99, dead)
 		if again := len(q.attempts) == 2; again != alive {
-			t.Errorf("host alive: %v, sent again: %v, %q", alive, again, q.answer)
+			t.Errorf("host alive: %v, sent again: %v, answer %q", alive, again, q.answer)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -21,7 +21,7 @@
 	r.balancer.StreamStarted(r.now, 9)
 	r.advance(2)
 	if q.answer != "refused" {
-		t.Errorf("without hosts: %q", q.answer)
+		t.Errorf("without hosts: answer %q, want refused", q.answer)
 	}
 	r = newRecorder(t, polledSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2)...)
@@ -32,7 +32,7 @@
 		r.answerProbes(OK, func(uint32) float32 { return v })
 		r.advance(r.now + 0.1)
 		if len(q.attempts) == 0 {
-			t.Errorf("report %v: no send, ended %q", v, q.answer)
+			t.Errorf("reported load %v: request not sent, answer %q", v, q.answer)
 			continue
 		}
 		r.finish(q, 0, OK)
@@ -43,7 +43,7 @@
 	r.balancer.Abandoned(r.now, 99)
 }
 
-// TestRandomEvents gives seeded random events to a Balancer; the recorder checks the rules.
+// TestRandomEvents feeds seeded random events to a Balancer; the recorder checks the rules at each action.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(24) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -63,7 +63,7 @@
 	r.updateHosts(ListCached, readyHosts(1, 2, 3, 11, 12, 13)...)
 	for range 1500 {
 		r.advance(r.now + 0.004*rng.Float64())
-		for _, id := range r.ids { // the deadline ends what is in flight
+		for _, id := range r.ids { // attempts in flight end at the deadline
 			q := r.requests[id]
 			for n := range q.attempts {
 				if !q.attempts[n].isDone && r.now >= q.Deadline-0.003 {
@@ -97,7 +97,7 @@
 	}
 }
 
-// finishRandomAttempt ends one attempt in flight.
+// finishRandomAttempt ends a random attempt that is in flight.
 func finishRandomAttempt(r *recorder, rng *rand.Rand, outcome Outcome) {
 	from := rng.IntN(len(r.ids) + 1)
 	for i := range r.ids {
@@ -111,7 +111,7 @@
 	}
 }
 
-// A killed process starts without state: results of its previous incarnation are not its own.
+// A process that was killed starts without state. It must ignore the results of attempts of the process before it.
 func TestRestartedBalancerIgnoresOldResults(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2)...)
@@ -122,11 +122,11 @@
 	again.balancer.Abandoned(0.1, q.ID)
 	again.now = 0.1
 	if k := again.request(Request{ID: 2, Deadline: 1}); len(k.attempts) != 1 {
-		t.Error("the new incarnation does not send")
+		t.Error("the restarted Balancer does not send a request")
 	}
 }
 
-// Whatever the list and the replica counts say, each request gets its answer and the rules are kept.
+// With odd lists and replica counts, too, each request gets its answer and no rule is broken.
 func TestDegenerateFleets(t *testing.T) {
 	twice := append(manyHosts(5), manyHosts(5)...)
 	for name, c := range map[string]struct {
@@ -168,7 +168,7 @@
 				}
 			}
 			if (served > 100) != c.served {
-				t.Errorf("%d of 400 requests sent", served)
+				t.Errorf("%d of 400 requests served", served)
 			}
 		})
 	}
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -9,17 +9,18 @@
 	"sort"
 )
 
-// checkpointForm is the first byte of a checkpoint. It changes with every change of what is written or how.
+// checkpointForm is the format version, the first byte of a checkpoint. It changes whenever the encoding or the set of fields
+// changes.
 const checkpointForm = 7
 
 // randomStateBytes is the length of the marshalled state of a rand.PCG.
 const randomStateBytes = 20
 
-var errInvalidCheckpoint = errors.New("policy: not a checkpoint of this form")
+var errInvalidCheckpoint = errors.New("policy: not a complete checkpoint of the current format")
 
-// Checkpoint appends the complete state of the Balancer to dst, which then holds maxBytes at most; ok is false if that is too
-// few. A Balancer that Restore makes of it acts as this one would. Checkpoint must not be called from within an action, and
-// changes nothing.
+// Checkpoint appends the complete state of the Balancer to dst, up to a total length of maxBytes; ok is false if that is too
+// short. A Balancer that Restore returns for the state acts exactly as this one does. Checkpoint changes nothing and must not be
+// called from within an action.
 func (b *Balancer) Checkpoint(dst []byte, maxBytes int) (state []byte, ok bool) {
 	c := codec{b: b, buf: dst, maxBytes: maxBytes}
 	c.write(checkpointForm)
@@ -27,8 +28,8 @@
 	return c.buf, !c.failed
 }
 
-// Restore returns a Balancer with the state of a checkpoint. The settings must be those of the original, apart from Self and
-// Replicas, which are part of the state. It fails if state is no complete checkpoint of the present form.
+// Restore returns a Balancer with the state of a checkpoint. The settings must be those of the original, except for Self and
+// Replicas, which are part of the state. It fails if state is not a complete checkpoint of the current format.
 func Restore(s Settings, state []byte, actions Actions) (*Balancer, error) {
 	if len(state) == 0 || state[0] != checkpointForm {
 		return nil, errInvalidCheckpoint
@@ -41,9 +42,9 @@
 	return c.b, nil
 }
 
-// RestoreSuccessor returns a Balancer for the process that replaces the one of the checkpoint. What is known of hosts is taken
-// over; requests are not, since the old process still answers those that it has. The time since the checkpoint is no silence
-// of the hosts (see ObserveStall). It fails as Restore does.
+// RestoreSuccessor returns a Balancer for the process that replaces the one that wrote the checkpoint. It takes over what is
+// known of hosts, but not the requests, since the old process still answers those. The time since the checkpoint does not count
+// as silence of the hosts (see ObserveStall). It fails as Restore does.
 func RestoreSuccessor(s Settings, state []byte, now float64, actions Actions) (*Balancer, error) {
 	b, err := Restore(s, state, actions)
 	if err != nil {
@@ -64,18 +65,18 @@
 	return b, nil
 }
 
-// codec writes or reads a checkpoint. Each type has one visit method for both directions, so that what is written and what is
-// read can't differ. After a failure, writes do nothing and reads give zeros.
+// codec writes or reads a checkpoint. Each type has one visit method for both directions, so that encoding and decoding can't
+// differ. After a failure, writes do nothing and reads return zeros.
 //
-// Danger: a host that was forgotten and listed again is another *host than the one that an older attempt went to, with the same
-// ID. Pointers to hosts are therefore written as indices: first into Balancer.sortedHosts, then into pastHosts.
+// A host that was forgotten and then listed again is a new *host; older attempts may still refer to the previous *host with the
+// same ID. Pointers to hosts are therefore written as indices, not IDs: first into Balancer.sortedHosts, then into pastHosts.
 type codec struct {
 	b         *Balancer
-	buf       []byte // what was written, or what is left to read
-	maxBytes  int    // bound of buf in writing
+	buf       []byte // in writing the output, in reading the input that is left
+	maxBytes  int    // bound of len(buf) in writing
 	reading   bool
 	failed    bool
-	pastHosts []*host // hosts that are not in sortedHosts any more
+	pastHosts []*host // hosts that are no longer in sortedHosts but still referred to
 }
 
 // write appends bytes, unless they exceed maxBytes.
@@ -117,7 +118,7 @@
 	}
 }
 
-// visitBools visits truth values, a byte each.
+// visitBools visits booleans, one byte each.
 func (c *codec) visitBools(all ...*bool) {
 	for _, v := range all {
 		switch {
@@ -146,12 +147,12 @@
 	}
 }
 
-// visitSlice visits the length of a slice and its elements, each of which takes a byte at least.
+// visitSlice visits the length of a slice and its elements, each of which takes at least one byte.
 func visitSlice[T any](c *codec, s *[]T, visit func(*T)) {
 	n := len(*s)
 	visitInts(c, &n)
 	if c.reading {
-		// Danger: a broken length must not make this allocate more than the checkpoint's own size in elements.
+		// A corrupt length must not cause an allocation of more elements than the checkpoint has bytes.
 		c.failed = c.failed || n < 0 || n > len(c.buf)
 		if c.failed {
 			n = 0
@@ -163,7 +164,7 @@
 	}
 }
 
-// visitClass visits the index of a class and checks it.
+// visitClass visits the index of a class and checks its range.
 func (c *codec) visitClass(v *int) {
 	visitInts(c, v)
 	c.failed = c.failed || *v < 0 || *v >= len(c.b.settings.Classes)
@@ -178,7 +179,7 @@
 	c.failed = c.failed || len(*s) != len(c.b.settings.Classes)
 }
 
-// hostIndex returns the index by which a host is written, -1 if it has none yet.
+// hostIndex returns the index by which a host is written, -1 if it has none.
 func (c *codec) hostIndex(h *host) int {
 	hosts := c.b.sortedHosts
 	i := sort.Search(len(hosts), func(i int) bool { return hosts[i].ID >= h.ID })
@@ -212,7 +213,7 @@
 	}
 }
 
-// collectPastHosts finds the hosts that are not in sortedHosts any more, in the order in which they are first referred to.
+// collectPastHosts finds the hosts that are no longer in sortedHosts but still referred to, in the order of the first references.
 func (c *codec) collectPastHosts() {
 	collect := func(h *host) {
 		if h != nil && c.hostIndex(h) < 0 {
@@ -231,7 +232,7 @@
 	}
 }
 
-// visitBalancer visits the complete state. The order is the form: it can't change without checkpointForm.
+// visitBalancer visits the complete state. The order is part of the format: a change of it needs a new checkpointForm.
 func (c *codec) visitBalancer() {
 	b := c.b
 	c.visitRandomState()
@@ -250,7 +251,7 @@
 	}
 }
 
-// visitEstimates visits what is neither a host nor a request.
+// visitEstimates visits the fields of the Balancer that are neither hosts nor requests.
 func (c *codec) visitEstimates() {
 	b := c.b
 	c.visitFloats(&b.now, &b.wakeAt, &b.wantedMembers, &b.proxiesPerHost, &b.listRequestAt, &b.listBackoffSeconds,
@@ -281,8 +282,8 @@
 	c.visitFloats(&e.targetAt, &e.expiresAt)
 }
 
-// rebuildIndexes derives from what was read what is not written: maps, member groups and the queue. It checks what later code
-// relies on.
+// rebuildIndexes rebuilds the state that is not written (maps, member groups and the queue) from what was read. It also checks
+// the invariants that later code relies on.
 func (c *codec) rebuildIndexes() {
 	b := c.b
 	for _, h := range b.sortedHosts {
@@ -311,7 +312,7 @@
 		!slices.IsSortedFunc(b.sortedHosts, func(x, y *host) int { return int(x.ID) - int(y.ID) })
 }
 
-// visitRandomState visits the state of the random numbers.
+// visitRandomState visits the state of the random number generator.
 func (c *codec) visitRandomState() {
 	if c.reading {
 		if err := c.b.pcg.UnmarshalBinary(c.read(randomStateBytes)); err != nil {
@@ -323,7 +324,7 @@
 	raw, err := c.b.pcg.AppendBinary(room[:0])
 	c.write(raw...)
 	if err != nil || len(raw) != randomStateBytes {
-		panic(fmt.Sprintf("policy: %d bytes of random state: %v", len(raw), err)) // the standard library has changed the form
+		panic(fmt.Sprintf("policy: %d bytes of random state: %v", len(raw), err)) // the standard library has changed the encoding
 	}
 }
 
@@ -359,7 +360,7 @@
 	})
 }
 
-// visitRequest visits a request without a final answer.
+// visitRequest visits a request that has no final answer yet.
 func (c *codec) visitRequest(p **request) {
 	if c.reading {
 		*p = &request{}
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -40,7 +40,7 @@
 func (t *actionLog) Log(text string)                 { t.record("log %s", text) }
 func (t *actionLog) drain() string                   { s := strings.Join(t.lines, "\n"); t.lines = nil; return s }
 
-// settingsVariety returns settings that together reach all mechanisms.
+// settingsVariety returns settings that together exercise all mechanisms.
 func settingsVariety() []Settings {
 	tenants := polledSettings()
 	tenants.Tenants = []Tenant{{"a", 0.7, 9}, {"b", 0.3, 4}}
@@ -49,19 +49,19 @@
 	deepProbes.ProbesEnabled, deepProbes.GoneHostsUsable, deepProbes.HedgingAllowed, deepProbes.ConnIdleTimeoutSeconds, deepProbes.ListOnDemand = true, true, false, 5, true
 	answers := baseSettings()
 	answers.ReportFields, answers.Replicas, answers.Self = []ReportField{FieldQueue, FieldInflight}, 3, 2
-	for i := range answers.Classes { // requests that outlive the hosts that they went to
+	for i := range answers.Classes { // long enough for requests to outlive the hosts that they were sent to
 		answers.Classes[i].LatencyTargetSeconds, answers.Classes[i].TotalTimeoutSeconds = 800, 1000
 	}
 	return []Settings{baseSettings(), polledSettings(), tenants, deepProbes, answers}
 }
 
-// runRandomEvents gives seeded random events among 30 hosts to a Balancer and calls step after each, with the event, which can
-// be given to another Balancer.
+// runRandomEvents feeds seeded random events among 30 hosts to a Balancer. It calls step after each event; step can apply the
+// same event to another Balancer.
 func runRandomEvents(s Settings, seed uint64, steps int, acts *actionLog, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
 	return runRandomEventsAmong(30, s, seed, steps, acts, step)
 }
 
-// runRandomEventsAmong is runRandomEvents with a number of hosts.
+// runRandomEventsAmong does the same as runRandomEvents for a given number of hosts.
 func runRandomEventsAmong(hosts int, s Settings, seed uint64, steps int, acts *actionLog, step func(i int, b *Balancer, event func(*Balancer))) *Balancer {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	now, nextID := 1.7e9, uint32(1)
@@ -112,7 +112,7 @@
 			j := rng.IntN(len(out))
 			o := out[j]
 			out = slices.Delete(out, j, j+1)
-			n := tries[o[0]] - 1 // the last one; the module passes over what does not fit
+			n := tries[o[0]] - 1 // the last attempt; the Balancer ignores results that do not fit
 			res := Result{ID: o[0], Attempt: n, Host: o[1], Outcome: Outcome(rng.IntN(8)), DelaySeconds: rng.ExpFloat64() * 0.1, Report: report}
 			if rng.IntN(2) == 0 {
 				res.Outcome, res.Final = OK, true
@@ -149,7 +149,7 @@
 	return b
 }
 
-// A Balancer that is restored from a checkpoint at any time acts as the original does, event by event.
+// A Balancer that is restored from a checkpoint acts exactly as the original does on the events that follow.
 func TestRestoredBalancerActsAlike(t *testing.T) {
 	const steps, every = 6000, 150
 	for n, s := range settingsVariety() {
@@ -164,7 +164,7 @@
 			if restored != nil {
 				event(restored)
 				if got := copied.drain(); want != got {
-					t.Fatalf("settings %d, event %d: the original did\n%s\nthe copy\n%s", n, i, want, got)
+					t.Fatalf("settings %d, event %d: actions of the original\n%s\nof the restored one\n%s", n, i, want, got)
 				}
 			}
 			if i%every == every-1 {
@@ -178,16 +178,16 @@
 				}
 			}
 		})
-		for _, kind := range []string{"send", "refuse", "wake"} { // a run in which nothing happens proves nothing
+		for _, kind := range []string{"send", "refuse", "wake"} { // otherwise the comparison would be of little value
 			if did[kind] < 100 {
-				t.Errorf("settings %d: %d times %s", n, did[kind], kind)
+				t.Errorf("settings %d: %d actions of kind %s, want at least 100", n, did[kind], kind)
 			}
 		}
 	}
 }
 
-// fillFields gives every number, bool and string below v a value of its own that is not zero. Fields that links and indices
-// depend on keep the values of the run.
+// fillFields sets every number and bool below v to a distinct value other than zero. Fields on which pointers and indices depend
+// keep their values.
 func fillFields(v reflect.Value, next *float64, seen map[unsafe.Pointer]bool) {
 	*next++
 	switch v.Kind() {
@@ -204,7 +204,7 @@
 			case "settings", "actions", "pcg", "rng", "ID", "requestID", "liveIndex", "queue", "queueIndex", "groups":
 			case "class", "Class":
 				if f.Kind() == reflect.Int {
-					settable(f).SetInt(int64(*next)%2 + 1) // the others follow it
+					settable(f).SetInt(int64(*next)%2 + 1) // the class pointers are set accordingly by the caller
 				}
 			default:
 				fillFields(settable(f), next, seen)
@@ -226,24 +226,25 @@
 		v.SetUint(uint64(*next))
 	case reflect.Bool:
 		v.SetBool(true)
-	case reflect.Map: // filled by the slices that hold the same
+	case reflect.Map: // filled by the slices with the same elements
 	default:
-		panic("nothing is known of " + v.Type().String())
+		panic("unhandled type " + v.Type().String())
 	}
 }
 
-// settable returns a field that may be set though it is not exported.
+// settable returns an unexported field as a value that can be set.
 func settable(f reflect.Value) reflect.Value {
 	return reflect.NewAt(f.Type(), unsafe.Pointer(f.UnsafeAddr())).Elem()
 }
 
-// compareFields reports what differs below two values, pointer by pointer. filled notes by path which slices have elements.
+// compareFields reports the differences below two values and follows pointers. filled records, by path, which slices have
+// elements.
 func compareFields(t *testing.T, at string, a, b reflect.Value, seen map[unsafe.Pointer]unsafe.Pointer, filled map[string]bool) {
 	t.Helper()
 	switch a.Kind() {
 	case reflect.Pointer:
 		if a.IsNil() != b.IsNil() {
-			t.Errorf("%s: one is nil", at)
+			t.Errorf("%s: only one of the pointers is nil", at)
 			return
 		}
 		if a.IsNil() {
@@ -251,7 +252,7 @@
 		}
 		if twin, known := seen[a.UnsafePointer()]; known {
 			if twin != b.UnsafePointer() {
-				t.Errorf("%s: another link", at)
+				t.Errorf("%s: points to another object than in the original", at)
 			}
 			return
 		}
@@ -266,7 +267,7 @@
 	case reflect.Slice:
 		filled[at] = filled[at] || a.Len() > 0
 		if a.Len() != b.Len() {
-			t.Errorf("%s: %d and %d", at, a.Len(), b.Len())
+			t.Errorf("%s: %d elements in the original, %d in the restored one", at, a.Len(), b.Len())
 			return
 		}
 		for i := range a.Len() {
@@ -274,29 +275,29 @@
 		}
 	case reflect.Map:
 		if a.Len() != b.Len() {
-			t.Errorf("%s: %d and %d", at, a.Len(), b.Len())
+			t.Errorf("%s: %d elements in the original, %d in the restored one", at, a.Len(), b.Len())
 			return
 		}
 		for _, k := range a.MapKeys() {
 			if !b.MapIndex(k).IsValid() {
-				t.Errorf("%s: %v is missing", at, k)
+				t.Errorf("%s: key %v is missing", at, k)
 				continue
 			}
 			compareFields(t, at, a.MapIndex(k), b.MapIndex(k), seen, filled)
 		}
 	default:
 		if !a.Equal(b) {
-			t.Errorf("%s: %v and %v", at, a, b)
+			t.Errorf("%s: %v in the original, %v in the restored one", at, a, b)
 		}
 	}
 }
 
-// Every field of a Balancer is in its checkpoint: all are filled, and one that is not written comes back as zero. A host that
-// the list dropped and named again is two hosts.
+// Every field of a Balancer is in its checkpoint: the test sets all of them, and one that is not written would come back as zero.
+// The state includes a host that was dropped from the list and listed again, which is two objects with the same ID.
 func TestCheckpointKeepsEveryField(t *testing.T) {
 	s := settingsVariety()[2]
 	var b *Balancer
-	for seed := uint64(1); b == nil; seed++ { // until a run ends with an instance of everything
+	for seed := uint64(1); b == nil; seed++ { // until a run ends with live requests, attempts in flight and unserved requests
 		x := runRandomEvents(s, seed, 300, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 		sent := slices.IndexFunc(x.liveRequests, func(r *request) bool { return len(r.attempts) > 0 })
 		if sent >= 0 && len(x.liveRequests) > 1 && len(x.unserved) > 0 && slices.ContainsFunc(x.sortedHosts, func(h *host) bool { return len(h.inFlight) > 0 }) {
@@ -323,43 +324,43 @@
 	}
 	for _, r := range restored.liveRequests {
 		if r.isWaiting != (r.queueIndex > 0) || r.isWaiting && restored.queue.heap[r.queueIndex-1] != r {
-			t.Error("a request that waits is not in the queue, or one that does not is")
+			t.Error("a waiting request is not in the queue, or one that does not wait is in it")
 		}
 	}
 	filled := map[string]bool{}
 	compareFields(t, "", reflect.ValueOf(b), reflect.ValueOf(restored), map[unsafe.Pointer]unsafe.Pointer{}, filled)
 	for at, some := range filled {
 		if !some {
-			t.Errorf("%s: the run left nothing in it to be kept", at)
+			t.Errorf("%s: empty, so the test does not cover it", at)
 		}
 	}
 }
 
-// What is no complete checkpoint restores nothing, and none is written beyond its bound.
+// Truncated or extended checkpoints are rejected, and none is written beyond maxBytes.
 func TestBrokenCheckpointIsRejected(t *testing.T) {
 	s := settingsVariety()[2]
 	b := runRandomEvents(s, 3, 500, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 	state, _ := b.Checkpoint(nil, 1<<20)
 	for n := range state {
 		if _, err := Restore(s, state[:n], &actionLog{}); err == nil {
-			t.Fatalf("%d of %d bytes were taken", n, len(state))
+			t.Fatalf("a checkpoint truncated to %d of %d bytes was accepted", n, len(state))
 		}
 		room := make([]byte, 0, n)
 		if got, ok := b.Checkpoint(room, n); ok || len(got) > n {
-			t.Fatalf("%d bytes held %d", n, len(state))
+			t.Fatalf("maxBytes %d did not limit a checkpoint of %d bytes", n, len(state))
 		}
 	}
 	if _, ok := b.Checkpoint(nil, len(state)); !ok {
-		t.Error("the exact room is enough")
+		t.Error("maxBytes of exactly the length of the checkpoint is not enough")
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range 20000 { // noise may restore something odd, but must not panic
+	for range 20000 { // corrupt bytes may restore an invalid state, but must not panic
 		broken := slices.Clone(state)
 		broken[1+rng.IntN(len(state)-1)] ^= byte(1 + rng.IntN(255))
 		_, _ = Restore(s, broken, &actionLog{})
 	}
 	if _, err := Restore(s, append(state, 0), &actionLog{}); err == nil {
-		t.Error("more than a checkpoint was taken")
+		t.Error("a checkpoint with a byte appended was accepted")
 	}
 }
 
@@ -369,7 +370,7 @@
 	room := make([]byte, 0, 1<<16)
 	for b.Loop() {
 		if _, ok := live.Checkpoint(room, cap(room)); !ok {
-			b.Fatal("no room")
+			b.Fatal("the checkpoint exceeds its bound")
 		}
 	}
 	state, _ := live.Checkpoint(room, cap(room))
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -3,16 +3,16 @@
 import "slices"
 
 const (
-	// repollFraction, of the class's latency target, is the interval at which a held request is dispatched again.
+	// repollFraction is the interval at which a held request is dispatched again, as a fraction of its class's latency target.
 	repollFraction = 0.12
-	// maxHoldFraction, of the time to a request's target, is the longest hold of a request that no host can take. More serves
-	// more requests after a burst; less leaves clients more time for another try elsewhere.
+	// maxHoldFraction is how long a request that no host can take is held at most, as a fraction of the time to its target. A
+	// higher value serves more requests after a burst; a lower one leaves clients more time for a retry elsewhere.
 	maxHoldFraction = 0.15
-	// estimateRelaxFactor is by what factor an estimate shrinks with each request that it made be refused.
+	// estimateRelaxFactor is the factor by which an estimate shrinks with each request that is refused because of it.
 	estimateRelaxFactor = 0.98
 )
 
-// dispatch sends a request, or queues it until the load reports that the pick needs have come.
+// dispatch sends or holds a request at once, or first queues it until the load reports that the pick needs have arrived.
 func (b *Balancer) dispatch(r *request) {
 	r.isWaiting = true
 	b.queue.schedule(r, b.now)
@@ -24,11 +24,11 @@
 	b.pollReports(r)
 }
 
-// sendOrHold sends a waiting request if a host can take it. Else it holds the request for another dispatch, or answers it
-// as unserved when it was held long enough, is over its tenant's share or could not be answered by its target at all.
+// sendOrHold sends a waiting request if a host can take it. Otherwise it holds the request for another dispatch, or answers it as
+// unserved if it has been held long enough, exceeds its tenant's share or can't meet its target at any host.
 func (b *Balancer) sendOrHold(r *request) {
 	if h := r.suspectHost; h != nil && b.pollsReports && h.reportSentAt < r.lostAt-b.settings.TickSeconds {
-		// The host has not answered since it reset the connection: it crashed, maybe by this request.
+		// The host has not answered since it reset the connection: it has crashed, possibly because of this request.
 		r.targetAt = b.now
 		b.answerUnserved(r)
 		return
@@ -36,7 +36,7 @@
 	if b.trySend(r) {
 		return
 	}
-	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // even at an idle host
+	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // not even an idle host would meet the target
 	if r.isOverShare || hopeless || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
 		b.relaxEstimates(r)
 		b.answerUnserved(r)
@@ -48,8 +48,8 @@
 	b.armWake(r.dispatchAt)
 }
 
-// relaxEstimates shrinks the estimates by which a request was refused. Danger: an estimate that lets no request through is
-// never corrected by an answer.
+// relaxEstimates shrinks the estimates because of which a request was refused. An estimate that is too high to let any request
+// through would otherwise never be corrected by an answer.
 func (b *Balancer) relaxEstimates(r *request) {
 	for _, estimate := range [...]*float64{&b.serviceSeconds, &b.classMeanSeconds[r.Request.Class]} {
 		if guessedTimeFactor**estimate > 0.8*r.class.LatencyTargetSeconds {
@@ -69,8 +69,8 @@
 	return true
 }
 
-// answerUnserved gives a request its final answer without a host's: refused if a retry is harmless, else failed. Its target is
-// kept for the client's next try, since work on that is lost once the target of the first try has passed.
+// answerUnserved gives a request its final answer without a host: refused if a retry is harmless, otherwise failed. It remembers
+// the target for the client's next try, since work on that is wasted once the target of the first try has passed.
 func (b *Balancer) answerUnserved(r *request) {
 	b.unserved = b.unserved.appended(unservedRequest{
 		class:     r.Request.Class,
@@ -87,8 +87,8 @@
 	b.finishRequest(r, true)
 }
 
-// dispatchDue dispatches the queued requests that are due, and where reports are polled also those that wait for answers of
-// polls when none is outstanding any more.
+// dispatchDue dispatches the queued requests that are due. Where reports are polled and no poll is outstanding any more, it also
+// dispatches the requests that were waiting for polls.
 func (b *Balancer) dispatchDue() {
 	dueAt, timeoutSeconds := b.now, b.pollTimeout()
 	if b.pollsReports && b.queue.len() > 0 && !slices.ContainsFunc(b.members, func(h *host) bool {
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -32,7 +32,7 @@
 
 func TestHeavyRequestsWithHints(t *testing.T) {
 	for _, c := range []struct {
-		work  float64 // the mean is 0.05, served in 0.075
+		work  float64 // in seconds; the mean is 0.05, which takes 0.075 s
 		ended string
 	}{{0.05, ""}, {0.23, ""}, {1.5, "refused"}} {
 		r := newRecorder(t, polledSettings())
@@ -47,7 +47,7 @@
 		r.answerProbes(OK, func(uint32) float32 { return 0 })
 		r.advance(r.now + 0.002)
 		if q.answer != c.ended || (len(q.attempts) == 1) != (c.ended == "") {
-			t.Errorf("work of %v: %d sends, %q", c.work, len(q.attempts), q.answer)
+			t.Errorf("work of %v: %d sends, answer %q", c.work, len(q.attempts), q.answer)
 		}
 	}
 }
@@ -55,12 +55,12 @@
 func TestUnservableRequestIsAnsweredSoon(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1)...)
-	for i := range uint32(40) { // all in flight, so that the only host is full
+	for i := range uint32(40) { // these stay in flight, so that the only host is full
 		r.request(Request{ID: 1 + i, Deadline: 1})
 	}
 	last := r.request(Request{ID: 99, Deadline: 1})
 	r.advance(0.1)
 	if last.answer != "refused" {
-		t.Errorf("a request that no host can take is %q after a third of its target", last.answer)
+		t.Errorf("a request that no host can take: answer %q after a third of the time to its target, want refused", last.answer)
 	}
 }
--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -8,19 +8,19 @@
 const (
 	// initialListBackoffSeconds is the longest delay before the list is requested again after a first failure.
 	initialListBackoffSeconds = 1.0
-	// maxListBackoffSeconds bounds the doubling backoff. Danger: a change that a failed request missed counts as delivered 6 s
-	// later; a longer backoff would send to hosts that are known to drain.
+	// maxListBackoffSeconds bounds the doubling backoff. A change that was missed by a failed request counts as delivered 6 s
+	// later; with a longer backoff the proxy would then still send to hosts that are known to drain.
 	maxListBackoffSeconds = 2.0
-	// minListBackoffFraction is the fraction of the backoff that every proxy waits.
+	// minListBackoffFraction is the part of the backoff that every proxy waits; the rest depends on its replica index and jitter.
 	minListBackoffFraction = 0.2
-	// maxListRequestJitterSeconds spreads the first request after a cached list.
+	// maxListRequestJitterSeconds bounds the random delay of the first list request after a cached list.
 	maxListRequestJitterSeconds = 0.2
-	// forgetHostSeconds is how long a host that the list no longer names is remembered.
+	// forgetHostSeconds is for how long a host is remembered that is no longer on the list.
 	forgetHostSeconds = 60.0
 )
 
-// UpdateHosts applies an endpoint list, or the failure to get one. After it the subset is chosen anew and waiting requests
-// are dispatched.
+// UpdateHosts applies an endpoint list, or handles the failure to get one. After a list, the subset is chosen anew and due
+// requests are dispatched.
 func (b *Balancer) UpdateHosts(now float64, kind ListKind, list []HostInfo) {
 	b.now = now
 	if kind == ListFailed {
@@ -49,7 +49,7 @@
 
 // scheduleListRetry arms the next list request after a failed one, with a doubling backoff.
 //
-// Danger: proxies that all request the list at once keep an overloaded list service down. listBackoffDelay spreads them.
+// An overloaded list service would stay down if all proxies requested the list at once, so listBackoffDelay spreads the requests.
 func (b *Balancer) scheduleListRetry() {
 	if b.isWatching {
 		b.actions.Log("the list of hosts is not to be had: asking again, hosts are known by their answers")
@@ -60,14 +60,14 @@
 	b.armWake(b.listRequestAt)
 }
 
-// listBackoffDelay returns the delay in seconds before the next list request, at most listBackoffSeconds. Each proxy has a
-// slot by its replica index, with jitter inside the slot, so that the requests of all proxies are spread evenly whatever their number.
+// listBackoffDelay returns the delay in seconds before the next list request, at most listBackoffSeconds. Each proxy has a slot
+// by its replica index, with jitter inside the slot, so that the requests of any number of proxies are spread evenly.
 func (b *Balancer) listBackoffDelay() float64 {
 	slot := (float64(spreadIndex(b.settings.Self, b.settings.Replicas)) + b.rng.Float64()) / float64(max(b.settings.Replicas, 1))
 	return b.listBackoffSeconds * (minListBackoffFraction + (1-minListBackoffFraction)*slot)
 }
 
-// updateHost applies one entry of the list. A host that was started anew since the last entry loses what was learned of it.
+// updateHost applies one entry of the list. A host that has been restarted since the last entry loses its learned state.
 func (b *Balancer) updateHost(info HostInfo) {
 	h := b.hosts[info.ID]
 	if h == nil {
@@ -82,12 +82,12 @@
 	h.HostInfo = info
 }
 
-// withdrawAndForget updates isWithdrawn of all hosts and forgets those that have been gone for forgetHostSeconds; without that,
+// withdrawAndForget updates isWithdrawn of all hosts and forgets those that have been gone for forgetHostSeconds; otherwise
 // memory and work would grow with every release of the service.
 func (b *Balancer) withdrawAndForget() {
 	b.sortedHosts = slices.DeleteFunc(b.sortedHosts, func(h *host) bool {
-		// With GoneHostsUsable only a drain withdraws a host, and a drain is final: an older list that calls the host ready
-		// again must not bring it back.
+		// With GoneHostsUsable only draining withdraws a host, and it is final: an older list that calls the host ready again must
+		// not bring it back.
 		h.isWithdrawn = h.State == Draining || h.State == Gone && !b.settings.GoneHostsUsable ||
 			h.isWithdrawn && (h.State != Ready || b.settings.GoneHostsUsable)
 		if h.State != Gone {
@@ -101,7 +101,7 @@
 	})
 }
 
-// resetHost drops what was learned of a host, as it is new or was restarted. Attempts in flight stay.
+// resetHost drops the learned state of a host that is new or was restarted. Attempts in flight are kept.
 func (b *Balancer) resetHost(h *host) {
 	*h = host{
 		HostInfo:     h.HostInfo,
--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -13,8 +13,8 @@
 		list       ListKind
 		ok         bool
 	}{
-		{"gone binds", false, ListFull, false},
-		{"only draining binds", true, ListFull, true},
+		{"gone withdraws", false, ListFull, false},
+		{"gone hosts are usable", true, ListFull, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := baseSettings()
@@ -29,7 +29,7 @@
 			}
 		})
 	}
-	t.Run("draining binds also after it is gone", func(t *testing.T) {
+	t.Run("draining stays in force after gone", func(t *testing.T) {
 		s := baseSettings()
 		s.GoneHostsUsable = true
 		r := newRecorder(t, s)
@@ -38,7 +38,7 @@
 		r.updateHosts(ListFull)
 		r.advance(5)
 		if q := r.request(Request{ID: 1, Deadline: 6}); len(q.attempts) != 0 {
-			t.Error("sent to a host that drains")
+			t.Error("sent to a draining host")
 		}
 	})
 }
@@ -75,9 +75,10 @@
 	}
 }
 
-// All watches of a fleet break at once and no list request succeeds, whether replica indices come from the settings or from
-// SetReplica. Danger: a change that a failed request missed counts as delivered 6 s after discovery is reachable, so a longer
-// backoff sends to hosts that drain; and requests that come together keep discovery overloaded.
+// All watches of a fleet break at once and no list request succeeds. Replica indices come either from the settings or from
+// SetReplica. List requests must be repeated soon enough, since a change that was missed by a failed request counts as delivered
+// 6 s after the discovery service is reachable again, and with a longer backoff proxies would send to draining hosts. They must
+// also be spread, since simultaneous requests would keep the discovery service overloaded.
 func TestListRetriesAreSpreadOverProxies(t *testing.T) {
 	for _, proxies := range []int{1, 5, 60, 300} {
 		for _, viaSetReplica := range []bool{false, true} {
@@ -90,7 +91,7 @@
 				}
 				r := newRecorder(t, s)
 				r.updateHosts(ListFull, readyHosts(1)...)
-				if viaSetReplica { // configured as the only one
+				if viaSetReplica { // the settings have a single replica
 					r.balancer.SetReplica(0, self, proxies)
 				}
 				for failed := range 6 {
@@ -114,8 +115,8 @@
 	}
 }
 
-// Danger: a process whose first list request failed before it knew the other replicas backs off by a slot of the configured
-// number.
+// A process whose first list request fails before it knows the other replicas computes its backoff from the configured number of
+// replicas. SetReplica must shorten the backoff if the slot of the new index comes sooner.
 func TestSetReplicaShortensListBackoff(t *testing.T) {
 	s := baseSettings()
 	s.ListOnDemand, s.Replicas = true, 300
@@ -131,7 +132,7 @@
 	}
 }
 
-// Hosts that left are forgotten over many generations.
+// Hosts that are gone are forgotten, over many complete replacements of the fleet.
 func TestDepartedHostsAreForgotten(t *testing.T) {
 	for _, goneUsable := range []bool{false, true} {
 		s := baseSettings()
@@ -144,7 +145,7 @@
 			}
 			r.updateHosts(ListFull, list...)
 			until := r.now + 10
-			for r.now < until { // hosts that left are dead
+			for r.now < until { // hosts that are gone do not answer
 				r.advance(r.now + 0.1)
 				out := r.probes
 				r.probes = nil
@@ -161,7 +162,7 @@
 	}
 }
 
-// A host that is listed as gone gets nothing where that withdraws it or while it is silent, and traffic while it answers.
+// A host that is listed as gone gets traffic only if GoneHostsUsable is set and while it answers. A draining host gets none.
 func TestTrafficToGoneHosts(t *testing.T) {
 	for _, c := range []struct {
 		goneUsable, answers bool
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,6 +1,6 @@
 package policy
 
-// HostState is the state of a host by the endpoint list.
+// HostState is the state of a host according to the endpoint list.
 type HostState uint8
 
 // The states of a host.
@@ -18,10 +18,10 @@
 	Cell    int // hosts of a cell share idempotency keys
 	State   HostState
 	Size    float64 // relative capacity
-	Started float64 // time of the last start; 0: long ago
+	Started float64 // time of the last start; 0 if long ago
 }
 
-// ListKind tells how a list given to UpdateHosts is meant.
+// ListKind tells how the list given to UpdateHosts is to be read.
 type ListKind uint8
 
 // The kinds of lists.
@@ -29,20 +29,20 @@
 	ListFull   ListKind = iota // a host that is missing is gone
 	ListDelta                  // changed entries only
 	ListFailed                 // no list: a list request failed or the watch broke
-	ListCached                 // the last list that is known, possibly stale
+	ListCached                 // the last known list, possibly stale
 )
 
-// Request is one try of a client.
+// Request is one try of a client's request.
 type Request struct {
 	ID              uint32 // unique among the requests without a final answer
 	Class           int    // index in Settings.Classes
-	Tenant          int    // index in Settings.Tenants; others belong to no tenant
+	Tenant          int    // index in Settings.Tenants; an index out of range means no tenant
 	Key             uint64 // equal for all tries of a request
 	Deadline        float64
 	WorkSeconds     float64 // expected work on a standard core, if HasWork
 	HasWork         bool
 	Repeat          bool    // marked as a retry by the client
-	HeldBackSeconds float64 // time for which the host program has queued it already; it does not count as an earlier try
+	HeldBackSeconds float64 // time that the request has already been queued in the host program; does not count as an earlier try
 }
 
 // Outcome is how an attempt or a probe ended.
@@ -77,6 +77,6 @@
 	Outcome      Outcome
 	DelaySeconds float64 // from the send to the arrival of the answer
 	LateSeconds  float64 // from the arrival of the answer to this event
-	Final        bool    // the client has its final answer
+	Final        bool    // the client has got its final answer
 	Report       Report
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,7 +6,7 @@
 	"hazelwheel/policy"
 )
 
-// printer carries out actions by printing the ones that matter here.
+// printer prints the actions that matter in this example.
 type printer struct{}
 
 func (printer) Send(request, host uint32)        { fmt.Println("send", request, "to", host) }
--- a/policy/idleconn.go
+++ b/policy/idleconn.go
@@ -1,17 +1,18 @@
 package policy
 
 const (
-	// idleDistrustSeconds is how long idle connections are closed before sends after some were lost.
+	// idleDistrustSeconds is for how long after such losses idle connections are closed before each send.
 	idleDistrustSeconds = 30.0
-	// minIdleSeconds is the idle time below which a loss does not count as one of an idle connection.
+	// minIdleSeconds is the shortest idle time with which a loss counts as one on an idle connection.
 	minIdleSeconds = 0.2
-	// minIdleConnLosses is how many losses in a row, with a success in between counting half, start the distrust.
+	// minIdleConnLosses is the number of consecutive losses above which idle connections are distrusted; a success in between
+	// halves the number.
 	minIdleConnLosses = 1.5
 )
 
-// useIdleConn returns for how many seconds the connections to a host have been idle before a send; 0: an attempt is in flight on
-// one, the host program has closed them after ConnIdleTimeoutSeconds, or they were closed here since idle connections are
-// distrusted.
+// useIdleConn returns for how many seconds the connections to a host have been idle before a send. It returns 0 if an attempt is
+// in flight, if the host program has closed the connections after ConnIdleTimeoutSeconds, or if useIdleConn itself closes them
+// because idle connections are distrusted.
 func (b *Balancer) useIdleConn(h *host) float64 {
 	if len(h.inFlight) > 0 || b.now-h.lastResponseAt >= b.settings.ConnIdleTimeoutSeconds {
 		return 0
@@ -24,12 +25,13 @@
 	return idleSeconds
 }
 
-// lostOnIdleConn returns whether an attempt was lost with a connection that had been dropped unnoticed while idle, by a
-// firewall for instance, so that the outcome says nothing of the host.
+// lostOnIdleConn returns whether an attempt was lost because its idle connection had been dropped unnoticed, for instance by a
+// firewall, so that the outcome tells nothing about the host.
 //
-// Danger: a proxy with little traffic would lose most attempts so. What tells such losses from those by a host: only attempts on
-// idle connections are lost, in a row, at any host, and with a reset that is faster than any answer. For idleDistrustSeconds
-// connections that were idle for half as long are then closed before a send. The price is connection setups.
+// A proxy with little traffic would otherwise lose most of its attempts this way. Such losses differ from failures of a host:
+// they affect only attempts on idle connections, follow each other at any host, and end with a reset that arrives sooner than any
+// answer could. After them, for idleDistrustSeconds, connections that were idle for at least half as long as the lost one are
+// closed before a send. This costs additional connection setups.
 func (b *Balancer) lostOnIdleConn(sent inFlightAttempt, res Result) bool {
 	if (res.Outcome == OK || res.Outcome == HostError) && sent.connIdleSeconds > 0 {
 		b.idleConnLosses *= 0.5
--- a/policy/idleconn_test.go
+++ b/policy/idleconn_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Connections are lost unnoticed while idle: after one or two losses idle ones are closed before a send, and no host is blamed.
+// Connections are dropped unnoticed while idle. After one or two losses, idle connections are closed before a send.
 func TestLostIdleConnectionsAreClosed(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -37,10 +37,10 @@
 			ask(c.outcome)
 		}
 		if got := closed > 0; got != c.closes {
-			t.Errorf("%s: idle connections closed %d times", c.name, closed)
+			t.Errorf("%s: idle connections were closed %d times", c.name, closed)
 		}
 		if got := len(r.logs) == 1; got != c.closes {
-			t.Errorf("%s: log lines %q", c.name, r.logs)
+			t.Errorf("%s: logged %q", c.name, r.logs)
 		}
 	}
 }
--- a/policy/kindfactors.go
+++ b/policy/kindfactors.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	// maxHostKinds bounds the kinds of hosts that are told apart.
+	// maxHostKinds is the number of host kinds that are distinguished.
 	maxHostKinds = 64
 	// kindFactorGain is the gain of the moving averages.
 	kindFactorGain = 0.02
@@ -9,11 +9,11 @@
 	maxKindSample = 4
 )
 
-// kindFactors are the service times of each kind of host in units of the usual one, by HostInfo.Kind. Danger: a proxy with little
-// traffic sees each host too rarely to learn its speed, but each kind often enough.
+// kindFactors are the service times of each kind of host relative to the usual one, by HostInfo.Kind. A proxy with little traffic
+// gets too few answers of a single host to learn its speed, but enough of each kind.
 type kindFactors []float64
 
-// factor returns the factor of a kind, 1 where nothing is known of it.
+// factor returns the factor of a kind, 1 if it is not known.
 func (k kindFactors) factor(kind int) float64 {
 	if kind < 0 || kind >= len(k) {
 		return 1
@@ -21,7 +21,7 @@
 	return k[kind]
 }
 
-// learn takes the relative service time of one answer.
+// learn updates the factor of a kind by the relative service time of one answer.
 func (k *kindFactors) learn(kind int, sample float64) {
 	for kind >= len(*k) && kind < maxHostKinds {
 		*k = append(*k, 1)
--- a/policy/largefleet_test.go
+++ b/policy/largefleet_test.go
@@ -12,7 +12,7 @@
 	balancer       *Balancer
 	now            float64
 	hosts          []HostInfo
-	hangs          map[uint32]bool // they answer nothing
+	hangs          map[uint32]bool // hosts that answer neither probes nor requests
 	probesInFlight []probeInFlight
 	lastID         uint32
 }
@@ -30,7 +30,7 @@
 	c.probesInFlight = append(c.probesInFlight, probeInFlight{host, c.now})
 }
 
-// advance lets time pass, with probes answered by hosts that don't hang.
+// advance moves the clock. Hosts that don't hang answer their probes.
 func (c *largeFleet) advance(seconds float64) {
 	for end := c.now + seconds; c.now < end; {
 		c.now += 0.01
@@ -49,7 +49,7 @@
 	}
 }
 
-// request starts a request that a host which doesn't hang answers at once. It returns the host, 0 if there was none.
+// request starts a request, which is answered at once unless its host hangs. It returns the host, or 0 if there was none.
 func (c *largeFleet) request() uint32 {
 	c.lastID++
 	c.lastHost = 0
@@ -66,7 +66,7 @@
 	return host
 }
 
-// With a third, nine tenths or all but one of a thousand hosts unusable for any reason, requests find a usable one.
+// Requests find a usable host among a thousand even if a third, nine tenths or all but one of them are unusable, for any reason.
 func TestFewGoodHostsAmongMany(t *testing.T) {
 	const n, asked = 1000, 2000
 	kinds := map[string]func(c *largeFleet, i int){
@@ -75,7 +75,7 @@
 		"warming": func(c *largeFleet, i int) { c.hosts[i].Started = c.now },
 		"full": func(c *largeFleet, i int) {
 			h := c.balancer.hosts[c.hosts[i].ID]
-			h.backoffUntil[0] = c.now + 1e6 // has rejected requests again and again
+			h.backoffUntil[0] = c.now + 1e6 // as after many rejections
 		},
 	}
 	for _, name := range []string{"hang", "drain", "warming", "full", "mixed"} {
@@ -107,22 +107,22 @@
 					found++
 				case host != 0 && c.hangs[host]:
 					wasted++
-				case host != 0: // a warming one, within its budget
+				case host != 0: // a warming host, within its budget
 					found++
 				}
 				if i%20 == 19 {
 					c.advance(0.01)
 				}
 			}
-			t.Logf("%s, %d of %d: %.1f %% found a host", name, bad, n, 100*float64(found)/asked)
+			t.Logf("%s, %d of %d hosts unusable: %.1f %% of the requests found a host", name, bad, n, 100*float64(found)/asked)
 			if wasted > 0 || found < asked*98/100 {
-				t.Errorf("%s, %d of %d: %d of %d requests found a host, %d one that hangs", name, bad, n, found, asked, wasted)
+				t.Errorf("%s, %d of %d hosts unusable: %d of %d requests found a host, %d were sent to one that hangs", name, bad, n, found, asked, wasted)
 			}
 		}
 	}
 }
 
-// A keyed request that may have run is retried at the one other host of its zone, however many other hosts there are.
+// A keyed request that may have run is retried at the only other host of its zone, however many hosts there are in other zones.
 func TestOneHostOfAZoneAmongMany(t *testing.T) {
 	s := baseSettings()
 	s.Classes = []Class{{Name: "k", Effect: Keyed, Group: GroupZone, DedupWindowSeconds: 10, LatencyTargetSeconds: 2, TotalTimeoutSeconds: 5}}
@@ -134,9 +134,9 @@
 	c.hosts[400].Zone, c.hosts[700].Zone = 2, 2
 	c.balancer.UpdateHosts(c.now, ListFull, c.hosts)
 	c.advance(3)
-	for tries := 0; ; tries++ { // until one of the two is drawn
+	for tries := 0; ; tries++ { // until one of the two hosts of zone 2 is picked
 		if c.lastID++; tries > 20_000 {
-			t.Fatal("neither host of the zone is ever drawn")
+			t.Fatal("neither host of zone 2 is ever picked")
 		}
 		c.balancer.StartRequest(c.now, Request{ID: c.lastID, Deadline: c.now + 2})
 		if first := c.lastHost; first != c.hosts[400].ID && first != c.hosts[700].ID {
@@ -146,13 +146,13 @@
 		first := c.lastHost
 		c.balancer.AttemptDone(c.now, Result{ID: c.lastID, Host: first, Outcome: HostError, DelaySeconds: 0.01})
 		if c.lastHost == first || c.balancer.hosts[c.lastHost].Zone != 2 {
-			t.Fatalf("the repeat went to host %d", c.lastHost)
+			t.Fatalf("the retry went to host %d", c.lastHost)
 		}
 		return
 	}
 }
 
-// A thousand hosts are replaced within ten seconds: requests are served throughout, and nothing of the old hosts is kept.
+// A thousand hosts are replaced within ten seconds. Requests are served throughout, and the old hosts are forgotten.
 func TestAllHostsReplaced(t *testing.T) {
 	c := newLargeFleet(baseSettings(), 1000)
 	c.advance(3)
@@ -165,7 +165,7 @@
 		c.advance(0.1)
 		for range 5 {
 			if c.request() == 0 {
-				t.Fatalf("no host in step %d", step)
+				t.Fatalf("step %d: no host for a request", step)
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 }
 
-// Among hosts whose speeds differ by up to 2.5 times the slow ones get less, and none starves.
+// Among hosts whose speeds differ by a factor of up to 2.5, the slow ones get less traffic, but none gets too little.
 func TestDifferentSpeedsAmongMany(t *testing.T) {
 	c := newLargeFleet(baseSettings(), 200)
 	c.advance(3)
@@ -185,7 +185,7 @@
 		began    float64
 	}
 	var out []job
-	for range 6000 { // 60 s of 1,000 a second, two thirds of what all can do one by one
+	for range 6000 { // 60 s with 1,000 requests a second, two thirds of what the hosts could serve one by one
 		for range 10 {
 			c.lastID++
 			c.lastHost = 0
@@ -210,21 +210,21 @@
 		speeds[host%10] += c.sent[host]
 		least = min(least, c.sent[host])
 	}
-	t.Logf("sends by speed, the fastest first: %v; least %d", speeds, least)
+	t.Logf("sends by speed, the fastest first: %v; fewest at one host: %d", speeds, least)
 	if float64(speeds[9]) > 0.8*float64(speeds[0]) || least < 60 {
-		t.Errorf("sends by speed: %v; the least of a host is %d", speeds, least)
+		t.Errorf("sends by speed, the fastest first: %v; fewest at one host: %d", speeds, least)
 	}
 }
 
-// With one busy proxy among quiet ones, or with all at the same replica index by mistake, the highest load of a host stays
-// within a multiple of the mean.
+// The highest load of a host stays within a multiple of the mean, also with one busy proxy among quiet ones, or with all proxies
+// at the same replica index by mistake.
 func TestSpreadOfManyProxies(t *testing.T) {
 	const hosts = 200
 	for _, c := range []struct {
 		name    string
 		proxies int
 		same    bool
-		heavy   float64 // part of all requests that comes from one
+		heavy   float64 // fraction of all requests that one proxy gets
 		most    float64
 	}{{"3 alike", 3, false, 1.0 / 3, 1.6}, {"30 alike", 30, false, 1.0 / 30, 1.6}, {"300 alike", 300, false, 1.0 / 300, 1.8},
 		{"one heavy of 30", 30, false, 0.9, 1.6}, {"30 with one index", 30, true, 1.0 / 30, 5.5}} {
@@ -268,14 +268,14 @@
 			most = max(most, n)
 		}
 		spread := float64(most) * hosts / total
-		t.Logf("%s: the most loaded of %d hosts has %.2f times the mean, %d have something", c.name, hosts, spread, len(load))
+		t.Logf("%s: the most loaded of %d hosts has %.2f times the mean load, %d have any", c.name, hosts, spread, len(load))
 		if spread > c.most || !c.same && len(load) < hosts {
-			t.Errorf("%s: %.2f times the mean, %d hosts have something", c.name, spread, len(load))
+			t.Errorf("%s: the most loaded host has %.2f times the mean load, %d hosts have any", c.name, spread, len(load))
 		}
 	}
 }
 
-// BenchmarkSize measures a request with its outcome, a list change, a wake-up and a checkpoint by the number of members.
+// BenchmarkSize measures a request with its outcome, a list change, a wake-up and a checkpoint for different numbers of members.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range []int{13, 200, 1000, 10_000} {
 		c := newLargeFleet(baseSettings(), n)
@@ -284,7 +284,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if c.now += 0.00005; c.request() == 0 {
-					b.Fatal("no host")
+					b.Fatal("no host for a request")
 				}
 			}
 		})
--- a/policy/membergroups.go
+++ b/policy/membergroups.go
@@ -2,11 +2,11 @@
 
 import "math/rand/v2"
 
-// memberGroup is a group of members from which picks are drawn.
+// memberGroup is a group of members from which candidates are drawn at random.
 type memberGroup uint8
 
 const (
-	groupExcluded memberGroup = iota // nothing is drawn from it
+	groupExcluded memberGroup = iota // withdrawn or unavailable; never drawn
 	groupNear
 	groupFar
 	groupWarming
@@ -15,7 +15,7 @@
 // memberGroups holds the members by group, in the order in which they were added, and their mean size.
 type memberGroups struct {
 	groups   [groupWarming + 1][]*host
-	meanSize float64 // 0: sizes can't be compared
+	meanSize float64 // 0 if sizes can't be compared
 }
 
 // updateMeanSize computes the mean size of the members if sizes can be compared.
@@ -29,7 +29,8 @@
 	}
 }
 
-// relativeSize returns a host's size in units of the mean one, 1 where it is larger or not known: a smaller host bears less.
+// relativeSize returns a host's size relative to the mean one, at most 1, and 1 if it is not known. Only a smaller host's load is
+// adjusted.
 func (s *memberGroups) relativeSize(h *host) float64 {
 	if s.meanSize <= 0 || h.Size <= 0 {
 		return 1
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// initialLimit is the concurrency limit of a new host over all proxies that share it.
+	// initialLimit is the concurrency limit of a new host, summed over all proxies that share it.
 	initialLimit = 24.0
-	// minLimit is the lowest concurrency limit over all proxies that share a host; one proxy's part of it is at most 1.
+	// minLimit is the lowest concurrency limit of a host, summed over all proxies that share it; one proxy's part of it is at most
+	// 1.
 	minLimit = 4.0
-	// minBackoffFraction, of the tightest latency target, is the unit of the backoff from a host that rejects requests.
+	// minBackoffFraction is the unit of the backoff from a host that rejects requests, as a fraction of the tightest latency
+	// target.
 	minBackoffFraction = 0.05
 	// maxHostBackoffSeconds bounds that backoff.
 	maxHostBackoffSeconds = 2 * probeIntervalSeconds
 	// maxRejections bounds the exponent of that backoff.
 	maxRejections = 8
-	// failedLatencyRatio is the latency ratio that a failed attempt counts as. Danger: a host that fails fast must not look fast.
+	// failedLatencyRatio is the latency ratio that a failed attempt counts as, so that a host that fails fast does not look fast.
 	failedLatencyRatio = 6.0
 	// maxLatencyRatio bounds the latency ratio of an answer.
 	maxLatencyRatio = 10
@@ -26,17 +28,18 @@
 	errorGain = 0.05
 	// serviceTimeGain is the gain of the moving averages of service times.
 	serviceTimeGain = 0.02
-	// slowAnswerFraction and fastAnswerLimitFraction, of the target of a class, are the delays above which an answer cuts the
-	// concurrency limit and below which it raises it.
+	// slowAnswerFraction and fastAnswerLimitFraction are fractions of a class's latency target. An answer slower than the first
+	// cuts the concurrency limit; one faster than the second raises it.
 	slowAnswerFraction      = 0.3
 	fastAnswerLimitFraction = 0.2
-	// limitUseFraction is the use of the concurrency limit from which on it is raised.
+	// limitUseFraction is the fraction of the concurrency limit that must be in use for the limit to be raised.
 	limitUseFraction = 0.6
-	// latencyRatioDecaySeconds is the age at which half of a latency ratio's distance from 1 has decayed.
+	// latencyRatioDecaySeconds is the age at which the difference between a latency ratio and 1 has halved.
 	latencyRatioDecaySeconds = 5
 )
 
-// learnOutcome takes what the outcome of an attempt tells of its host. It returns whether it tells of the connection only.
+// learnOutcome updates the estimates of a host by the outcome of an attempt. It returns true if the outcome tells only about the
+// connection, not about the host.
 func (b *Balancer) learnOutcome(h *host, res Result) (onlyConnLost bool) {
 	i := slices.IndexFunc(h.inFlight, func(a inFlightAttempt) bool { return a.requestID == res.ID })
 	if i < 0 {
@@ -58,8 +61,8 @@
 		ratio = min(res.DelaySeconds/sent.expectedSeconds, maxLatencyRatio)
 		b.learnLatency(h, r, res.DelaySeconds, sent)
 	case HostError:
-		// Danger: bad requests that fail at any host would condemn healthy ones. The larger the fraction of all attempts that
-		// end with an error, the less an error counts against its host. A fast one gives its retry back to the budget.
+		// Bad requests that fail at any host must not count against healthy hosts: the larger the fraction of all attempts that end
+		// with an error, the less an error counts against its host. A fast error gives its retry back to the budget.
 		commonness := min(3*b.errorFraction, 1)
 		b.backOff(h, sent.class, 2-2*commonness)
 		ratio -= 5 * commonness
@@ -86,25 +89,25 @@
 	return false
 }
 
-// isHostWidelyShared returns whether so many proxies share a host that one answer tells more of its queue than the own attempts
-// in flight.
+// isHostWidelyShared returns whether so many proxies share a host that a single answer tells more about its queue than the own
+// attempts in flight.
 func (b *Balancer) isHostWidelyShared() bool { return b.proxiesPerHost > 2*probingProxies }
 
-// backOff pauses new requests of a class to a host, with a pause that doubles with each rejection. Danger: a host that rejects
-// at once looks idle and would attract all requests.
+// backOff pauses new requests of a class to a host. The pause doubles with each rejection. Without it, a host that rejects at
+// once would look idle and attract all requests.
 func (b *Balancer) backOff(h *host, class int, weight float64) {
 	h.rejections[class] = min(h.rejections[class]+weight, maxRejections)
 	pauseSeconds := min(minBackoffFraction*b.tightestTargetSeconds*math.Exp2(h.rejections[class]), maxHostBackoffSeconds)
 	h.backoffUntil[class] = b.now + pauseSeconds
 }
 
-// decayedLatencyRatio returns a host's delays in units of the expected ones; it decays to 1 as the samples age.
+// decayedLatencyRatio returns the ratio of a host's actual delays to the expected ones; it decays to 1 as the samples age.
 func (b *Balancer) decayedLatencyRatio(h *host) float64 {
 	return 1 + (h.latencyRatio-1)/(1+(b.now-h.latencyRatioAt)/latencyRatioDecaySeconds)
 }
 
-// learnLatency updates the usual service times by an answer and, where reports are absent, the host's concurrency limit. r is
-// nil when the request has had its final answer before.
+// learnLatency updates the estimated service times by an answer and, where reports are absent, the host's concurrency limit. r is
+// nil if the request had got its final answer before.
 func (b *Balancer) learnLatency(h *host, r *request, delaySeconds float64, sent inFlightAttempt) {
 	b.serviceSeconds *= 1 + serviceTimeGain*(min(delaySeconds/sent.expectedSeconds, 3)-1)
 	if r == nil {
@@ -120,11 +123,11 @@
 	b.adaptLimit(h, *mean, delaySeconds)
 }
 
-// adaptLimit adapts a host's concurrency limit by an answer, with additive increase and multiplicative decrease: it is cut by a
-// slow answer, at most once in the time of one, and grows by fast answers while the limit is nearly used. mean is the mean
-// delay of the answer's class.
+// adaptLimit adapts a host's concurrency limit to the delay of an answer, with additive increase and multiplicative decrease. A
+// slow answer cuts the limit, at most once within the delay that counts as slow; a fast answer raises it if it is nearly used up.
+// mean is the mean delay of the answer's class.
 func (b *Balancer) adaptLimit(h *host, mean, delaySeconds float64) {
-	targetSeconds := math.Inf(1) // longest delay in this class at which the class with the tightest target is still met
+	targetSeconds := math.Inf(1) // longest delay in this class with which the class with the tightest target still meets it
 	for i, otherMean := range b.classMeanSeconds {
 		targetSeconds = min(targetSeconds, b.settings.Classes[i].LatencyTargetSeconds*mean/otherMean)
 	}
@@ -136,7 +139,8 @@
 	}
 }
 
-// cutLimit decreases a host's concurrency limit. A small limit is cut by more: samples are rare there, and each one tells more.
+// cutLimit decreases a host's concurrency limit. A small limit is cut by a larger factor, since answers are rare there and each
+// one counts for more.
 func (b *Balancer) cutLimit(h *host) {
 	h.concurrencyLimit = max(min(1, minLimit/b.proxiesPerHost), h.concurrencyLimit*min(0.5+0.1*h.concurrencyLimit, 0.85))
 	h.limitCutAt = b.now
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -6,7 +6,7 @@
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2)...)
 	refused := 0
-	for i := range uint32(7) { // attempts at the other host stay in flight, so that the dead one looks idle
+	for i := range uint32(7) { // attempts at the other host stay in flight, so that the failing one looks idle
 		r.advance(float64(i) * 0.001)
 		q := r.request(Request{ID: 1 + i, Class: 2, Deadline: 9})
 		if q.attempts[0].host == 1 {
@@ -17,7 +17,7 @@
 	if refused != 2 {
 		t.Errorf("%d sends to a host that accepts no connections, want 2", refused)
 	}
-	r.advance(4) // without probes the suspicion has to pass by itself
+	r.advance(4) // without probes the host becomes available again after some time
 	for i := range uint32(30) {
 		q := r.request(Request{ID: 100 + i, Deadline: r.now + 0.9})
 		if len(q.attempts) > 0 && q.attempts[0].host == 1 {
@@ -27,8 +27,8 @@
 	t.Error("the host is never tried again")
 }
 
-// A host that rejects every request at once never holds one and so looks idle. It is tried now and then, and trusted again at
-// its first answer.
+// A host that rejects every request at once holds none and so looks idle. It is tried only now and then, and gets its full
+// traffic again after its first answer.
 func TestBackoffFromRejectingHost(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2)...)
@@ -36,7 +36,7 @@
 		for i := range uint32(400) {
 			r.advance(r.now + 0.01)
 			q := r.request(Request{ID: first + i, Deadline: r.now + 0.9})
-			for n := 0; n < len(q.attempts); n++ { // a repeat follows within the call
+			for n := 0; n < len(q.attempts); n++ { // a retry follows within the call
 				if q.attempts[n].host == 2 {
 					r.finish(q, n, OK)
 				} else {
@@ -55,7 +55,7 @@
 	}
 }
 
-// A host that fails one class keeps getting the others, whose answers tell nothing of that class.
+// A host that fails requests of one class still gets other classes, and their answers do not end the backoff of the failed class.
 func TestBackoffIsPerClass(t *testing.T) {
 	for _, bad := range []Outcome{Rejected, HostError} {
 		r := newRecorder(t, baseSettings())
@@ -71,10 +71,10 @@
 		}
 		sends(0, bad)
 		if n := sends(0, bad); n != 0 {
-			t.Errorf("%v: %d sends of the class that has just failed", bad, n)
+			t.Errorf("%v: %d sends of the class that has just failed, want none", bad, n)
 		}
 		if n := sends(2, OK); n != 1 {
-			t.Errorf("%v: %d sends of another class", bad, n)
+			t.Errorf("%v: %d sends of another class, want one", bad, n)
 		}
 		for range 30 { // held requests are dispatched again
 			r.advance(r.now + 0.1)
@@ -92,7 +92,7 @@
 	}
 }
 
-// A connection that is reset sooner than any work is done tells nothing of its host, nor of the request.
+// A reset that comes sooner than a request could be executed tells nothing about the host or the request.
 func TestFastResetBlamesTheConnection(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1)...)
@@ -100,18 +100,18 @@
 		q := r.request(Request{ID: 1 + i, Deadline: r.now + 0.9})
 		r.finish(q, 0, Reset)
 		if len(q.attempts) != 2 {
-			t.Fatalf("request %d: %d sends, %q", i, len(q.attempts), q.answer)
+			t.Fatalf("request %d: %d sends, answer %q; want two sends", i, len(q.attempts), q.answer)
 		}
 		r.finish(q, 1, OK)
 	}
 	if h := r.balancer.hosts[1]; h.connFailures != 0 || h.latencyRatio > 1.1 {
-		t.Errorf("the host has %d failed connections, ratio %v", h.connFailures, h.latencyRatio)
+		t.Errorf("the host has %d failed connections and latency ratio %v", h.connFailures, h.latencyRatio)
 	}
 }
 
 func TestConcurrencyLimitFollowsDelays(t *testing.T) {
 	for _, c := range []struct {
-		delay     float64 // for a target of 0.3
+		delay     float64 // of each answer, in seconds; the target is 0.3
 		low, high float64
 	}{{0.03, 26, 200}, {0.12, 0, 8}} {
 		r := newRecorder(t, baseSettings())
@@ -133,7 +133,7 @@
 	}
 }
 
-// Where a thousand proxies share few hosts, slow answers bring the sum of their concurrency limits down to a short queue.
+// Where a thousand proxies share few hosts, slow answers lower the sum of their concurrency limits until the queue is short.
 func TestConcurrencyLimitsOfManyProxiesAddUp(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 1000
@@ -150,12 +150,12 @@
 	}
 	for _, h := range r.balancer.members {
 		if all := h.concurrencyLimit * r.balancer.proxiesPerHost; all > 20 {
-			t.Errorf("host %d: all proxies together may have %.0f requests in flight", h.ID, all)
+			t.Errorf("host %d: all proxies together may have %.0f requests in flight, want at most 20", h.ID, all)
 		}
 	}
 }
 
-// Requests that fail at any host don't make hosts look slow; errors of one host do.
+// Requests that fail at any host don't make hosts look slow; errors of a single host do.
 func TestCommonErrorsBlameNoHost(t *testing.T) {
 	ratio := func(bad func(id, host uint32) bool) (worst float64) {
 		r := newRecorder(t, baseSettings())
@@ -182,6 +182,6 @@
 	everywhere := ratio(func(id, _ uint32) bool { return id%3 == 0 })
 	one := ratio(func(_, host uint32) bool { return host == 2 })
 	if everywhere > 1.4 || one < 1.15 {
-		t.Errorf("worst slowdown with errors everywhere %.2f, at one host %.2f", everywhere, one)
+		t.Errorf("worst slowdown with errors at all hosts %.2f, with errors at one host %.2f", everywhere, one)
 	}
 }
--- a/policy/phi.go
+++ b/policy/phi.go
@@ -7,24 +7,26 @@
 )
 
 // The failure detector is the phi accrual detector of N. Hayashibara, X. Défago, R. Yared and T. Katayama, "The phi accrual
-// failure detector", SRDS 2004: instead of a verdict it gives a suspicion level that grows with the silence, on the scale of
-// the usual gaps between a host's answers, taken as normally distributed. Gaps are measured in cadences, since the cadence
-// changes.
+// failure detector", SRDS 2004. Instead of a verdict it gives a suspicion level (phi) that grows with the time since a host's
+// last answer, relative to the usual gaps between its answers, which are assumed to be normally distributed. Gaps are measured in
+// cadences (probe intervals), since the cadence changes.
 const (
-	// gapWindowSize is how many gaps are kept for each member. More make the estimate steadier and slower to follow.
+	// gapWindowSize is how many gaps are kept for each member. A larger window gives a steadier estimate that adapts more slowly.
 	gapWindowSize = 30
-	// seedGaps is how many mean gaps a window starts with, so that mean and sigma are defined.
+	// seedGaps is how many mean gaps a new window is filled with, so that mean and sigma are defined.
 	seedGaps = 3
-	// minSigmaFraction bounds sigma from below, in cadences; it is bounded from above by twice that. A higher bound tolerates
+	// minSigmaFraction is the lower bound of sigma, in cadences; the upper bound is twice that. A higher lower bound tolerates
 	// longer silences.
 	minSigmaFraction = 0.1
-	// phiSuspect is the level above which a member is a candidate for only half of the picks.
+	// phiSuspect is the level above which a member takes part in only half of the picks.
 	phiSuspect = 3.0
-	// phiUnavailable is the level above which a member gets probes only. At phi 8 a silence as long has a probability of 1e-8.
+	// phiUnavailable is the level above which a member gets only probes. A silence with phi 8 has a probability of 1e-8 at a
+	// healthy host.
 	phiUnavailable = 8.0
 	// connFailureMemorySeconds is how long failed connections count against a host.
 	connFailureMemorySeconds = 2 * probeIntervalSeconds
-	// minPhiUpdateSeconds, and phiUpdateSecondsPerMember for each member, are the least time between two updates of all levels.
+	// The shortest time between two updates of all levels is minPhiUpdateSeconds or, if that is longer, phiUpdateSecondsPerMember
+	// times the number of members.
 	minPhiUpdateSeconds       = 0.01
 	phiUpdateSecondsPerMember = 1e-5
 )
@@ -50,7 +52,7 @@
 	h.gapSigma = math.Sqrt(max(sumOfSquares/float64(len(h.gaps))-h.gapMean*h.gapMean, 0))
 }
 
-// silencePhi returns the suspicion level of a member's present silence.
+// silencePhi returns the suspicion level of the time since a member's last answer.
 func (b *Balancer) silencePhi(h *host) float64 {
 	sigma := min(max(h.gapSigma, minSigmaFraction), 2*minSigmaFraction)
 	return Phi((b.now-h.lastAnswerAt)/h.currentCadence, h.gapMean, sigma)
@@ -58,9 +60,9 @@
 
 // suspicion returns the suspicion level of a host by its silence and its failed connections.
 //
-// Danger: probes detect a dead host only after some cadences, and the requests sent until then are lost. Two connections that
-// fail in a row therefore make it unavailable until it answers or for connFailureMemorySeconds. The price: a host whose
-// accept queue is only full is avoided, too.
+// Probes detect a dead host only after some cadences, and the requests sent until then are lost. Two consecutive failed
+// connections therefore make a host unavailable until it answers, or for connFailureMemorySeconds. The drawback is that a host is
+// avoided, too, when only its accept queue is full.
 func (b *Balancer) suspicion(h *host) (phi float64) {
 	if b.now-h.connFailedAt < connFailureMemorySeconds {
 		phi = (phiUnavailable + 1) / 2 * float64(h.connFailures)
@@ -71,9 +73,8 @@
 	return phi
 }
 
-// updatePhi updates phi of all members and the averages over members that picks use, unless that was done a moment ago.
-//
-// Danger: with thousands of members an update for each pick would take most of the processor.
+// updatePhi updates phi of all members and the averages over members that picks use, unless the last update was only a moment
+// ago: with thousands of members, an update for each pick would take most of the CPU time.
 func (b *Balancer) updatePhi() {
 	if b.now-b.phiUpdatedAt < max(minPhiUpdateSeconds, phiUpdateSecondsPerMember*float64(len(b.members))) {
 		return
@@ -103,11 +104,11 @@
 	b.groupMembers()
 }
 
-// discountCommonPhi subtracts the lowest level from all.
+// discountCommonPhi subtracts the lowest level of all members from each.
 //
-// Danger: when most members fall silent at once, the fault is the network's or this process's, and ejecting all of them would
-// leave no host. Only a member that is worse than the best one stays suspected. The price: when most hosts do die at once,
-// attempts at them have to fail before they are avoided.
+// When most members fall silent at once, the cause is probably the network or this process, and ejecting all of them would leave
+// no host. Only members that are worse than the best one stay suspected. The drawback: when most hosts really fail at once,
+// attempts at them must fail before they are avoided.
 func (b *Balancer) discountCommonPhi() {
 	lowest := slices.MinFunc(b.members, func(x, y *host) int { return cmp.Compare(x.phi, y.phi) }).phi
 	for _, h := range b.members {
@@ -115,8 +116,8 @@
 	}
 }
 
-// isCandidate returns whether a member takes part in a pick. Between phiSuspect and phiUnavailable a random draw says so in
-// half of the cases, which costs a draw only then.
+// isCandidate returns whether a member takes part in a pick. Between phiSuspect and phiUnavailable it does so with a probability
+// of one half; only then a random number is drawn.
 func (b *Balancer) isCandidate(h *host) bool {
 	return h.phi <= phiSuspect || h.phi <= phiUnavailable && b.rng.Uint64()&1 == 0
 }
--- a/policy/phi_test.go
+++ b/policy/phi_test.go
@@ -17,7 +17,7 @@
 	for d := 1.0; d < 100; d += 0.05 {
 		phi := Phi(d, 1, 0.1)
 		if phi <= last || math.IsInf(phi, 0) {
-			t.Fatalf("phi after %v is %v, before it %v", d, phi, last)
+			t.Fatalf("phi after a silence of %v is %v, not above the previous %v", d, phi, last)
 		}
 		last = phi
 	}
@@ -27,7 +27,7 @@
 	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
-	r.balancer.sendRate.rate = 1e6 // so high a rate keeps the cadence at its shortest
+	r.balancer.sendRate.rate = 1e6 // high enough to keep the cadence at its shortest
 	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	run := func(until float64, silent uint32) {
 		for r.now < until {
@@ -61,7 +61,7 @@
 	}
 	run(31, 0)
 	if r.balancer.capacityFraction(h) > 0.6 {
-		t.Errorf("at full capacity at once: fraction %v", r.balancer.capacityFraction(h))
+		t.Errorf("the host does not warm up after the outage: capacity fraction %v", r.balancer.capacityFraction(h))
 	}
 	run(34, 1)
 	r.balancer.now = r.now
@@ -70,7 +70,7 @@
 	}
 }
 
-// Silence while the host program did not run says nothing of the hosts; silence beyond that does.
+// Silence while the host program did not run is no evidence against hosts; silence beyond that is.
 func TestStallIsNoSilence(t *testing.T) {
 	s := baseSettings()
 	s.ProbesEnabled = true
@@ -105,7 +105,7 @@
 		for _, h := range r.balancer.members {
 			r.balancer.now = r.now
 			if phi := r.balancer.silencePhi(h); phi > phiSuspect {
-				t.Fatalf("%.2f: phi %v of a healthy host", r.now, phi)
+				t.Fatalf("%.2f s: phi %v of a healthy host", r.now, phi)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	r.advance(20)
 	if q := r.request(Request{ID: 1, Deadline: 21}); len(q.attempts) != 1 {
-		t.Errorf("no send though a host is listed: ended %q", q.answer)
+		t.Errorf("request not sent though hosts are listed: answer %q", q.answer)
 	}
 }
 
@@ -135,7 +135,7 @@
 			}
 		}
 		if n < c.low || n > c.high {
-			t.Errorf("phi %v: drawn %d times of 1000", c.phi, n)
+			t.Errorf("phi %v: candidate in %d of 1000 picks", c.phi, n)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	for name, c := range map[string]struct {
 		gaps  [2]float32
 		sigma float64
-	}{"steady": {[2]float32{1, 1}, 0.1}, "wild": {[2]float32{0.2, 1.8}, 0.2}, "between": {[2]float32{0.85, 1.15}, 0.15}} {
+	}{"steady": {[2]float32{1, 1}, 0.1}, "irregular": {[2]float32{0.2, 1.8}, 0.2}, "between": {[2]float32{0.85, 1.15}, 0.15}} {
 		b := New(baseSettings(), 3, newRecorder(t, baseSettings()))
 		b.now = 1.4
 		h := &host{gaps: c.gaps[:], currentCadence: 1}
@@ -155,7 +155,7 @@
 	}
 }
 
-// A change of the probe cadence is no silence: phi of a healthy host stays low through it.
+// A change of the probe cadence does not count as silence: phi of a healthy host stays low.
 func TestCadenceChangeRaisesNoSuspicion(t *testing.T) {
 	s := baseSettings()
 	s.ProbesEnabled, s.Replicas = true, 1000
@@ -174,7 +174,7 @@
 		for _, h := range r.balancer.members {
 			r.balancer.now = r.now
 			if phi := r.balancer.silencePhi(h); phi > phiUnavailable {
-				t.Fatalf("%.2f: phi %.1f of a healthy host", r.now, phi)
+				t.Fatalf("%.2f s: phi %.1f of a healthy host", r.now, phi)
 			}
 		}
 	}
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// warmingOptimism is by how much a warming host's capacity is taken to exceed the least that it must have.
+	// warmingOptimism is the factor by which a warming host's capacity is assumed to exceed the least that it must have.
 	warmingOptimism = 1.4
-	// hintedTimeFactor is the margin on the time that a request's own work should take. Danger: from 1 on, heavy requests whose
-	// work is known would all be refused.
+	// hintedTimeFactor is the factor applied to the time that a request's own work should take. With 1 or more, all heavy requests
+	// whose work is known would be refused.
 	hintedTimeFactor = 0.85
-	// guessedTimeFactor is the margin on estimated times; more refuses sooner and answers fewer requests late.
+	// guessedTimeFactor is the safety factor applied to estimated times. A higher one refuses more requests and answers fewer
+	// late.
 	guessedTimeFactor = 1.3
-	// queueGrowthFactor is by how much a queue is taken to grow before a request comes to its head.
+	// queueGrowthFactor is the factor by which a queue is assumed to grow before a request reaches its head.
 	queueGrowthFactor = 1.5
 	// crossZoneCostWeight converts CrossZonePrice into a relative increase of the cost of a host in another zone.
 	crossZoneCostWeight = 20.0
-	// costJitterFraction randomizes costs by up to this fraction. Danger: without it all proxies would pick the same host
-	// whenever one is slightly better than the others.
+	// costJitterFraction randomizes costs by up to this fraction. Without it, all proxies would pick the same host whenever one is
+	// slightly better than the others.
 	costJitterFraction = 0.12
-	// maxScannedMembers is the largest number of members that are compared one by one for each pick.
+	// maxScannedMembers is the largest number of members for which each pick compares all of them.
 	maxScannedMembers = 32
-	// scanPauseSecondsPerMember, for each member, is the least time between two comparisons of all where there are more.
+	// scanPauseSecondsPerMember, times the number of members, is the least time between two comparisons of all members if there
+	// are more than maxScannedMembers.
 	scanPauseSecondsPerMember = 2e-6
 )
 
-// slowdown returns by what factor a host is slower than the others, at least 1. Danger: in an overload all answers are late by
-// queues that the expected times contain already; counted against each host again, nearly all requests would be refused. So
-// the ratio is taken relative to the mean of all members.
+// slowdown returns the factor by which a host is slower than the others, at least 1. It is relative to the mean of all members:
+// in an overload all answers are late because of queues, which the expected times include already. If that also counted against
+// each host, nearly all requests would be refused.
 func (b *Balancer) slowdown(h *host) float64 {
 	return max(b.decayedLatencyRatio(h)/max(b.meanLatencyRatio, 1), 1)
 }
 
-// expectedTimes returns the seconds in which a host without slowdown should answer a request: hinted is the part that follows
+// expectedTimes returns the seconds in which a host without slowdown should answer a request. hinted is the part that follows
 // from the request's own work, guessed the part that is estimated.
 func (b *Balancer) expectedTimes(h *host, r *request) (hinted, guessed float64) {
 	capacity := min(1, warmingOptimism*b.capacityFraction(h))
@@ -47,8 +49,8 @@
 	return 0, (guessed + b.serviceSeconds) / capacity
 }
 
-// loadCost returns the cost by which hosts are compared for a request: the expected time where load reports are polled, else a
-// weighted number of own attempts in flight.
+// loadCost returns the cost by which hosts are compared for a request: the expected time where load reports are polled, otherwise
+// a weighted number of own attempts in flight.
 func (b *Balancer) loadCost(h *host, r *request) float64 {
 	if b.pollsReports {
 		hinted, guessed := b.expectedTimes(h, r)
@@ -61,8 +63,8 @@
 	return ahead * b.slowdown(h) * b.kindFactors.factor(h.Kind) / b.capacityFraction(h)
 }
 
-// meetsTarget returns whether a host can be expected to answer a request by its target, and is not backed off from. Danger: a
-// concurrency limit below 1 would shut a host out for good, so at least one attempt is always allowed.
+// meetsTarget returns whether a host is expected to answer a request by its target, and new requests to it are not paused by a
+// backoff. A concurrency limit below 1 would exclude a host for good, so one attempt is always allowed.
 func (b *Balancer) meetsTarget(h *host, r *request) bool {
 	limit := max(h.concurrencyLimit*b.capacityFraction(h), 1)
 	if b.now < h.backoffUntil[r.Request.Class] || !b.pollsReports && float64(len(h.inFlight)) >= limit {
@@ -72,8 +74,9 @@
 	return b.now+(hintedTimeFactor*hinted+guessedTimeFactor*guessed)*b.slowdown(h) <= r.targetAt
 }
 
-// pickHost returns the host for a request, or nil if none can answer it by its target. Up to maxScannedMembers members are
-// compared one by one; of more, a few random ones (see pickFromGroups), and all only for a retry or when the draws find none.
+// pickHost returns the host for a request, or nil if none can answer it by its target. Up to maxScannedMembers members are all
+// compared. Of more members, a few random ones are compared (see pickFromGroups), and all of them only for a retry or if none of
+// the random ones is suitable.
 func (b *Balancer) pickHost(r *request) *host {
 	b.updatePhi()
 	if len(b.members) > maxScannedMembers && !b.pollsReports && len(r.attempts) == 0 {
@@ -82,7 +85,7 @@
 			return h
 		}
 		b.nextScanAt = b.now + scanPauseSecondsPerMember*float64(len(b.members))
-		b.lastScanned = b.pickBest(r, false) // while most hosts are full, the next requests try this one first
+		b.lastScanned = b.pickBest(r, false) // while most hosts are busy, the next requests try this one first
 		return b.lastScanned
 	}
 	h := b.pickBest(r, b.pollsReports)
@@ -93,8 +96,8 @@
 }
 
 // pickFromGroups returns the cheapest of a few members drawn at random, as in "the power of two choices" (M. Mitzenmacher, IEEE
-// Transactions on Parallel and Distributed Systems 12, 2001): three of the near group, one each of the far and the warming
-// one. What a group cannot supply is drawn from the next.
+// Transactions on Parallel and Distributed Systems 12, 2001): three from the near group, and one each from the far and the
+// warming group. If a group can't supply enough, the next one supplies the rest.
 func (b *Balancer) pickFromGroups(r *request) (best *host) {
 	lowestCost := math.Inf(1)
 	consider := func(h *host) (usable bool) {
@@ -124,7 +127,8 @@
 	return best
 }
 
-// candidateCost returns the randomized cost of a request at a host; +Inf: it may not go there, or would be answered too late.
+// candidateCost returns the randomized cost of sending a request to a host, or +Inf if that is not allowed or would miss the
+// target.
 func (b *Balancer) candidateCost(r *request, h *host) float64 {
 	if !b.mayAttempt(r, h) || !b.pollsReports && !b.isCandidate(h) || h.phi > phiUnavailable || !b.meetsTarget(h, r) {
 		return math.Inf(1)
@@ -136,8 +140,8 @@
 	return cost
 }
 
-// pickBest returns the cheapest member, with onlyFresh among those with a fresh report. When all members that the request may
-// go to are unavailable, it is the least suspected one: some host has to get the traffic.
+// pickBest returns the cheapest member, with onlyFresh the cheapest of those with a fresh report. If all members that the request
+// may go to are unavailable, it returns the least suspected one, since some host has to get the traffic.
 func (b *Balancer) pickBest(r *request, onlyFresh bool) *host {
 	var best, leastSuspected *host
 	lowestCost := math.Inf(1)
@@ -159,7 +163,7 @@
 	return best
 }
 
-// groupMembers puts the members into the groups from which pickFromGroups draws, where there are enough members for that.
+// groupMembers assigns the members to the groups from which pickFromGroups draws, if there are more than maxScannedMembers.
 func (b *Balancer) groupMembers() {
 	b.groups.clear()
 	b.groups.updateMeanSize(b.members, b.settings.SizesComparable)
--- a/policy/pick_test.go
+++ b/policy/pick_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Crossing zones has a price: of equal hosts the one in the own zone is picked, and the other one while that is busy.
+// Attempts in another zone have a price: of two equal hosts the one in the own zone is picked, and the other one only while that
+// is busy.
 func TestOwnZoneIsPreferred(t *testing.T) {
 	s := baseSettings()
 	s.Zone, s.CrossZonePrice = 1, 0.06
@@ -24,6 +25,6 @@
 		sent[r.request(Request{ID: 100 + i, Deadline: r.now + 0.9}).attempts[0].host]++
 	}
 	if sent[1] < 2 {
-		t.Errorf("%d requests go to the other zone while the near host is busy", sent[1])
+		t.Errorf("%d of 10 requests go to the other zone while the host in the own zone is busy, want at least 2", sent[1])
 	}
 }
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// probeIntervalSeconds is the shortest cadence of the probes that feed the failure detector.
+	// probeIntervalSeconds is the shortest interval (cadence) of the probes that feed the failure detector.
 	probeIntervalSeconds = 1.0
-	// probingProxies is how many proxies may probe a host at the shortest cadence; each two more lengthen it by a second.
+	// probingProxies is the number of proxies up to which the cadence is not lengthened much; beyond it, the cadence grows by a
+	// second for every two proxies that probe the same host.
 	probingProxies = 4.0
-	// probeJitterFraction spreads the probes by up to this fraction of the cadence in both directions.
+	// probeJitterFraction is the largest random deviation of a probe's time in both directions, as a fraction of the cadence.
 	probeJitterFraction = 0.1
-	// probeBudgetFraction is what the probes for one own request may cost, as a fraction of the value of the request.
+	// probeBudgetFraction is how much the probes for each own request may cost, as a fraction of the value of a request.
 	probeBudgetFraction = 0.016
-	// maxProbeStretch bounds by how much the cadence is lengthened for little own traffic.
+	// maxProbeStretch is the largest factor by which little own traffic lengthens the cadence.
 	maxProbeStretch = 6.0
-	// outageCadences is the gap, in cadences, from which on a host may have been restarted.
+	// outageCadences is the gap between answers, in cadences, above which a host may have been restarted.
 	outageCadences = 2.5
 	// probeRTTGain and meanGapGain are the gains of the moving averages of probe delays and of gaps.
 	probeRTTGain = 0.05
 	meanGapGain  = 0.02
 )
 
-// addMember makes a host a member and starts its health checks. A new window of gaps is seeded with the mean gap of all members.
-//
-// Danger: proxies that all probe or connect at once overload a host that has just started, so the first probe comes at a
-// random time within the cadence.
+// addMember makes a host a member and starts its health checks. Its window of gaps is filled up to seedGaps with the mean gap of
+// all members. The first probe comes at a random time within the cadence, since proxies that all probe or connect at once would
+// overload a host that has just started.
 func (b *Balancer) addMember(h *host) {
 	for len(h.gaps) < seedGaps {
 		h.gaps = append(h.gaps, float32(b.meanGap))
@@ -42,11 +42,11 @@
 	b.armWake(h.nextProbeAt)
 }
 
-// probeCadence returns the seconds between two cadence probes of a member. It grows with the number of proxies that probe the
+// probeCadence returns the seconds between two cadence probes of a member. They grow with the number of proxies that probe the
 // same host, with the price of a probe, and with the number of members for each own request.
 //
-// Danger: at a fixed cadence many proxies with little traffic each would send more probes than requests. The growth for
-// little traffic is undone as queues build up, since probe delays then tell the load.
+// With a fixed cadence, many proxies with little traffic each would send more probes than requests. As queues build up, the
+// cadence is shortened again, since probe delays then show the load.
 func (b *Balancer) probeCadence() float64 {
 	maxStretch := maxProbeStretch - (maxProbeStretch-1)*min(4*b.usualQueueFraction, 1)
 	membersPerRequest := float64(len(b.members)) / max(b.ownSendRate(), 1e-9)
@@ -71,8 +71,8 @@
 	}
 }
 
-// ProbeDone handles the result of a probe that Actions.Probe asked for. The probe, one of the cadence or a poll, is
-// recognized by its send time, to a tick.
+// ProbeDone handles the result of a probe that was started by Actions.Probe. Whether it was a cadence probe or a poll for a
+// report is recognized by its send time, to within a tick.
 func (b *Balancer) ProbeDone(now float64, r Result) {
 	b.now = now
 	h := b.hosts[r.Host]
@@ -110,12 +110,12 @@
 	gap := (answeredAt - h.lastAnswerAt) / h.currentCadence
 	switch {
 	case gap > outageCadences:
-		// Danger: the gap of an outage would inflate the mean and delay the next detection, so it is not learned. The host may
-		// have been restarted, so it warms up again.
+		// The gap of an outage would inflate the mean and delay the next detection, so it is not learned. The host may have been
+		// restarted, so it warms up again.
 		h.recoveryStartedAt = b.now
 		h.latencyRatio = 1
 	case !h.hasAnswered:
-		h.hasAnswered = true // the time from addMember to the first answer is no gap
+		h.hasAnswered = true // the time from addMember to the first answer is not a gap between answers
 	case b.silencePhi(h) <= phiUnavailable:
 		h.gaps = append(h.gaps, float32(gap))
 		if len(h.gaps) > gapWindowSize {
@@ -128,9 +128,9 @@
 	h.currentCadence = h.nextCadence
 }
 
-// ObserveStall takes note that the host program itself did not run for the given seconds until now, and shortens all silences
-// by that time. Danger: answers that nobody read are no evidence against a host; without this a pause of the own process
-// would suspect all members at once.
+// ObserveStall records that the host program itself did not run for the given seconds until now, and subtracts that time from the
+// silence of each member. Answers that this process could not read are no evidence against a host; otherwise a pause of this
+// process would make all members suspect at once.
 func (b *Balancer) ObserveStall(now, seconds float64) {
 	b.now = now
 	for _, h := range b.members {
--- a/policy/probe_test.go
+++ b/policy/probe_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The probe rate and the subset follow from hosts, proxies and own traffic.
+// The probe rate follows from the number of hosts and proxies and from the proxy's own traffic.
 func TestProbeRateFollowsOwnTraffic(t *testing.T) {
 	for _, c := range []struct {
 		hosts, proxies int
--- a/policy/query_test.go
+++ b/policy/query_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A host that is silent or drains is not usable, also when that holds for all; and the query changes neither the clock nor the
-// suspicion of the decisions.
+// A host that is silent or draining is not usable, even if that holds for all hosts. The query does not change the Balancer's
+// clock.
 func TestUsableHosts(t *testing.T) {
 	s := baseSettings()
 	s.ProbesEnabled = true
@@ -13,10 +13,10 @@
 		t.Helper()
 		before := r.balancer.now
 		if n := r.balancer.UsableHosts(r.now); n != want {
-			t.Errorf("%.1f: %d usable, want %d", r.now, n, want)
+			t.Errorf("%.1f s: %d usable hosts, want %d", r.now, n, want)
 		}
 		if r.balancer.now != before {
-			t.Errorf("the clock of the decisions moved from %v to %v", before, r.balancer.now)
+			t.Errorf("the query moved the Balancer's clock from %v to %v", before, r.balancer.now)
 		}
 	}
 	live := func(seconds float64, dead func(host uint32) bool) {
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// queue holds the requests that wait for a host, by the time at which they are dispatched. Danger: with thousands waiting, a
-// visit of each of them for every event would take all of the processor; hence a heap.
+// queue holds the requests that wait for a host, ordered by the time at which they are dispatched. It is a heap, since visiting
+// each of thousands of requests for every event would take all of the CPU time.
 type queue struct {
 	heap   queueHeap
 	popped []*request // result of popDue, reused
@@ -30,8 +30,8 @@
 	}
 }
 
-// popDue removes and returns the requests that are due: those within their tenant's share first, and in order of time. The
-// result is valid until the next call.
+// popDue removes and returns the requests that are due: first those within their tenant's share, then the others, each in order
+// of time. The result is valid until the next call.
 func (q *queue) popDue(now float64) []*request {
 	q.popped = q.popped[:0]
 	for len(q.heap) > 0 && q.heap[0].dispatchAt <= now {
@@ -49,7 +49,7 @@
 	return q.popped
 }
 
-// peek returns the request that is dispatched next, nil if the queue is empty.
+// peek returns the request that is dispatched next, or nil if the queue is empty.
 func (q *queue) peek() *request {
 	if len(q.heap) == 0 {
 		return nil
@@ -59,7 +59,7 @@
 
 func (q *queue) len() int { return len(q.heap) }
 
-// queueHeap implements heap.Interface. Requests with the same time are ordered by ID, so that the same events give the same order.
+// queueHeap implements heap.Interface. Requests with the same time are ordered by ID, so that the order is deterministic.
 type queueHeap []*request
 
 // Len implements heap.Interface.
--- a/policy/queuedelay.go
+++ b/policy/queuedelay.go
@@ -1,18 +1,20 @@
 package policy
 
 const (
-	// idleProbeGain is the gain with which the probe delay of an idle host follows longer delays; shorter ones hold at once.
+	// idleProbeGain is the gain with which the estimated probe delay of an idle host follows longer delays; a shorter delay
+	// replaces it at once.
 	idleProbeGain = 0.002
 	// usualQueueGain is the gain of the moving average of queue delays.
 	usualQueueGain = 0.1
-	// lostProbeQueueFactor is the queue delay after a probe that failed, in units of the time for which it was waited.
+	// lostProbeQueueFactor is the queue delay that is assumed after a failed probe, in units of the time until the probe failed.
 	lostProbeQueueFactor = 4
 )
 
-// learnQueueDelay estimates the queue at a host from the delay of a probe. A deep probe waits in the same queue as requests,
-// so it tells the load where reports are absent; a shallow one always shows an empty queue, which does no harm.
+// learnQueueDelay estimates the queue at a host from the delay of a probe. A deep probe waits in the same queue as requests, so
+// it shows the load where reports are absent. A shallow probe bypasses that queue and always shows an empty one, which does no
+// harm.
 func (b *Balancer) learnQueueDelay(h *host, outcome Outcome, delaySeconds float64) {
-	if b.pollsReports || outcome == Reset || outcome == ConnectFailed { // a lost connection tells nothing of the queue
+	if b.pollsReports || outcome == Reset || outcome == ConnectFailed { // a lost connection tells nothing about the queue
 		return
 	}
 	if outcome == OK && (b.idleProbeSeconds == 0 || delaySeconds < b.idleProbeSeconds) {
@@ -28,9 +30,9 @@
 	b.usualQueueFraction += usualQueueGain * (min(h.queueSeconds/b.tightestTargetSeconds, 1) - b.usualQueueFraction)
 }
 
-// queueDelay returns the seconds that a new request is expected to wait at a host before its service begins: the last
-// measurement, which decays with its age, or more if the cadence probe in flight has waited for longer already. It is 0 where
-// load reports are polled.
+// queueDelay returns how many seconds a new request is expected to wait at a host before its service begins. This is the last
+// measurement, which decays with its age, or the time for which the cadence probe in flight has waited if that is longer. It is 0
+// where load reports are polled.
 func (b *Balancer) queueDelay(h *host) float64 {
 	if b.pollsReports || b.idleProbeSeconds == 0 {
 		return 0
--- a/policy/queuedelay_test.go
+++ b/policy/queuedelay_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A deep probe that comes back late, or not at all, shows a queue where reports are absent.
+// A deep probe that is answered late or not at all shows a queue at the host, where reports are absent.
 func TestSlowProbesTellQueueDelay(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -30,7 +30,7 @@
 			r.probes = keep
 		}
 		if q := r.request(Request{ID: 1, Deadline: r.now + 1}); (len(q.attempts) > 0) != c.sent {
-			t.Errorf("probes end with %v after %v: sent %v, want %v", c.outcome, c.delay, len(q.attempts) > 0, c.sent)
+			t.Errorf("probes end with outcome %v after %v s: request sent: %v, want %v", c.outcome, c.delay, len(q.attempts) > 0, c.sent)
 		}
 	}
 }
--- a/policy/recorded_steps_test.go
+++ b/policy/recorded_steps_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// golden compares text with a file under testdata.
+// golden compares a text with a file under testdata.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,10 +36,10 @@
 	}
 }
 
-// TestRecordedSteps gives seeded random events to a Balancer under each of the settings of variety. The digest of all actions, with
-// their times to the last bit, and of the bytes of the checkpoints in between stays what it was when the golden file was written: no
-// random draw, no floating-point expression and no written form has changed. The file holds for architectures without fused
-// multiply-add; on others the two runs of each seed are compared with each other.
+// TestRecordedSteps feeds seeded random events to a Balancer under each of the settings of settingsVariety. The digest of all
+// actions, with their exact times, and of the checkpoints in between must match the golden file. So no change of random draws,
+// floating-point expressions or the checkpoint format goes unnoticed. The golden file is valid for architectures without fused
+// multiply-add; on others only the two runs of each seed are compared with each other.
 func TestRecordedSteps(t *testing.T) {
 	const steps, checkpointInterval = 6000, 150
 	run := func(hosts int, s Settings, seed uint64) string {
@@ -62,11 +62,11 @@
 	var got strings.Builder
 	for n, s := range settingsVariety() {
 		for _, seed := range []uint64{11, 12} {
-			for _, hosts := range []int{30, 90} { // fewer and more than a pick compares one by one
+			for _, hosts := range []int{30, 90} { // below and above the number that each pick compares completely
 				digest := run(hosts, s, seed)
 				fmt.Fprintf(&got, "settings %d, seed %d, %d hosts: %s\n", n, seed, hosts, digest)
 				if again := run(hosts, s, seed); again != digest {
-					t.Errorf("settings %d, seed %d, %d hosts: a second run of the same events differs", n, seed, hosts)
+					t.Errorf("settings %d, seed %d, %d hosts: two runs with the same events differ", n, seed, hosts)
 				}
 			}
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestSettingsFormIsKept writes settings with every field set as captured records hold them, and reads them back.
+// TestSettingsFormIsKept decodes settings with all fields set, in the JSON form of captured records, and encodes them again.
 func TestSettingsFormIsKept(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
 	if err != nil {
@@ -94,6 +94,6 @@
 		t.Errorf("want\n%sgot\n%s", raw, again)
 	}
 	if strings.Contains(string(raw), ":0,") || strings.Contains(string(raw), "false") {
-		t.Error("a field of the golden settings is not set")
+		t.Error("testdata/settings.json has a field that is not set")
 	}
 }
--- a/policy/recorder_test.go
+++ b/policy/recorder_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// recorder carries out actions by recording them, and checks the rules at each one.
+// recorder records the actions of its Balancer and checks the rules at each one.
 type recorder struct {
 	t           *testing.T
 	settings    Settings
 	balancer    *Balancer
 	now         float64
 	hosts       map[uint32]HostInfo
-	withdrawnAt map[uint32]float64 // when a host was listed as draining or gone
+	withdrawnAt map[uint32]float64 // when a host was listed as draining or gone, by ID
 	requests    map[uint32]*trackedRequest
 	ids         []uint32
 	probes      []probeInFlight
 	wakes       []float64
 	watches     int
-	lastWatchAt float64 // when the last of them began
+	lastWatchAt float64 // time of the last list request
 	logs        []string
 	idleClosed  []uint32
 }
@@ -61,14 +61,14 @@
 	case r.now > q.Deadline:
 		r.t.Fatalf("%.3f: send of request %d after its deadline", r.now, id)
 	case len(q.attempts) >= max(r.settings.MaxAttempts, 1):
-		r.t.Fatalf("%.3f: attempt %d of request %d", r.now, len(q.attempts), id)
+		r.t.Fatalf("%.3f: attempt %d of request %d is beyond MaxAttempts", r.now, len(q.attempts), id)
 	}
 	h, named := r.hosts[host]
 	if !named {
-		r.t.Fatalf("%.3f: send to host %d, never named", r.now, host)
+		r.t.Fatalf("%.3f: send to host %d, which was never listed", r.now, host)
 	}
 	if at, ok := r.withdrawnAt[host]; ok && r.now > at+r.settings.DrainGraceSeconds {
-		r.t.Fatalf("%.3f: send to host %d, withdrawn at %.3f", r.now, host, at)
+		r.t.Fatalf("%.3f: send to host %d, which was withdrawn at %.3f", r.now, host, at)
 	}
 	for _, a := range q.attempts {
 		if a.mayHaveRun() {
@@ -82,7 +82,7 @@
 	r.t.Helper()
 	c, first := r.settings.Classes[q.Class], r.hosts[a.host]
 	if !a.isDone && !r.settings.HedgingAllowed {
-		r.t.Fatalf("%.3f: second copy of request %d", r.now, q.ID)
+		r.t.Fatalf("%.3f: hedge of request %d, which is not allowed", r.now, q.ID)
 	}
 	switch c.Effect {
 	case Unsafe:
@@ -98,14 +98,14 @@
 func (r *recorder) Cancel(id uint32, n int) {
 	q := r.requests[id]
 	if q == nil || n >= len(q.attempts) || !r.settings.CanCancel {
-		r.t.Fatalf("%.3f: cancel of attempt %d of request %d", r.now, n, id)
+		r.t.Fatalf("%.3f: cancelling attempt %d of request %d is not possible", r.now, n, id)
 	}
 	q.attempts[n].isCancelled = true
 }
 
 func (r *recorder) Probe(host uint32) {
 	if _, named := r.hosts[host]; !named || !r.settings.ProbesEnabled {
-		r.t.Fatalf("%.3f: probe of host %d", r.now, host)
+		r.t.Fatalf("%.3f: unexpected probe of host %d", r.now, host)
 	}
 	r.probes = append(r.probes, probeInFlight{host, r.now})
 }
@@ -115,7 +115,7 @@
 func (r *recorder) Refuse(id uint32, after float64) {
 	r.t.Helper()
 	if after < 0 || after > r.settings.MaxRetryAfterSeconds {
-		r.t.Fatalf("%.3f: advice of %v", r.now, after)
+		r.t.Fatalf("%.3f: retry-after of %v s", r.now, after)
 	}
 	if q := r.requests[id]; q != nil && q.Class < len(r.settings.Classes) && q.Class >= 0 {
 		c := r.settings.Classes[q.Class]
@@ -141,7 +141,7 @@
 
 func (r *recorder) WakeAfter(s float64) {
 	if s < 0 || math.IsNaN(s) {
-		r.t.Fatalf("%.3f: wake after %v", r.now, s)
+		r.t.Fatalf("%.3f: invalid wake-up after %v s", r.now, s)
 	}
 	r.wakes = append(r.wakes, r.now+s)
 }
@@ -149,7 +149,7 @@
 func (r *recorder) Watch()          { r.watches, r.lastWatchAt = r.watches+1, r.now }
 func (r *recorder) Log(text string) { r.logs = append(r.logs, text) }
 
-// advance moves the clock to a time and delivers the wake-ups on the way.
+// advance moves the clock to a time and calls Wake at each armed time on the way.
 func (r *recorder) advance(to float64) {
 	r.t.Helper()
 	for {
@@ -215,7 +215,7 @@
 	return k
 }
 
-// finish ends attempt n of a request.
+// finish ends attempt n of a request with an outcome.
 func (r *recorder) finish(q *trackedRequest, n int, outcome Outcome) {
 	r.t.Helper()
 	a := &q.attempts[n]
@@ -227,7 +227,7 @@
 		Final: q.answer != ""})
 }
 
-// answerProbes answers all probes in flight, with the load that load returns.
+// answerProbes answers all probes in flight. load gives the reported load of each host; if it is nil, there are no reports.
 func (r *recorder) answerProbes(outcome Outcome, load func(host uint32) float32) {
 	r.t.Helper()
 	out := r.probes
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,17 +1,17 @@
 package policy
 
 const (
-	// pollSampleSize is how many random candidates have their load reports refreshed for a pick. More make better picks and
-	// cost more probes.
+	// pollSampleSize is how many random candidates are polled for new load reports before a pick. More candidates give better
+	// picks and cost more probes.
 	pollSampleSize = 4
-	// pollTimeoutRTTs is how long a poll is waited for, in usual probe delays.
+	// pollTimeoutRTTs is the timeout of a poll in units of the usual probe delay.
 	pollTimeoutRTTs = 4.0
-	// maxReportedLoad bounds the figures that are believed.
+	// maxReportedLoad is the bound from which on a reported load is ignored as implausible.
 	maxReportedLoad = 1e6
 )
 
-// recordReport keeps a host's load report, unless it is older than the one that is known or its figure makes no sense. sentAt is
-// the send time of the probe that brought it.
+// recordReport stores a host's load report, unless it is older than the last one or its load is implausible. sentAt is the send
+// time of the probe that brought it.
 func (b *Balancer) recordReport(h *host, sentAt float64, report Report) {
 	if b.loadField >= 0 && b.loadField < report.N && sentAt >= h.reportSentAt {
 		load := float64(report.Values[b.loadField])
@@ -22,7 +22,7 @@
 	}
 }
 
-// pollTimeout returns for how many seconds the answers to polls are waited for.
+// pollTimeout returns for how many seconds answers to polls are awaited.
 func (b *Balancer) pollTimeout() float64 {
 	return max(pollTimeoutRTTs*b.probeRTTSeconds, 2*b.settings.TickSeconds)
 }
@@ -37,7 +37,7 @@
 		b.actions.Probe(h.ID)
 	}
 	remaining := pollSampleSize
-	for i := 0; i < len(b.members) && remaining > 0; i++ { // a partial Fisher-Yates shuffle draws the sample
+	for i := 0; i < len(b.members) && remaining > 0; i++ { // a partial Fisher-Yates shuffle selects the sample
 		j := i + b.rng.IntN(len(b.members)-i)
 		b.members[i], b.members[j] = b.members[j], b.members[i]
 		h := b.members[i]
@@ -57,8 +57,8 @@
 	return h.reportSentAt > 0 && b.now-h.reportSentAt <= 2*b.pollTimeout()
 }
 
-// estimatedLoad returns how many requests a host is believed to hold: those of its last report and the own attempts sent since,
-// or all own attempts in flight if these are more.
+// estimatedLoad returns the estimated number of requests that a host holds: those of its last report plus the own attempts sent
+// since, but at least all own attempts in flight.
 func (b *Balancer) estimatedLoad(h *host) float64 {
 	sentSince := len(h.inFlight)
 	for sentSince > 0 && h.inFlight[len(h.inFlight)-sentSince].sentAt < h.reportSentAt {
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -11,17 +11,17 @@
 	}
 	q := r.request(Request{ID: 1, Deadline: 3})
 	if len(q.attempts) != 0 {
-		t.Fatal("sent before the reports came")
+		t.Fatal("the request was sent before the reports arrived")
 	}
 	r.advance(r.now + 0.001)
 	r.answerProbes(OK, func(h uint32) float32 { return map[uint32]float32{1: 3, 2: 0, 3: 1}[h] })
 	if len(q.attempts) != 1 || q.attempts[0].host != 2 {
-		t.Errorf("sends %+v", q.attempts)
+		t.Errorf("attempts %+v, want one at host 2", q.attempts)
 	}
 }
 
-// serveAtFixedRate has a proxy serve 40 requests a second, each in 30 ms, at hosts that report the given load. It returns how
-// many requests were refused and the probes for each request.
+// serveAtFixedRate simulates a proxy that gets 40 requests a second, each served in 30 ms by hosts that report the given load. It
+// returns how many requests were refused and the number of probes for each request.
 func serveAtFixedRate(t *testing.T, s Settings, reported float32) (refused int, probes float64) {
 	const requests, servedS = 800, 0.03
 	r := newRecorder(t, s)
@@ -52,8 +52,9 @@
 	return refused, float64(sent) / requests
 }
 
-// Reports in answers tell how many requests a host held some time ago, from all proxies, and nothing of its cores. Danger:
-// taken for a queue delay, they had nine in ten requests refused at hosts that answer well within the target.
+// Load reports that come with answers tell how many requests a host held some time ago, from all proxies, but not how many it can
+// serve at once. When they were taken for a queue delay, nine in ten requests were refused at hosts that answered well within the
+// target.
 func TestReportsInAnswersCauseNoRefusal(t *testing.T) {
 	for _, reported := range []float32{0, 4, 40} {
 		s := baseSettings()
@@ -64,15 +65,15 @@
 	}
 }
 
-// Where probes have a price, reports are not polled for each request. Danger: at 0.01 of a request's value each, polls cost
-// four fifths of what was served.
+// Where probes have a price, reports are not polled for each request: at a price of 0.01 of a request's value per probe, polls
+// cost four fifths of what was served.
 func TestExpensiveReportsAreNotPolled(t *testing.T) {
 	s := polledSettings()
 	if _, probes := serveAtFixedRate(t, s, 1); probes < 2 {
-		t.Errorf("%.2f probes a request where they cost nothing", probes)
+		t.Errorf("%.2f probes for each request where they cost nothing, want at least 2", probes)
 	}
 	s.ProbePrice = 0.01
 	if refused, probes := serveAtFixedRate(t, s, 4); refused > 0 || probes > 0.2 {
-		t.Errorf("%d requests refused, %.2f probes each", refused, probes)
+		t.Errorf("%d requests refused, %.2f probes for each request", refused, probes)
 	}
 }
--- a/policy/silentactions_test.go
+++ b/policy/silentactions_test.go
@@ -1,6 +1,6 @@
 package policy
 
-// silentActions counts sends and probes by host and answers nothing.
+// silentActions counts sends and probes by host and delivers no results.
 type silentActions struct {
 	sent, probed map[uint32]int
 	lastHost     uint32
--- a/policy/simulatedfleet_test.go
+++ b/policy/simulatedfleet_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// simulatedFleet is many proxies in front of hosts that serve one request after the other, in simulated time.
+// simulatedFleet simulates many proxies in front of hosts that serve one request at a time.
 type simulatedFleet struct {
 	now                       float64
 	events                    eventHeap
-	idleAt                    []float64 // when each host, by id, has worked off its queue
-	workSeconds               []float64 // seconds that a request takes at each
+	idleAt                    []float64 // by host ID: when it has worked off its queue
+	workSeconds               []float64 // by host ID: seconds that a request takes
 	rng                       *rand.Rand
 	proxies                   []*simulatedProxy
 	lastID                    uint32
 	requests, served, refused int
 	probes                    int
-	sends                     []int // at each host
+	sends                     []int // by host ID
 }
 
 // simulatedProxy is one proxy of a simulatedFleet; it carries out the actions of its Balancer.
@@ -55,8 +55,8 @@
 	heap.Push(&t.events, scheduledEvent{when, do})
 }
 
-// newSimulatedFleet returns a fleet whose proxies are configured with s.Replicas, or with their real number where that is 1. A
-// request takes workSeconds of a host on average.
+// newSimulatedFleet returns a fleet whose proxies are configured with s.Replicas, or with their real number if that is 1. A
+// request takes a host work seconds on average.
 func newSimulatedFleet(s Settings, proxies, hosts int, work float64) *simulatedFleet {
 	t := &simulatedFleet{rng: rand.New(rand.NewPCG(3, 9)), idleAt: make([]float64, hosts+1), workSeconds: make([]float64, hosts+1), sends: make([]int, hosts+1)}
 	s.ProbesEnabled = true
@@ -76,7 +76,7 @@
 	return t
 }
 
-// run lets requests arrive for some seconds at a rate a second, at random proxies.
+// run lets requests arrive at random proxies for some time, with a mean rate per second.
 func (t *simulatedFleet) run(seconds, rate float64) {
 	end := t.now + seconds
 	var next func()
@@ -90,7 +90,7 @@
 		t.now = e.at
 		e.run()
 	}
-	t.events = nil // what is left of it is not waited for
+	t.events = nil // the remaining events are dropped
 }
 
 func (t *simulatedFleet) startRequest(c *simulatedProxy) {
@@ -100,7 +100,7 @@
 	c.balancer.StartRequest(t.now, Request{ID: t.lastID, Deadline: t.now + 0.9})
 }
 
-// serve queues work at a host and returns when it is done.
+// serve queues work at a host and returns the time when it is done.
 func (t *simulatedFleet) serve(host uint32, work float64) float64 {
 	t.idleAt[host] = max(t.idleAt[host], t.now) + work
 	return t.idleAt[host]
@@ -134,14 +134,14 @@
 
 func (c *simulatedProxy) Fail(uint32) { c.refused++ }
 
-// Each of many proxies sees an answer of each host about once a second. So few samples must not eject healthy hosts; and in
-// overload the proxies must neither fill the hosts' queues nor refuse everything, since an estimate that lets nothing through
-// is never corrected.
+// Each of many proxies gets only about one answer a second from each host. So few samples must not make healthy hosts
+// unavailable. In overload, the proxies must neither fill the hosts' queues nor refuse everything, since an estimate that lets no
+// request through would never be corrected.
 func TestFleetUnderLoad(t *testing.T) {
-	const seeds = 3 // one alone says little of so few proxies
+	const seeds = 3 // averaged, since a single run varies too much
 	for _, c := range []struct {
 		proxies, configured, hosts int
-		load, served, most         float64 // load and the least that is served, as parts of what the hosts can do; the most that is refused
+		load, served, most         float64 // load and least served fraction relative to the hosts' capacity; largest refused fraction
 	}{{60, 60, 40, 0.66, 0.95, 0.03}, {60, 60, 40, 1.15, 0.65, 1}, {60, 60, 40, 2, 0.6, 1}, {5, 5, 40, 0.9, 0.93, 0.03}, {5, 5, 40, 1.3, 0.75, 1},
 		{5, 5, 13, 2, 0.7, 1}, {60, 600, 40, 0.66, 0.9, 0.05}, {60, 6, 40, 0.66, 0.85, 0.1}} {
 		served, refused := 0.0, 0.0
@@ -161,8 +161,7 @@
 	}
 }
 
-// The probes at a host stay constant while the number of proxies grows, and the more a probe costs, the fewer there are for
-// each request.
+// The more a probe costs, the fewer probes there are for each request, for any number of proxies.
 func TestProbeRateFollowsPrice(t *testing.T) {
 	for _, c := range []struct {
 		price, most float64 // probes for each request
@@ -181,8 +180,8 @@
 	}
 }
 
-// Hosts differ by machine type more than within one, and a proxy sees enough answers of each type: where half of the hosts are
-// three times slower, they get less load, in a fleet that an even distribution would overload.
+// Half of the hosts are three times slower than the others because of their machine type, and an even distribution would overload
+// them. A proxy sees enough answers of each machine type to learn this and sends the slow hosts less load.
 func TestHostKindsGetLoadBySpeed(t *testing.T) {
 	fleet := newSimulatedFleet(baseSettings(), 300, 200, 0.03)
 	hosts := manyHosts(200)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -9,7 +9,7 @@
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2, 3, 4)...)
 	id, warming := uint32(0), map[int]int{}
-	for step := range 3000 { // 100 requests a second, each served in 80 ms
+	for step := range 3000 { // 100 requests a second, each answered after 80 ms
 		at := float64(step) * 0.01
 		r.advance(at)
 		if step == 1000 {
@@ -24,15 +24,15 @@
 			r.finish(old, 0, OK)
 		}
 	}
-	// A warm host takes about 50 in 2 s; the warming one may get a part of them, later all.
+	// A warm host gets about 50 requests in 2 s; the warming one may get a part of that at first and all of it later.
 	if warming[0] < 1 || warming[0] > 30 || warming[8] < 30 {
-		t.Errorf("sends to the warming host in each 2 s: %v", warming)
+		t.Errorf("sends to the warming host in each period of 2 s: %v", warming)
 	}
 }
 
-// A thousand proxies with little traffic each must not overload a warming host by one request each.
+// A thousand proxies with little traffic must not overload a warming host by sending it one request each.
 func TestThousandProxiesKeepSlowStartBudget(t *testing.T) {
-	const proxies, hosts, capacity = 1000, 150, 14.0 // requests a second that a warm host can do
+	const proxies, hosts, capacity = 1000, 150, 14.0 // capacity: requests a second that a warm host can serve
 	s := baseSettings()
 	s.Replicas = proxies
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -48,9 +48,9 @@
 	for i := range warming {
 		warming[i].Started = 20
 	}
-	var at []float64 // of sends to one of the warming hosts
+	var at []float64 // times of the sends to one of the warming hosts
 	id, step := uint32(0), 0.0007
-	for now = 0.001; now < 26; now += step { // about 1,430 requests a second, two thirds of what the fleet can do
+	for now = 0.001; now < 26; now += step { // about 1,430 requests a second, two thirds of the fleet's capacity
 		if now >= 20 && step == 0.0007 { // all hosts restart and traffic doubles
 			step = 0.0003
 			for _, b := range balancers {
@@ -69,7 +69,7 @@
 		}
 	}
 	if len(at) < 5 {
-		t.Errorf("a warming host gets %d requests in 6 s", len(at))
+		t.Errorf("a warming host gets %d requests in 6 s, want at least 5", len(at))
 	}
 	for i, from := range at {
 		n := 0
@@ -80,7 +80,7 @@
 		}
 		strength := s.SlowStartFraction + (1-s.SlowStartFraction)*(from-20)/s.SlowStartSeconds
 		if budget := s.SlowStartMultiple * strength * capacity * s.SlowStartWindowSeconds; float64(n) > 1.15*budget {
-			t.Fatalf("%d sends in the window from %.2f, budget %.0f", n, from, budget)
+			t.Fatalf("%d sends in the window from %.2f s, budget %.0f", n, from, budget)
 		}
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -16,15 +16,15 @@
 			low, high = min(low, n), max(high, n)
 		}
 		if low < 1 || high-low > 2 {
-			t.Errorf("%d hosts, %d proxies: between %d and %d proxies a host", c.hosts, c.proxies, low, high)
+			t.Errorf("%d hosts, %d proxies: a host is used by between %d and %d proxies", c.hosts, c.proxies, low, high)
 		}
 	}
 	if from, size := Subset(0, 2, 0, 6); from != 0 || size != 0 {
-		t.Errorf("empty ring: %d, %d", from, size)
+		t.Errorf("empty ring: range from %d, size %d; want 0, 0", from, size)
 	}
 }
 
-// A subset of mostly warming hosts lacks capacity, so it is extended until enough of it is warm.
+// A subset with many warming hosts lacks capacity, so it is extended until it has enough warm ones.
 func TestSubsetHoldsEnoughWarmHosts(t *testing.T) {
 	s := baseSettings()
 	s.Replicas = 20
@@ -46,6 +46,6 @@
 		}
 	}
 	if warm < 18 {
-		t.Errorf("%d of %d members are warm", warm, len(r.balancer.members))
+		t.Errorf("%d of %d members are warm, want at least 18", warm, len(r.balancer.members))
 	}
 }
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// maxUnserved bounds the unserved requests that are remembered. Danger: each marked retry searches them; with thousands of
-// refusals a second an unbounded search would take all of the processor.
+// maxUnserved bounds the unserved requests that are remembered. Each marked retry searches them linearly; with thousands of
+// refusals a second, an unbounded search would take all of the CPU time.
 const maxUnserved = 1000
 
 // unservedRequest is a request that was answered without being served, kept for the client's next try.
--- a/policy/wakeup.go
+++ b/policy/wakeup.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// armWake asks for a wake-up at a time, at least a tick away, unless an earlier one is armed. A wake-up that is more than a
-// second overdue counts as lost.
+// armWake arms a wake-up at the given time, or one tick from now if that is later, unless an earlier one is armed. An armed
+// wake-up that is more than a second overdue counts as lost.
 func (b *Balancer) armWake(at float64) {
 	if b.isWakeArmed && b.wakeAt > b.now-1 && b.wakeAt <= at {
 		return
@@ -13,8 +13,8 @@
 	b.actions.WakeAfter(b.wakeAt - b.now)
 }
 
-// Wake does what is due: list requests, probes, requests whose deadline has passed, and dispatches. The host program calls it
-// after each Actions.WakeAfter; a call that an earlier wake-up has replaced does nothing.
+// Wake does everything that is due: list requests, probes, requests whose deadline has passed, and dispatches. The host program
+// calls it after each Actions.WakeAfter; a call for a wake-up that has been replaced by a later one does nothing.
 func (b *Balancer) Wake(now float64) {
 	b.now = now
 	if now < b.wakeAt-b.settings.TickSeconds/2 {
@@ -31,7 +31,7 @@
 	b.dispatchDue()
 }
 
-// requestList subscribes to the list when that is due. Unless the list comes, it is requested again well before
+// requestList subscribes to the list when that is due. If the list does not come, it is requested again well before
 // MaxListRequestGapSeconds have passed.
 func (b *Balancer) requestList() {
 	if !b.settings.ListOnDemand || b.isWatching {
@@ -44,15 +44,15 @@
 	b.armWake(b.listRequestAt)
 }
 
-// answerOverdue answers the requests whose deadline has passed with no attempt in flight; one in flight ends at the deadline by
-// itself.
+// answerOverdue answers the requests whose deadline has passed and that have no attempt in flight. An attempt in flight ends at
+// the deadline by itself.
 func (b *Balancer) answerOverdue() {
 	for i := 0; i < len(b.liveRequests); i++ {
 		r := b.liveRequests[i]
 		isInFlight := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.isDone })
 		if b.now >= r.Deadline && !isInFlight {
 			b.answerUnserved(r)
-			i-- // the last request has taken its index
+			i-- // finishRequest has moved the last request to this index
 			continue
 		}
 		b.armWake(r.Deadline)
