--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestTryCutByTheTotalTimeoutIsLate(t *testing.T) {
+func TestTryCutShortByTotalTimeoutIsRefused(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1, 2)...)
 	ask := func(id uint32, wait float64) *trackedRequest {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -11,7 +11,7 @@
 
 // Balancer makes the load balancing decisions of one proxy. Create it with New, Restore or RestoreSuccessor. It is not safe for
 // concurrent use: all calls come from one goroutine, none from within an action, with times that never decrease. A field that is
-// added here must also be added to checkpoint.go, with a new checkpointForm.
+// added here must also be added to checkpoint.go, with a new checkpointFormat.
 type Balancer struct {
 	settings Settings // Self and Replicas follow SetReplica
 	actions  Actions
--- a/policy/checkpoint.go
+++ b/policy/checkpoint.go
@@ -9,9 +9,9 @@
 	"sort"
 )
 
-// checkpointForm is the format version, the first byte of a checkpoint. It changes whenever the encoding or the set of fields
+// checkpointFormat is the format version, the first byte of a checkpoint. It changes whenever the encoding or the set of fields
 // changes.
-const checkpointForm = 7
+const checkpointFormat = 7
 
 // randomStateBytes is the length of the marshalled state of a rand.PCG.
 const randomStateBytes = 20
@@ -23,7 +23,7 @@
 // called from within an action.
 func (b *Balancer) Checkpoint(dst []byte, maxBytes int) (state []byte, ok bool) {
 	c := codec{b: b, buf: dst, maxBytes: maxBytes}
-	c.write(checkpointForm)
+	c.write(checkpointFormat)
 	c.visitBalancer()
 	return c.buf, !c.failed
 }
@@ -31,7 +31,7 @@
 // Restore returns a Balancer with the state of a checkpoint. The settings must be those of the original, except for Self and
 // Replicas, which are part of the state. It fails if state is not a complete checkpoint of the current format.
 func Restore(s Settings, state []byte, actions Actions) (*Balancer, error) {
-	if len(state) == 0 || state[0] != checkpointForm {
+	if len(state) == 0 || state[0] != checkpointFormat {
 		return nil, errInvalidCheckpoint
 	}
 	c := codec{b: New(s, 0, actions), buf: state[1:], reading: true}
@@ -232,7 +232,7 @@
 	}
 }
 
-// visitBalancer visits the complete state. The order is part of the format: a change of it needs a new checkpointForm.
+// visitBalancer visits the complete state. The order is part of the format: a change of it needs a new checkpointFormat.
 func (c *codec) visitBalancer() {
 	b := c.b
 	c.visitRandomState()
@@ -320,8 +320,8 @@
 		}
 		return
 	}
-	var room [randomStateBytes]byte
-	raw, err := c.b.pcg.AppendBinary(room[:0])
+	var buf [randomStateBytes]byte
+	raw, err := c.b.pcg.AppendBinary(buf[:0])
 	c.write(raw...)
 	if err != nil || len(raw) != randomStateBytes {
 		panic(fmt.Sprintf("policy: %d bytes of random state: %v", len(raw), err)) // the standard library has changed the encoding
--- a/policy/checkpoint_test.go
+++ b/policy/checkpoint_test.go
@@ -19,8 +19,8 @@
 	wakes  []float64
 }
 
-func (t *actionLog) record(form string, args ...any) {
-	t.lines = append(t.lines, fmt.Sprintf(form, args...))
+func (t *actionLog) record(format string, args ...any) {
+	t.lines = append(t.lines, fmt.Sprintf(format, args...))
 }
 
 func (t *actionLog) Send(id, host uint32) {
@@ -40,8 +40,8 @@
 func (t *actionLog) Log(text string)                 { t.record("log %s", text) }
 func (t *actionLog) drain() string                   { s := strings.Join(t.lines, "\n"); t.lines = nil; return s }
 
-// settingsVariety returns settings that together exercise all mechanisms.
-func settingsVariety() []Settings {
+// settingsVariants returns settings that together exercise all mechanisms.
+func settingsVariants() []Settings {
 	tenants := polledSettings()
 	tenants.Tenants = []Tenant{{"a", 0.7, 9}, {"b", 0.3, 4}}
 	tenants.CrossZonePrice, tenants.SizesComparable, tenants.ListOnDemand = 0.05, true, true
@@ -152,14 +152,14 @@
 // A Balancer that is restored from a checkpoint acts exactly as the original does on the events that follow.
 func TestRestoredBalancerActsAlike(t *testing.T) {
 	const steps, every = 6000, 150
-	for n, s := range settingsVariety() {
+	for n, s := range settingsVariants() {
 		var restored *Balancer
 		acts, copied := &actionLog{}, &actionLog{}
-		did := map[string]int{}
+		actionCounts := map[string]int{}
 		runRandomEvents(s, uint64(n+1), steps, acts, func(i int, b *Balancer, event func(*Balancer)) {
 			want := acts.drain()
 			for line := range strings.Lines(want) {
-				did[strings.Fields(line)[0]]++
+				actionCounts[strings.Fields(line)[0]]++
 			}
 			if restored != nil {
 				event(restored)
@@ -179,8 +179,8 @@
 			}
 		})
 		for _, kind := range []string{"send", "refuse", "wake"} { // otherwise the comparison would be of little value
-			if did[kind] < 100 {
-				t.Errorf("settings %d: %d actions of kind %s, want at least 100", n, did[kind], kind)
+			if actionCounts[kind] < 100 {
+				t.Errorf("settings %d: %d actions of kind %s, want at least 100", n, actionCounts[kind], kind)
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 // Every field of a Balancer is in its checkpoint: the test sets all of them, and one that is not written would come back as zero.
 // The state includes a host that was dropped from the list and listed again, which is two objects with the same ID.
 func TestCheckpointKeepsEveryField(t *testing.T) {
-	s := settingsVariety()[2]
+	s := settingsVariants()[2]
 	var b *Balancer
 	for seed := uint64(1); b == nil; seed++ { // until a run ends with live requests, attempts in flight and unserved requests
 		x := runRandomEvents(s, seed, 300, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
@@ -338,15 +338,15 @@
 
 // Truncated or extended checkpoints are rejected, and none is written beyond maxBytes.
 func TestBrokenCheckpointIsRejected(t *testing.T) {
-	s := settingsVariety()[2]
+	s := settingsVariants()[2]
 	b := runRandomEvents(s, 3, 500, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
 	state, _ := b.Checkpoint(nil, 1<<20)
 	for n := range state {
 		if _, err := Restore(s, state[:n], &actionLog{}); err == nil {
 			t.Fatalf("a checkpoint truncated to %d of %d bytes was accepted", n, len(state))
 		}
-		room := make([]byte, 0, n)
-		if got, ok := b.Checkpoint(room, n); ok || len(got) > n {
+		buf := make([]byte, 0, n)
+		if got, ok := b.Checkpoint(buf, n); ok || len(got) > n {
 			t.Fatalf("maxBytes %d did not limit a checkpoint of %d bytes", n, len(state))
 		}
 	}
@@ -366,13 +366,13 @@
 
 // A checkpoint blocks the event loop, so it must be fast.
 func BenchmarkCheckpoint(b *testing.B) {
-	live := runRandomEvents(settingsVariety()[2], 3, 5000, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
-	room := make([]byte, 0, 1<<16)
+	live := runRandomEvents(settingsVariants()[2], 3, 5000, &actionLog{}, func(int, *Balancer, func(*Balancer)) {})
+	buf := make([]byte, 0, 1<<16)
 	for b.Loop() {
-		if _, ok := live.Checkpoint(room, cap(room)); !ok {
+		if _, ok := live.Checkpoint(buf, cap(buf)); !ok {
 			b.Fatal("the checkpoint exceeds its bound")
 		}
 	}
-	state, _ := live.Checkpoint(room, cap(room))
+	state, _ := live.Checkpoint(buf, cap(buf))
 	b.ReportMetric(float64(len(state)), "bytes")
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -36,8 +36,8 @@
 	if b.trySend(r) {
 		return
 	}
-	hopeless := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // not even an idle host would meet the target
-	if r.isOverShare || hopeless || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
+	cannotMeetTarget := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // not even an idle host would meet the target
+	if r.isOverShare || cannotMeetTarget || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
 		b.relaxEstimates(r)
 		b.answerUnserved(r)
 		return
--- a/policy/largefleet_test.go
+++ b/policy/largefleet_test.go
@@ -67,7 +67,7 @@
 }
 
 // Requests find a usable host among a thousand even if a third, nine tenths or all but one of them are unusable, for any reason.
-func TestFewGoodHostsAmongMany(t *testing.T) {
+func TestFewUsableHostsAmongMany(t *testing.T) {
 	const n, asked = 1000, 2000
 	kinds := map[string]func(c *largeFleet, i int){
 		"hang":    func(c *largeFleet, i int) { c.hangs[c.hosts[i].ID] = true },
@@ -177,7 +177,7 @@
 }
 
 // Among hosts whose speeds differ by a factor of up to 2.5, the slow ones get less traffic, but none gets too little.
-func TestDifferentSpeedsAmongMany(t *testing.T) {
+func TestHostsOfDifferentSpeeds(t *testing.T) {
 	c := newLargeFleet(baseSettings(), 200)
 	c.advance(3)
 	type job struct {
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -93,7 +93,7 @@
 }
 
 // A reset that comes sooner than a request could be executed tells nothing about the host or the request.
-func TestFastResetBlamesTheConnection(t *testing.T) {
+func TestFastResetDoesNotCountAgainstHost(t *testing.T) {
 	r := newRecorder(t, baseSettings())
 	r.updateHosts(ListFull, readyHosts(1)...)
 	for i := range uint32(3) {
@@ -156,7 +156,7 @@
 }
 
 // Requests that fail at any host don't make hosts look slow; errors of a single host do.
-func TestCommonErrorsBlameNoHost(t *testing.T) {
+func TestCommonErrorsCountAgainstNoHost(t *testing.T) {
 	ratio := func(bad func(id, host uint32) bool) (worst float64) {
 		r := newRecorder(t, baseSettings())
 		r.updateHosts(ListFull, manyHosts(6)...)
--- a/policy/phi_test.go
+++ b/policy/phi_test.go
@@ -71,7 +71,7 @@
 }
 
 // Silence while the host program did not run is no evidence against hosts; silence beyond that is.
-func TestStallIsNoSilence(t *testing.T) {
+func TestStallDoesNotCountAsSilence(t *testing.T) {
 	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestFirstAnswerIsNoGap(t *testing.T) {
+func TestTimeToFirstAnswerIsNotAGap(t *testing.T) {
 	s := baseSettings()
 	s.ProbesEnabled = true
 	r := newRecorder(t, s)
--- a/policy/queuedelay_test.go
+++ b/policy/queuedelay_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A deep probe that is answered late or not at all shows a queue at the host, where reports are absent.
-func TestSlowProbesTellQueueDelay(t *testing.T) {
+func TestSlowProbesShowQueueDelay(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
 		delay   float64
--- a/policy/recorded_steps_test.go
+++ b/policy/recorded_steps_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestRecordedSteps feeds seeded random events to a Balancer under each of the settings of settingsVariety. The digest of all
+// TestRecordedSteps feeds seeded random events to a Balancer under each of the settings of settingsVariants. The digest of all
 // actions, with their exact times, and of the checkpoints in between must match the golden file. So no change of random draws,
 // floating-point expressions or the checkpoint format goes unnoticed. The golden file is valid for architectures without fused
 // multiply-add; on others only the two runs of each seed are compared with each other.
@@ -60,7 +60,7 @@
 		return fmt.Sprintf("%d bytes of checkpoints, sha256 %s", bytes, hex.EncodeToString(sum.Sum(nil)))
 	}
 	var got strings.Builder
-	for n, s := range settingsVariety() {
+	for n, s := range settingsVariants() {
 		for _, seed := range []uint64{11, 12} {
 			for _, hosts := range []int{30, 90} { // below and above the number that each pick compares completely
 				digest := run(hosts, s, seed)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestSettingsFormIsKept decodes settings with all fields set, in the JSON form of captured records, and encodes them again.
-func TestSettingsFormIsKept(t *testing.T) {
+// TestSettingsJSONIsStable decodes settings with all fields set, in the JSON form of captured records, and encodes them again.
+func TestSettingsJSONIsStable(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
 	if err != nil {
 		t.Fatal(err)
--- a/policy/report_test.go
+++ b/policy/report_test.go
@@ -23,7 +23,7 @@
 // serveAtFixedRate simulates a proxy that gets 40 requests a second, each served in 30 ms by hosts that report the given load. It
 // returns how many requests were refused and the number of probes for each request.
 func serveAtFixedRate(t *testing.T, s Settings, reported float32) (refused int, probes float64) {
-	const requests, servedS = 800, 0.03
+	const requests, serviceSeconds = 800, 0.03
 	r := newRecorder(t, s)
 	r.updateHosts(ListFull, readyHosts(1, 2, 3)...)
 	answered, sent := 0, 0
@@ -35,7 +35,7 @@
 			r.answerProbes(OK, func(uint32) float32 { return reported })
 			for answered < len(r.ids) {
 				q := r.requests[r.ids[answered]]
-				if q.answer == "" && (len(q.attempts) == 0 || r.now < q.attempts[0].sentAt+servedS) {
+				if q.answer == "" && (len(q.attempts) == 0 || r.now < q.attempts[0].sentAt+serviceSeconds) {
 					break
 				}
 				if answered++; q.answer != "" {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -78,8 +78,8 @@
 				n++
 			}
 		}
-		strength := s.SlowStartFraction + (1-s.SlowStartFraction)*(from-20)/s.SlowStartSeconds
-		if budget := s.SlowStartMultiple * strength * capacity * s.SlowStartWindowSeconds; float64(n) > 1.15*budget {
+		capacityFraction := s.SlowStartFraction + (1-s.SlowStartFraction)*(from-20)/s.SlowStartSeconds
+		if budget := s.SlowStartMultiple * capacityFraction * capacity * s.SlowStartWindowSeconds; float64(n) > 1.15*budget {
 			t.Fatalf("%d sends in the window from %.2f s, budget %.0f", n, from, budget)
 		}
 	}
