--- a/internal/decide/admission/buffers.go
+++ b/internal/decide/admission/buffers.go
@@ -1,23 +1,24 @@
 package admission
 
 const (
-	// largeHolderDivisor makes a client a large holder that has at least one in so many of all buffered bytes.
+	// A client that holds at least 1/largeHolderDivisor of all buffered bytes is a large holder.
 	largeHolderDivisor = 4
 
 	// minBodyBufferBytes and maxBodyBufferBytes bound the buffer for a body.
 	minBodyBufferBytes = 64 << 10
 	maxBodyBufferBytes = 1 << 20
-	// bodyDivisor makes the buffer for the next body one in so many of the remaining budget.
+	// The buffer for the next body is 1/bodyDivisor of the remaining budget.
 	bodyDivisor = 8
 
 	// minFlowBufferBytes and maxFlowBufferBytes bound the buffer for a peer that reads slowly.
 	minFlowBufferBytes = 16 << 10
 	maxFlowBufferBytes = 128 << 10
-	// flowsDivisor makes the buffers for all slow readers together one in so many of the budget.
+	// The buffers for all slow readers together are 1/flowsDivisor of the budget.
 	flowsDivisor = 4
 )
 
-// SetBufferedBytes notes how many bytes are buffered for a connection: received without a complete request, or written and not sent.
+// SetBufferedBytes records how many bytes are buffered for a connection: received parts of an incomplete request, or written data
+// that has not been sent.
 func (t *ConnTable) SetBufferedBytes(conn *Conn, bytes int) {
 	change := bytes - conn.bufferedBytes
 	t.bufferedBytes += change
@@ -28,14 +29,13 @@
 	conn.bufferedBytes = bytes
 }
 
-// BufferedBytes returns how many bytes are buffered for all connections.
+// BufferedBytes returns how many bytes are buffered for all connections together.
 func (t *ConnTable) BufferedBytes() int { return t.bufferedBytes }
 
-// isBufferReclaimable returns whether the connection could be closed to free its buffer: its bytes are not those of a request in
-// flight.
+// isBufferReclaimable returns whether the connection could be closed to free its buffer, since it has no request in flight.
 func (c *Conn) isBufferReclaimable() bool { return c.state == StateReading || c.state == StateWriting }
 
-// addReclaimable changes a client's reclaimable bytes.
+// addReclaimable adds bytes, which may be negative, to a client's reclaimable bytes.
 func (t *ConnTable) addReclaimable(c *client, bytes int) {
 	c.reclaimableBytes += bytes
 	if c.reclaimableBytes > 0 {
@@ -45,9 +45,9 @@
 	}
 }
 
-// BufferVictim returns the connection to be closed while more than MaxBufferedBytes are buffered: of the client with the most
-// reclaimable bytes, the oldest that is reading or the oldest that is writing, whichever has more. It returns nil if the
-// budget is kept or nothing is reclaimable.
+// BufferVictim returns the connection to be closed while more than MaxBufferedBytes are buffered. It belongs to the client with
+// the most reclaimable bytes and is either its oldest reading or its oldest writing connection, whichever holds more bytes. The
+// result is nil if the budget is not exceeded or nothing is reclaimable.
 func (t *ConnTable) BufferVictim() *Conn {
 	budget := t.settings.MaxBufferedBytes
 	if budget == 0 || t.bufferedBytes <= budget || t.clientsByReclaimable.len() == 0 {
@@ -61,8 +61,8 @@
 	return reading
 }
 
-// IsOverBufferBudget returns whether a new request of a connection must be rejected for lack of buffers: more than MaxBufferedBytes are
-// buffered and its client is a large holder, or more than twice as many are.
+// IsOverBufferBudget returns whether a new request of a connection must be rejected for lack of buffers: MaxBufferedBytes is
+// exceeded and the client is a large holder, or twice MaxBufferedBytes is exceeded.
 func (t *ConnTable) IsOverBufferBudget(conn *Conn) bool {
 	budget := t.settings.MaxBufferedBytes
 	if budget <= 0 || t.bufferedBytes <= budget {
@@ -71,10 +71,11 @@
 	return largeHolderDivisor*conn.client.bufferedBytes >= t.bufferedBytes || t.bufferedBytes > 2*budget
 }
 
-// BodyBufferBytes returns how many bytes of a body may be buffered, while bufferedBytes of the budget are in use, before the rest is
-// forwarded as it arrives. A body that is buffered completely can be sent again in a retry. A budget of 0 has no limit.
+// BodyBufferBytes returns how many bytes of a body may be buffered before the rest is forwarded as it arrives, while
+// bufferedBytes of the budget are in use. A body that is buffered completely can be sent again in a retry. A budget of 0 means no
+// limit.
 //
-// Danger: a fixed buffer would be too small for one large body or too large for a hundred.
+// A fixed size would be too small for a single large body or too large for a hundred of them.
 func BodyBufferBytes(bufferedBytes, budget int) int {
 	if budget <= 0 {
 		return maxBodyBufferBytes
@@ -82,7 +83,8 @@
 	return min(max((budget-bufferedBytes)/bodyDivisor, minBodyBufferBytes), maxBodyBufferBytes)
 }
 
-// FlowBufferBytes returns how many bytes may be buffered for each of so many peers that read slowly. A budget of 0 has no limit.
+// FlowBufferBytes returns how many bytes may be buffered for each slow reader if there are flows of them. A budget of 0 means no
+// limit.
 func FlowBufferBytes(flows, budget int) int {
 	if budget <= 0 || flows == 0 {
 		return maxFlowBufferBytes
--- a/internal/decide/admission/client.go
+++ b/internal/decide/admission/client.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// knownClientWeight is what a connection of a known client weighs; that of an unknown one weighs 1.
+	// knownClientWeight is the weight of a connection of a known client; that of an unknown client has weight 1.
 	knownClientWeight = 0.25
-	// knownScore is the score from which on a client is known. A served request adds 1.
+	// knownScore is the lowest score of a known client. Each served request adds 1.
 	knownScore = 2
-	// wastePenalty is what a connection that was wasted takes from the score.
+	// wastePenalty is subtracted from the score for each wasted connection (see RecordWasted).
 	wastePenalty = 2
-	// maxScore bounds the score, and so the connections that a client can waste before it is unknown again.
+	// maxScore bounds the score, and with it the number of connections that a client can waste before it becomes unknown again.
 	maxScore = 64
-	// maxRememberedClients is how many scores are remembered. The 2Q cache evicts addresses that were seen once before those that come
-	// back, so a flood of addresses with one request each does not evict regular clients.
+	// maxRememberedClients is how many scores are remembered. The 2Q cache evicts addresses that were seen once before those that
+	// come back, so a flood from many addresses with one request each does not evict regular clients.
 	maxRememberedClients = 4096
-	// fairShareMultiple and fairShareAllowance define a fair share: so many times the mean number of active connections of the other
-	// clients, and so many more.
+	// A client exceeds its fair share of active connections from fairShareMultiple times the mean of the other clients plus
+	// fairShareAllowance on.
 	fairShareMultiple  = 2.0
 	fairShareAllowance = 4.0
 )
 
-// client is the state of an address that has connections.
+// client is the state of an address that has at least one connection.
 type client struct {
 	addr              netip.Addr
 	isKnown           bool
 	isKnownBySettings bool
 	conns             int
-	reclaimableConns  int // of these, without a request in flight
+	reclaimableConns  int // those of conns that have no request in flight
 	byState           [stateCount]list
 	limits            []int // indices in Settings.PrefixLimits
 
 	group         *group
-	countedWeight float64 // its part of group.weight
-	heapIndex     int     // in group.clients, from 1; 0: none
+	countedWeight float64 // the part of group.weight that is this client's
+	heapIndex     int     // index in group.clients plus 1; 0 if not in it
 
 	bufferedBytes    int
-	reclaimableBytes int // of these, of connections with a reclaimable buffer
-	bytesHeapIndex   int // in ConnTable.clientsByReclaimable, from 1; 0: none
+	reclaimableBytes int // those of bufferedBytes that closing connections could free
+	bytesHeapIndex   int // index in ConnTable.clientsByReclaimable plus 1; 0 if not in it
 }
 
-// Client is what the connections of an address hold, for operators.
+// Client describes the connections of an address to operators.
 type Client struct {
 	Address       string         `json:"address"`
 	IsKnown       bool           `json:"known"`
@@ -53,7 +53,7 @@
 	BufferedBytes int            `json:"bytes"`
 }
 
-// Clients returns at most maxShown clients, those with the most connections first, and the number of all.
+// Clients returns at most maxShown clients, those with the most connections first, and the total number of clients.
 func (t *ConnTable) Clients(maxShown int) (shown []Client, all int) {
 	list := slices.SortedFunc(maps.Values(t.clients), func(x, y *client) int {
 		return cmp.Or(cmp.Compare(y.conns, x.conns), x.addr.Compare(y.addr))
@@ -73,21 +73,21 @@
 	return shown, len(list)
 }
 
-// RecordServed notes that a request of a connection was served completely, which makes its client known after some.
+// RecordServed records that a request of a connection was served completely. After knownScore such requests the client is known.
 func (t *ConnTable) RecordServed(conn *Conn) {
 	score, _ := t.scores.Get(conn.client.addr)
 	t.setScore(conn.client, min(score+1, maxScore))
 }
 
-// RecordWasted notes that a connection was closed before a request was received completely or an answer was read.
+// RecordWasted records that a connection was closed before a request had been received completely or an answer had been read.
 func (t *ConnTable) RecordWasted(conn *Conn) {
 	if score, ok := t.scores.Peek(conn.client.addr); ok {
 		t.setScore(conn.client, max(score-wastePenalty, 0))
 	}
 }
 
-// ExceedsFairShare returns whether a connection's client has clearly more active connections than the others have on average. When
-// requests must be rejected, those of such clients are rejected first. A known client may have more.
+// ExceedsFairShare returns whether a connection's client has many more active connections than the other clients on average. When
+// requests must be rejected, those of such clients are rejected first. A known client may have more active connections.
 func (t *ConnTable) ExceedsFairShare(conn *Conn) bool {
 	own := conn.client.byState[StateActive].length
 	others := t.activeClients
@@ -104,7 +104,7 @@
 	return float64(own) >= fair
 }
 
-// clientOf returns the client of an address, a new one if it has no connections.
+// clientOf returns the client of an address. It creates the client if the address has no connections.
 func (t *ConnTable) clientOf(addr netip.Addr) *client {
 	if c := t.clients[addr]; c != nil {
 		return c
@@ -128,7 +128,7 @@
 	return c
 }
 
-// setScore remembers the score of a client's address and moves the client between the known and the unknown ones accordingly.
+// setScore stores the score of a client's address and, if needed, moves the client between the known and the unknown ones.
 func (t *ConnTable) setScore(c *client, score float64) {
 	t.scores.Add(c.addr, score)
 	isKnown := c.isKnownBySettings || score >= knownScore
@@ -155,7 +155,7 @@
 	t.joinGroup(c)
 }
 
-// connWeight returns the weight of all connections of a client.
+// connWeight returns the total weight of a client's connections.
 func (c *client) connWeight() float64 {
 	if c.isKnown {
 		return float64(c.conns) * knownClientWeight
@@ -163,7 +163,7 @@
 	return float64(c.conns)
 }
 
-// reclaimableWeight returns the weight of a client's connections without a request in flight.
+// reclaimableWeight returns the total weight of a client's connections without a request in flight.
 func (c *client) reclaimableWeight() float64 {
 	weight := float64(c.reclaimableConns)
 	if c.isKnown {
--- a/internal/decide/admission/conntable.go
+++ b/internal/decide/admission/conntable.go
@@ -6,8 +6,8 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// lastConnsDivisor reserves the last connections, one in so many of all or of those for unknown clients: an address that has half of
-// them already gets none of these.
+// lastConnsDivisor keeps the last connections for other addresses: once only a fraction of 1/lastConnsDivisor of a limit is left,
+// an address that holds half of the limit gets no more.
 const lastConnsDivisor = 8
 
 // PrefixLimit limits the connections of all addresses in a prefix together.
@@ -16,36 +16,38 @@
 	MaxConns int
 }
 
-// Settings are the limits of a ConnTable. The zero value has no limit but MaxConns, which is 0.
+// Settings are the limits of a ConnTable. The zero value admits no connection, since MaxConns is 0, and sets no other limit.
 type Settings struct {
 	MaxConns         int // overflow connections not included
-	ReservedForKnown int // of MaxConns, for known clients only
-	MaxPerAddress    int // connections of an address; 0: no limit
+	ReservedForKnown int // part of MaxConns that only known clients can use
+	MaxPerAddress    int // connections of one address; 0 means no limit
 	PrefixLimits     []PrefixLimit
 	KnownPrefixes    []netip.Prefix // clients that are always known
-	MaxBufferedBytes int            // of all connections together; 0: no limit
+	MaxBufferedBytes int            // for all connections together; 0 means no limit
 }
 
-// ConnTable holds the client connections of a sidecar and decides which are closed under overload. Each decision takes O(log n).
+// ConnTable holds the client connections of a sidecar and decides which of them are closed under overload. Each decision takes
+// O(log n).
 //
-// Clients are told apart by address, as known ones, which were served before, and unknown ones. Danger: under a flood no property
-// of a single connection tells a client from an attacker. Connections are therefore taken from the address, in the network
-// prefix, that has the most which can be closed, and known clients weigh less and have a reserve.
+// Clients are identified by address. A known client has been served before; all others are unknown. In a flood, no property of a
+// single connection distinguishes a client from an attacker. A connection is therefore closed where the most can be closed: at
+// the heaviest address in the heaviest network prefix. Connections of known clients weigh less, and a part of the table is
+// reserved for known clients.
 type ConnTable struct {
 	settings Settings
-	clients  map[netip.Addr]*client // with at least one connection
+	clients  map[netip.Addr]*client // by address; each has at least one connection
 	scores   *lru.TwoQueueCache[netip.Addr, float64]
 
-	// By knownIndex: unknown clients and known ones.
+	// Indexed by knownIndex: 0 for unknown clients, 1 for known ones.
 	groups         [2]map[netip.Prefix]*group
 	groupsByWeight [2]heap[*group]
-	byState        [2][stateCount]list // connections, the longest in the state first
+	byState        [2][stateCount]list // connections by state, ordered by the time when they entered it
 
 	clientsByReclaimable heap[byReclaimable] // clients with reclaimable bytes
 
-	limitCounts   []int // connections by index in Settings.PrefixLimits
+	limitCounts   []int // number of connections by index in Settings.PrefixLimits
 	conns         int   // without overflow connections
-	unknownConns  int   // of these, of unknown clients
+	unknownConns  int   // those of conns that belong to unknown clients
 	overflowConns int
 	activeConns   int
 	activeClients int // clients with active connections
@@ -56,7 +58,7 @@
 func NewConnTable(s Settings) *ConnTable {
 	scores, err := lru.New2Q[netip.Addr, float64](maxRememberedClients)
 	if err != nil {
-		panic(err) // the size is a constant above 0
+		panic(err) // not possible: the size is a positive constant
 	}
 	return &ConnTable{
 		settings:    s,
@@ -67,26 +69,26 @@
 	}
 }
 
-// SetLimits sets MaxConns and ReservedForKnown. Present connections stay.
+// SetLimits sets MaxConns and ReservedForKnown. It closes no connections.
 func (t *ConnTable) SetLimits(maxConns, reservedForKnown int) {
 	t.settings.MaxConns = maxConns
 	t.settings.ReservedForKnown = reservedForKnown
 }
 
-// Len returns the number of connections without overflow connections.
+// Len returns the number of connections, not counting overflow connections.
 func (t *ConnTable) Len() int { return t.conns }
 
-// Verdict is whether a new connection is admitted.
+// Verdict tells whether a new connection is admitted.
 type Verdict uint8
 
-// The verdicts. A connection that is not Admitted may take the place of the one that VictimFor returns.
+// The verdicts. A connection that is not Admitted may replace the one that VictimFor returns.
 const (
 	Admitted  Verdict = iota
 	TableFull         // there are too many connections
 	OverLimit         // its address or prefix is at its limit
 )
 
-// Add adds a new connection of an address. Whatever the verdict, the connection is in the table until Remove.
+// Add adds a new connection of an address. Whatever the verdict, the connection stays in the table until Remove is called.
 func (t *ConnTable) Add(now float64, addr netip.Addr, owner any) (*Conn, Verdict) {
 	c := t.clientOf(addr.Unmap())
 	verdict := Admitted
@@ -112,8 +114,8 @@
 	return conn, verdict
 }
 
-// isFullFor returns whether there is no room for one more connection of a client: of all, or for an unknown client of those that are
-// not reserved, whichever has less room.
+// isFullFor returns whether there is no room for one more connection of a client. For an unknown client, it checks the whole
+// table or the part that is not reserved, whichever has less room.
 func (t *ConnTable) isFullFor(c *client) bool {
 	limit, used := t.settings.MaxConns, t.conns
 	unreserved := t.settings.MaxConns - t.settings.ReservedForKnown
@@ -123,8 +125,8 @@
 	return used >= limit || used >= limit-limit/lastConnsDivisor && 2*c.conns >= limit
 }
 
-// AdmitOverflow keeps a new connection that was not admitted, for an error answer to its client. It no longer counts against
-// MaxConns; the caller bounds the number of such connections by OverflowLen.
+// AdmitOverflow keeps a new connection that was not admitted, so that its client can get an error answer. It no longer counts
+// against MaxConns; the caller must bound the number of such connections by OverflowLen.
 func (t *ConnTable) AdmitOverflow(conn *Conn) {
 	conn.isOverflow = true
 	t.conns--
@@ -137,13 +139,14 @@
 // OverflowLen returns the number of overflow connections.
 func (t *ConnTable) OverflowLen() int { return t.overflowConns }
 
-// Touch makes a connection count as one that has just entered its state, as its next request waits in its socket.
+// Touch makes a connection count as one that has just entered its state. It is used when the next request of the connection waits
+// in its socket.
 func (t *ConnTable) Touch(now float64, conn *Conn) {
 	t.leaveState(conn)
 	t.enterState(conn, conn.state, now)
 }
 
-// SetState notes what a connection does from now on.
+// SetState changes the state of a connection.
 func (t *ConnTable) SetState(now float64, conn *Conn, s State) {
 	if conn.state != s {
 		t.leaveState(conn)
@@ -174,8 +177,8 @@
 	}
 }
 
-// Each calls f with the connections in a state, the longest in it first among those of unknown and of known clients. f may remove the
-// connection that it is given.
+// Each calls f for each connection in a state: first those of unknown clients, then those of known ones, each ordered by the time
+// when they entered the state. f may remove the connection that it is given.
 func (t *ConnTable) Each(s State, f func(*Conn)) {
 	for i := range t.byState {
 		for conn := t.byState[i][s].first; conn != nil; {
@@ -186,7 +189,7 @@
 	}
 }
 
-// Oldest returns the connection that has been in a state longest, nil if none is in it.
+// Oldest returns the connection that has been in a state for the longest time, or nil if none is in it.
 func (t *ConnTable) Oldest(s State) *Conn {
 	unknown, known := t.byState[0][s].first, t.byState[1][s].first
 	if unknown == nil || known != nil && known.since < unknown.since {
@@ -195,7 +198,7 @@
 	return unknown
 }
 
-// enterState puts a connection, which is in no state, into one.
+// enterState puts a connection that is in no state into one.
 func (t *ConnTable) enterState(conn *Conn, s State, now float64) {
 	c := conn.client
 	conn.state = s
--- a/internal/decide/admission/conntable_test.go
+++ b/internal/decide/admission/conntable_test.go
@@ -12,7 +12,7 @@
 
 func mustParseAddr(text string) netip.Addr { return netip.MustParseAddr(text) }
 
-// testTable is a ConnTable that is used as a sidecar uses it: the victim of a new connection is closed.
+// testTable uses a ConnTable as a sidecar does: it closes the victim of each new connection.
 type testTable struct {
 	*ConnTable
 	now    float64
@@ -21,7 +21,7 @@
 
 func newTestTable(s Settings) *testTable { return &testTable{ConnTable: NewConnTable(s), now: 1000} }
 
-// connect adds a connection of an address after some seconds; nil: it was refused.
+// connect adds a connection of an address after some seconds. It returns nil if the connection is refused.
 func (c *testTable) connect(addr string, after float64) *Conn {
 	c.now += after
 	l, v := c.Add(c.now, mustParseAddr(addr), nil)
@@ -37,7 +37,7 @@
 	return l
 }
 
-// serve has a request of a connection served completely.
+// serve marks a request of a connection as served completely.
 func (c *testTable) serve(l *Conn) *Conn {
 	c.SetState(c.now, l, StateActive)
 	c.RecordServed(l)
@@ -54,17 +54,17 @@
 	return l
 }
 
-// A flood loses its own connections, whatever they look like and however many addresses it has: a known client's new connection
-// is always admitted, its idle one stays, and so does the active one of an unknown client.
+// A flood loses only its own connections, whatever their state and however many addresses it has. New connections of a known
+// client are always admitted, its idle connection is kept, and so is the active one of an unknown client.
 func TestFloodLosesItsOwnConnections(t *testing.T) {
 	for name, from := range map[string]func(int) string{
-		"one address":           func(int) string { return "10.0.0.2" },
-		"a thousand addresses":  func(i int) string { return fmt.Sprintf("10.1.%d.%d", i/250%4, i%250) },
-		"of IPv6, one network":  func(i int) string { return fmt.Sprintf("2001:db8::%x", i+1) },
-		"of IPv6, many of them": func(i int) string { return fmt.Sprintf("2001:db8:0:%x::1", i%500) },
+		"one address":          func(int) string { return "10.0.0.2" },
+		"a thousand addresses": func(i int) string { return fmt.Sprintf("10.1.%d.%d", i/250%4, i%250) },
+		"one IPv6 network":     func(i int) string { return fmt.Sprintf("2001:db8::%x", i+1) },
+		"many IPv6 networks":   func(i int) string { return fmt.Sprintf("2001:db8:0:%x::1", i%500) },
 	} {
 		for _, s := range []State{StateNew, StateReading, StateWriting, StateClosing, StateIdle} {
-			for _, every := range []float64{0.0001, 0.02} { // faster than any grace period, and slower than some
+			for _, every := range []float64{0.0001, 0.02} { // seconds between two connections: faster than any grace period, and slower than some
 				c := newTestTable(Settings{MaxConns: 100, ReservedForKnown: 10})
 				kept := c.connectKnown("10.0.0.3")
 				asking := c.connect("10.0.0.4", 0)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Active connections of unknown clients fill the unreserved part and no more: the reserve is for known clients, also once a
-// part of it is used.
+// Active connections of unknown clients can fill only the unreserved part of the table. The reserve is for known clients, even
+// after a part of it is used.
 func TestReserveIsForKnownClients(t *testing.T) {
 	c := newTestTable(Settings{MaxConns: 20, ReservedForKnown: 5})
 	l := c.connectKnown("10.0.0.3")
@@ -108,13 +108,13 @@
 	}
 	assert.Equal(t, 15, taken)
 	for i := range 4 {
-		require.NotNil(t, c.connect("10.0.0.3", 0), "known, %d", i)
+		require.NotNil(t, c.connect("10.0.0.3", 0), "connection %d of a known client", i)
 	}
-	assert.Empty(t, c.closed, "no active connection is closed for another")
+	assert.Empty(t, c.closed, "no active connection is closed for a new one")
 	assert.Nil(t, c.connect("10.0.0.9", 0))
 }
 
-// A known client that floods the table is treated no better than an unknown one.
+// A known client that floods the table loses its own connections, as an unknown one does.
 func TestFloodOfKnownClient(t *testing.T) {
 	c := newTestTable(Settings{MaxConns: 100})
 	c.connectKnown("10.0.0.2")
@@ -131,7 +131,7 @@
 	for _, l := range c.closed {
 		assert.Equal(t, mustParseAddr("10.0.0.2"), l.client.addr)
 	}
-	for range knownScore { // and is unknown again by requests that never arrive
+	for range knownScore { // wasted connections make the client unknown again
 		c.RecordWasted(c.Oldest(StateReading))
 	}
 	assert.False(t, c.Oldest(StateReading).IsKnown())
@@ -154,14 +154,14 @@
 		}
 	}
 	mapped, v := c.Add(c.now, mustParseAddr("::ffff:10.0.0.2"), nil)
-	assert.Equal(t, OverLimit, v, "an address of IPv4 in IPv6's form is the same")
+	assert.Equal(t, OverLimit, v, "an IPv4-mapped IPv6 address counts as the IPv4 address")
 	c.Remove(mapped)
 	c.SetState(c.now, c.Oldest(StateActive), StateIdle)
-	assert.NotNil(t, c.connect("10.0.0.2", 1), "an idle one of its own is closed for it")
+	assert.NotNil(t, c.connect("10.0.0.2", 1), "an idle connection of the same address is closed for it")
 	assert.Len(t, c.closed, 1)
 }
 
-// The buffered bytes of all connections are bounded; of the client with the most reclaimable bytes a connection is closed
+// The buffered bytes of all connections are bounded. The connections of the client with the most reclaimable bytes are closed
 // first.
 func TestBufferBudget(t *testing.T) {
 	c := newTestTable(Settings{MaxConns: 10, MaxBufferedBytes: 90_000})
@@ -172,13 +172,13 @@
 		c.SetBufferedBytes(l, 30_000+10_000*(i%2))
 		all = append(all, l)
 	}
-	assert.Same(t, all[0], c.BufferVictim(), "as many bytes as the last, and the second is active")
+	assert.Same(t, all[0], c.BufferVictim(), "it has as many bytes as the third, and the second is active")
 	assert.False(t, func() bool { c.Remove(all[0]); return c.IsOverBufferBudget(all[1]) }())
 	assert.Nil(t, c.BufferVictim())
 	c.SetBufferedBytes(all[1], 200_000)
 	assert.True(t, c.IsOverBufferBudget(all[1]))
 	modest := c.connect("10.0.0.3", 0)
-	assert.True(t, c.IsOverBufferBudget(modest), "far too much")
+	assert.True(t, c.IsOverBufferBudget(modest), "more than twice the budget is buffered")
 	c.SetBufferedBytes(all[1], 100_000)
 	assert.False(t, c.IsOverBufferBudget(modest))
 	assert.True(t, c.IsOverBufferBudget(all[1]))
@@ -206,11 +206,12 @@
 	assert.False(t, c.ExceedsFairShare(ask("10.0.0.3", 10)), "a known client may have more")
 }
 
-// Whatever happens, counts add up, memory is bounded by the present connections, no active connection is closed, a known client
-// is never refused while unknown ones hold connections that could be closed, and the heaviest client loses first.
+// After any events the counts are right, memory is bounded by the number of connections, and no active connection has been closed
+// for another. A known client is never refused while an unknown one holds a connection that could be closed, and the connection
+// closed to free a buffer is always one of the client with the most reclaimable bytes.
 func TestConnTableProperties(t *testing.T) { rapid.Check(t, checkTableProperties) }
 
-// FuzzConnTable checks the same for the fuzzer's orders of events.
+// FuzzConnTable checks the same properties for sequences of events from the fuzzer.
 func FuzzConnTable(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkTableProperties)) }
 
 func checkTableProperties(t *rapid.T) {
@@ -233,7 +234,7 @@
 					return
 				}
 			}
-			t.Fatal("a connection is closed that was not in the table")
+			t.Fatal("a connection was closed that is not in the table")
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			c.now += rapid.Float64Range(0, 0.2).Draw(t, "dt")
@@ -247,7 +248,7 @@
 							for _, x := range here {
 								state, since := x.State()
 								if !x.IsKnown() && state != StateActive && since < c.now-1 {
-									t.Fatalf("a known client is refused while one of an unknown client has been %s for a second", state)
+									t.Fatalf("a known client was refused although a connection of an unknown client has been in state %s for a second", state)
 								}
 							}
 						}
@@ -255,7 +256,7 @@
 						continue
 					}
 					if gone == l || gone.state == StateActive {
-						t.Fatal("an active connection is closed, or the new one itself")
+						t.Fatal("an active connection or the new one itself was chosen as the victim")
 					}
 					remove(gone)
 					c.Remove(gone)
@@ -278,7 +279,7 @@
 					}
 					for addr, n := range holds {
 						if !gone.isBufferReclaimable() || n > holds[gone.client.addr] {
-							t.Fatalf("not the client with the most reclaimable bytes, which is %s", addr)
+							t.Fatalf("the victim does not belong to the client with the most reclaimable bytes, %s", addr)
 						}
 					}
 					remove(gone)
@@ -326,12 +327,13 @@
 	for addr, free := range clients {
 		a := r.clients[addr]
 		if w := a.reclaimableWeight(); a.isKnown && w != free*knownClientWeight || !a.isKnown && w != free || a.countedWeight != w {
-			t.Fatalf("%s weighs %g with %g connections", addr, w, free)
+			t.Fatalf("%s has weight %g with %g reclaimable connections", addr, w, free)
 		}
 	}
 }
 
-// A new connection in a full table of 4,000 from 1,000 addresses costs little more than in a small table.
+// BenchmarkConnTable measures new connections in a full table. With 4,000 connections from 1,000 addresses they should cost
+// little more than in a small table.
 func BenchmarkConnTable(b *testing.B) {
 	for _, n := range []int{40, 400, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -341,7 +343,7 @@
 				from[i] = fmt.Sprintf("10.%d.%d.1", i/250, i%250)
 			}
 			for i := range n {
-				c.SetState(c.now, c.connect(from[i%len(from)], 0), State(i%2)) // new or reading
+				c.SetState(c.now, c.connect(from[i%len(from)], 0), State(i%2)) // StateNew or StateReading
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/decide/admission/eviction.go
+++ b/internal/decide/admission/eviction.go
@@ -1,22 +1,23 @@
 package admission
 
-// Grace periods: how long a connection is in a state before it can be closed for a new one. Danger: the first request of a new
-// connection is on its way, and so is the rest of one that has begun to arrive.
+// Grace periods: how long a connection must have been in its state before it can be closed for a new one. They give the first
+// request of a new connection, or the rest of a request, time to arrive.
 const (
 	newGraceSeconds      = 0.01
-	transferGraceSeconds = 0.1 // reading and writing
+	transferGraceSeconds = 0.1 // in StateReading and StateWriting
 	idleGraceSeconds     = 0.1
-	// lightClientGraceSeconds is the least grace period of known clients and of clients with less connections than the new one's.
+	// lightClientGraceSeconds is the least grace period, except in StateIdle, of known clients and of clients with less connection
+	// weight than the new connection's client.
 	lightClientGraceSeconds = 1.0
 )
 
-// minCrowdedGroupWeight is the weight from which on any connection without a request in flight of a group can be closed for a client
-// of a lighter group.
+// minCrowdedGroupWeight is the weight of a group from which on any of its connections without a request in flight can be closed
+// for a client of a lighter group, even within the grace period.
 const minCrowdedGroupWeight = 4.0
 
-// VictimFor returns the connection to be closed for a new one that was not admitted, or nil: then the new one is refused, as all
-// others have requests in flight, are within their grace period or weigh no more. At OverLimit only a connection of the same
-// client can be closed.
+// VictimFor returns the connection to be closed for a new one that was not admitted. It returns nil if the new one must be
+// refused, because all others have requests in flight, are within their grace period or belong to lighter clients. At OverLimit
+// only a connection of the same client can be closed.
 func (t *ConnTable) VictimFor(now float64, newcomer *Conn, v Verdict) *Conn {
 	if v == OverLimit {
 		return t.victimOf(now, newcomer.client, newcomer.client, true, newcomer)
@@ -24,17 +25,18 @@
 	return t.victimFor(now, newcomer.client, newcomer)
 }
 
-// LeastNeeded returns the connection that is closed first when there are too many, nil if all have requests in flight or are within
-// their grace period.
+// LeastNeeded returns the connection to be closed first when there are too many, or nil if all have requests in flight or are
+// within their grace period.
 func (t *ConnTable) LeastNeeded(now float64) *Conn { return t.victimFor(now, nil, nil) }
 
-// victimFor returns the connection to be closed for one of a client, which may be nil, other than except. It is, in this order:
-// one that is closing already; one of the client with the most reclaimable connections, in the heaviest group; one beyond its
-// grace period; and for a new connection any of an unknown client.
+// victimFor returns the connection, other than except, to be closed for one of newClient, which may be nil. It tries, in this
+// order: a connection that is closing already; one of the client with the most reclaimable connections in the heaviest group; any
+// connection beyond its grace period; and, for a new connection, any of an unknown client.
 //
-// Danger: whatever a flood makes its connections look like, it must lose its own before anyone else's.
+// Whatever the connections of a flood look like, the flood must lose its own connections before those of anyone else.
 func (t *ConnTable) victimFor(now float64, newClient *client, except *Conn) *Conn {
-	// Where the unreserved connections are used up, only the end of another unknown client's connection makes room for an unknown client.
+	// If unknown clients have used up the unreserved connections, an unknown client can only replace a connection of another
+	// unknown client.
 	onlyUnknown := newClient != nil && !newClient.isKnown && t.unknownConns >= t.settings.MaxConns-t.settings.ReservedForKnown
 	if conn := t.closingVictim(now, onlyUnknown); conn != nil {
 		return conn
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// ignoresGrace returns whether connections of the heaviest client can be closed within their grace period for a new client: its own,
-// unless it is known, and those of a client or a group that is heavier.
+// ignoresGrace returns whether connections of the heaviest client can be closed for a new client within their grace period. They
+// can if both are the same client and it is unknown, or if the heaviest client, or its group, is heavier than the new one.
 func ignoresGrace(heaviest, newClient *client) bool {
 	if newClient == nil {
 		return false
@@ -79,8 +81,8 @@
 		heaviest.group.weight >= minCrowdedGroupWeight && newClient.group.weight < heaviest.group.weight
 }
 
-// graceVictim returns a connection of any client that is beyond its grace period: those of the heaviest client may all be within it
-// while others have long been unused. Idle connections of known clients are not closed for an unknown one.
+// graceVictim returns a connection of any client that is beyond its grace period. Those of the heaviest client may all be within
+// it while other connections have long been unused. Idle connections of known clients are not closed for an unknown client.
 func (t *ConnTable) graceVictim(now float64, newClient *client, onlyUnknown bool, except *Conn) *Conn {
 	for i := range t.byState {
 		for _, s := range [...]State{StateNew, StateReading, StateWriting, StateIdle} {
@@ -94,8 +96,8 @@
 	return nil
 }
 
-// unknownVictim returns the oldest connection without a request in flight of an unknown client with at least as many connections as
-// the new one's. Danger: a flood from thousands of networks, faster than any grace period, would otherwise shut out every new
+// unknownVictim returns the oldest connection without a request in flight of an unknown client with at least as many connections
+// as the new client. Without it, a flood from thousands of networks that is faster than any grace period would shut out every new
 // client.
 func (t *ConnTable) unknownVictim(now float64, newClient *client, except *Conn) *Conn {
 	for _, s := range [...]State{StateClosing, StateNew, StateReading, StateIdle, StateWriting} {
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// heaviestClient returns the client with the most reclaimable connections in the heaviest group, nil if there are none.
+// heaviestClient returns the client with the most reclaimable connections in the heaviest group, or nil if no connection is
+// reclaimable.
 func (t *ConnTable) heaviestClient(onlyUnknown bool) (heaviest *client) {
 	for known, groups := range t.groupsByWeight {
 		if groups.len() == 0 || onlyUnknown && known == 1 {
@@ -122,8 +125,8 @@
 	return heaviest
 }
 
-// victimOf returns the connection of a client, other than except, to be closed for one of newClient: one beyond its grace period or,
-// with ignoreGrace, any without a request in flight.
+// victimOf returns the connection of client c, other than except, to be closed for one of newClient: one beyond its grace period
+// or, with ignoreGrace, any without a request in flight.
 func (t *ConnTable) victimOf(now float64, c, newClient *client, ignoreGrace bool, except *Conn) *Conn {
 	order := [...]State{StateClosing, StateNew, StateReading, StateWriting, StateIdle}
 	for _, s := range order {
@@ -144,8 +147,9 @@
 	return nil
 }
 
-// grace returns the connection's grace period in seconds before it can be closed for one of newClient, which may be nil. Known
-// clients, and clients with less connections than newClient, have more: they may be slow, or on a slow network.
+// grace returns for how many seconds the connection must have been in its state before it can be closed for one of newClient,
+// which may be nil. Known clients, and clients with less connection weight than newClient, get more time, since they may be slow
+// or on a slow network.
 func (c *Conn) grace(newClient *client) float64 {
 	graceSeconds := newGraceSeconds
 	switch c.state {
--- a/internal/decide/admission/group.go
+++ b/internal/decide/admission/group.go
@@ -2,20 +2,20 @@
 
 import "net/netip"
 
-// groupBitsIPv4 and groupBitsIPv6 are the lengths of the prefixes by which clients are grouped: the network of a site has many
-// addresses of IPv4, and a single host has all addresses of a prefix of IPv6.
+// groupBitsIPv4 and groupBitsIPv6 are the lengths of the prefixes by which clients are grouped: a site typically has a network of
+// many IPv4 addresses, while a single host can use all IPv6 addresses of a /64.
 const (
 	groupBitsIPv4 = 24
 	groupBitsIPv6 = 64
 )
 
-// group is the known or the unknown clients of a prefix.
+// group is either the known or the unknown clients of a prefix.
 type group struct {
 	prefix    netip.Prefix
 	isKnown   bool
 	clients   heap[*client]
 	weight    float64 // sum of the clients' reclaimableWeight
-	heapIndex int     // in ConnTable.groupsByWeight, from 1; 0: none
+	heapIndex int     // index in ConnTable.groupsByWeight plus 1; 0 if not in it
 }
 
 // groupPrefix returns the prefix by which an address is grouped.
@@ -26,12 +26,12 @@
 	}
 	prefix, err := addr.Prefix(bits)
 	if err != nil {
-		return netip.Prefix{} // invalid addresses form a group
+		return netip.Prefix{} // all invalid addresses form one group
 	}
 	return prefix
 }
 
-// joinGroup puts a client into its group.
+// joinGroup adds a client to its group.
 func (t *ConnTable) joinGroup(c *client) {
 	groups := t.groups[knownIndex(c.isKnown)]
 	prefix := groupPrefix(c.addr)
@@ -45,7 +45,7 @@
 	t.updateWeight(c)
 }
 
-// leaveGroup takes a client out of its group.
+// leaveGroup removes a client from its group.
 func (t *ConnTable) leaveGroup(c *client) {
 	g := c.group
 	known := knownIndex(g.isKnown)
@@ -62,13 +62,13 @@
 // updateWeight updates the weight of a client in its group after a change of its connections.
 func (t *ConnTable) updateWeight(c *client) {
 	weight := c.reclaimableWeight()
-	c.group.weight += weight - c.countedWeight // multiples of a quarter, which add up without rounding
+	c.group.weight += weight - c.countedWeight // weights are multiples of 1/4, so sums have no rounding errors
 	c.countedWeight = weight
 	c.group.clients.push(c)
 	t.groupsByWeight[knownIndex(c.group.isKnown)].push(c.group)
 }
 
-// knownIndex returns the index of known or unknown clients in arrays of both.
+// knownIndex returns the index in arrays of two elements, for unknown and known clients.
 func knownIndex(isKnown bool) int {
 	if isKnown {
 		return 1
--- a/internal/decide/admission/heap.go
+++ b/internal/decide/admission/heap.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// heapElement is an element of a heap. It stores its own index, from 1 (0: not in the heap), so that any element can be removed or
-// moved in O(log n).
+// heapElement is an element of a heap. It stores its own index plus 1 (0 if it is not in the heap), so that any element can be
+// removed or moved in O(log n).
 type heapElement[T any] interface {
 	comparable
 	isAbove(T) bool
 	heapPosition() *int
 }
 
-// heap is a binary heap. Its first element is one that no other is above.
+// heap is a binary heap. No element is above the first one.
 type heap[T heapElement[T]] struct{ elements []T }
 
 func (h *heap[T]) len() int { return len(h.elements) }
@@ -18,7 +18,7 @@
 // first returns the first element. The heap must not be empty.
 func (h *heap[T]) first() T { return h.elements[0] }
 
-// push adds an element, or restores the order after a change of one that is in the heap.
+// push adds an element, or restores the order if the element is in the heap and has changed.
 func (h *heap[T]) push(x T) {
 	if *x.heapPosition() == 0 {
 		h.elements = append(h.elements, x)
@@ -77,7 +77,7 @@
 }
 func (c byReclaimable) heapPosition() *int { return &c.bytesHeapIndex }
 
-// In the heap of their group, clients are ordered by weight.
+// Within a group, clients are ordered by weight.
 func (c *client) isAbove(other *client) bool { return c.countedWeight > other.countedWeight }
 func (c *client) heapPosition() *int         { return &c.heapIndex }
 
--- a/internal/decide/admission/list.go
+++ b/internal/decide/admission/list.go
@@ -1,15 +1,15 @@
 package admission
 
-// The lists that a connection is in; indices of Conn.links.
+// Each connection is in two lists. These are the indices in Conn.links.
 const (
-	tableList  = iota // of ConnTable.byState
-	clientList        // of client.byState
+	tableList  = iota // a list of ConnTable.byState
+	clientList        // a list of client.byState
 )
 
 // links are a connection's neighbours in a list.
 type links struct{ previous, next *Conn }
 
-// list is a doubly linked list of connections, from which any can be removed in constant time.
+// list is a doubly linked list of connections. Any connection can be removed in constant time.
 type list struct {
 	first, last *Conn
 	length      int
@@ -28,8 +28,8 @@
 	t.length++
 }
 
-// insertBySince inserts a connection in order of Conn.since. It takes linear time, for the few connections of a client that changes
-// between known and unknown.
+// insertBySince inserts a connection in order of Conn.since. It takes linear time, which is acceptable since it is only used for
+// the few connections of a client that becomes known or unknown.
 func (t *list) insertBySince(conn *Conn) {
 	previous := t.last
 	for previous != nil && previous.since > conn.since {
--- a/internal/decide/admission/queue.go
+++ b/internal/decide/admission/queue.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// maxWaitFraction is the fraction of its latency target that a request may wait here; the rest is for its backend.
+// maxWaitFraction is the fraction of its latency target that a request may wait in the queue; the rest is left for its backend.
 const maxWaitFraction = 0.5
 
-// QueuedRequest is a request that was received and not yet given to package policy.
+// QueuedRequest is a request that has been received but not yet passed to package policy.
 type QueuedRequest[T any] struct {
 	Request   T
 	Class     int     // index of the class
 	ArrivedAt float64 // when its last byte was received
 }
 
-// Class is the settings of a class of requests.
+// Class configures a class of requests.
 type Class struct {
 	PriorityWeight       float64
 	LatencyTargetSeconds float64
 }
 
-// Queue holds the requests that arrive faster than the event loop handles them, in order of their class's weight and in a class in
-// order of arrival. A request that has waited for maxWaitFraction of its target is shed. In a lasting overload these are the
-// requests of least weight, as they wait longest.
+// Queue holds the requests that arrive faster than the event loop handles them. They are ordered by the weight of their class,
+// and within a class by arrival. A request that has waited for more than maxWaitFraction of its target is shed. In a lasting
+// overload these are the requests with the lowest weight, since they wait longest.
 //
-// Danger: without the queue a sidecar that lacks processor time would give all requests to policy at once, hundreds would be in
-// flight before the first answer is read, and policy would take the backends for full and refuse what idle ones could serve.
+// Without the queue, a sidecar that lacks CPU time would pass all requests to package policy at once. Hundreds would be in flight
+// before the first answer is read, and policy would consider the backends full and refuse requests that idle backends could
+// serve.
 type Queue[T any] struct {
 	order          []int     // classes by weight, the highest first
 	maxWaitSeconds []float64 // by class
@@ -50,20 +51,20 @@
 // Len returns how many requests are queued.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Enqueue adds a request. Requests of a class are added in order of their arrival, or nearly so.
+// Enqueue adds a request. Requests of a class must be added in order of arrival, at least roughly.
 func (q *Queue[T]) Enqueue(r QueuedRequest[T]) {
 	q.fifos[r.Class].push(r)
 	q.length++
 }
 
-// Dequeue removes and returns the next request. With shed it has waited too long and is to be rejected at once. ok is false if the
-// queue is empty.
+// Dequeue removes and returns the next request. If shed is true, it has waited too long and is to be rejected at once. ok is
+// false if the queue is empty.
 func (q *Queue[T]) Dequeue(now float64) (r QueuedRequest[T], shed, ok bool) {
 	if q.length == 0 {
 		return r, false, false
 	}
 	q.length--
-	// Requests to be shed go first: their answer is due at once, and keeping them gains nothing.
+	// Requests to be shed go first: nothing is gained by delaying their answer.
 	for i := len(q.order) - 1; i >= 0; i-- {
 		class := q.order[i]
 		if f := &q.fifos[class]; f.len() > 0 && now-f.first().ArrivedAt > q.maxWaitSeconds[class] {
@@ -75,10 +76,10 @@
 			return f.pop(), false, true
 		}
 	}
-	panic("admission: a queue that counts more than it holds")
+	panic("admission: queue length is wrong")
 }
 
-// fifo is a queue in a slice that is compacted in place.
+// fifo is a first-in-first-out queue in a slice that is compacted in place.
 type fifo[T any] struct {
 	items []QueuedRequest[T]
 	head  int // index of the first item
--- a/internal/decide/admission/queue_test.go
+++ b/internal/decide/admission/queue_test.go
@@ -9,8 +9,8 @@
 
 var threeClasses = []Class{{PriorityWeight: 1, LatencyTargetSeconds: 0.6}, {PriorityWeight: 10, LatencyTargetSeconds: 1}, {PriorityWeight: 5, LatencyTargetSeconds: 1}}
 
-// The class with the highest weight is dequeued first and the lowest waits until it is shed; each request goes once, in order
-// of arrival in its class, and none is shed early or kept too long.
+// The class with the highest weight is dequeued first. Each request is dequeued exactly once, within a class in order of arrival,
+// and is shed if and only if it has waited too long.
 func TestQueueOrderAndShedding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue[int](threeClasses)
@@ -39,7 +39,7 @@
 			for c, queued := range waiting {
 				for _, x := range queued {
 					assert.False(t, !shed && now-x.ArrivedAt > maxWaitFraction*threeClasses[c].LatencyTargetSeconds, "requests to be shed go first")
-					assert.False(t, !shed && threeClasses[c].PriorityWeight > threeClasses[w.Class].PriorityWeight, "one of a class with a higher weight waits")
+					assert.False(t, !shed && threeClasses[c].PriorityWeight > threeClasses[w.Class].PriorityWeight, "requests of classes with higher weights go first")
 				}
 			}
 		}
