--- a/internal/decide/admission/conntable_test.go
+++ b/internal/decide/admission/conntable_test.go
@@ -67,9 +67,9 @@
 			for _, every := range []float64{0.0001, 0.02} { // seconds between two connections: faster than any grace period, and slower than some
 				c := newTestTable(Settings{MaxConns: 100, ReservedForKnown: 10})
 				kept := c.connectKnown("10.0.0.3")
-				asking := c.connect("10.0.0.4", 0)
-				require.NotNil(t, asking)
-				c.SetState(c.now, asking, StateActive)
+				active := c.connect("10.0.0.4", 0)
+				require.NotNil(t, active)
+				c.SetState(c.now, active, StateActive)
 				for i := range 1000 {
 					if l := c.connect(from(i), every); l != nil {
 						c.SetState(c.now, l, s)
@@ -86,7 +86,7 @@
 					}
 				}
 				assert.NotContains(t, c.closed, kept)
-				assert.NotContains(t, c.closed, asking)
+				assert.NotContains(t, c.closed, active)
 				assert.LessOrEqual(t, c.Len(), 100)
 			}
 		}
@@ -220,17 +220,17 @@
 		s.ReservedForKnown = rapid.IntRange(0, s.MaxConns/2).Draw(t, "reserve")
 		c := newTestTable(s)
 		addresses := []string{"10.0.0.1", "10.0.0.2", "10.0.1.1", "10.7.0.1", "2001:db8::1", "2001:db8::2"}
-		var here []*Conn
+		var present []*Conn
 		pick := func() *Conn {
-			if len(here) == 0 {
+			if len(present) == 0 {
 				return nil
 			}
-			return here[rapid.IntRange(0, len(here)-1).Draw(t, "link")]
+			return present[rapid.IntRange(0, len(present)-1).Draw(t, "link")]
 		}
 		remove := func(l *Conn) {
-			for i := range here {
-				if here[i] == l {
-					here = append(here[:i], here[i+1:]...)
+			for i := range present {
+				if present[i] == l {
+					present = append(present[:i], present[i+1:]...)
 					return
 				}
 			}
@@ -242,10 +242,10 @@
 			case 0, 1:
 				l, v := c.Add(c.now, mustParseAddr(rapid.SampledFrom(addresses).Draw(t, "from")), nil)
 				if v != Admitted {
-					gone := c.VictimFor(c.now, l, v)
-					if gone == nil {
+					victim := c.VictimFor(c.now, l, v)
+					if victim == nil {
 						if l.IsKnown() {
-							for _, x := range here {
+							for _, x := range present {
 								state, since := x.State()
 								if !x.IsKnown() && state != StateActive && since < c.now-1 {
 									t.Fatalf("a known client was refused although a connection of an unknown client has been in state %s for a second", state)
@@ -255,13 +255,13 @@
 						c.Remove(l)
 						continue
 					}
-					if gone == l || gone.state == StateActive {
+					if victim == l || victim.state == StateActive {
 						t.Fatal("an active connection or the new one itself was chosen as the victim")
 					}
-					remove(gone)
-					c.Remove(gone)
+					remove(victim)
+					c.Remove(victim)
 				}
-				here = append(here, l)
+				present = append(present, l)
 			case 2:
 				if l := pick(); l != nil {
 					c.SetState(c.now, l, State(rapid.IntRange(0, int(stateCount)-1).Draw(t, "state")))
@@ -270,20 +270,20 @@
 				if l := pick(); l != nil {
 					c.SetBufferedBytes(l, rapid.IntRange(0, 30_000).Draw(t, "bytes"))
 				}
-				for gone := c.BufferVictim(); gone != nil; gone = c.BufferVictim() {
+				for victim := c.BufferVictim(); victim != nil; victim = c.BufferVictim() {
 					holds := map[netip.Addr]int{}
-					for _, x := range here {
+					for _, x := range present {
 						if x.isBufferReclaimable() {
 							holds[x.client.addr] += x.bufferedBytes
 						}
 					}
 					for addr, n := range holds {
-						if !gone.isBufferReclaimable() || n > holds[gone.client.addr] {
+						if !victim.isBufferReclaimable() || n > holds[victim.client.addr] {
 							t.Fatalf("the victim does not belong to the client with the most reclaimable bytes, %s", addr)
 						}
 					}
-					remove(gone)
-					c.Remove(gone)
+					remove(victim)
+					c.Remove(victim)
 				}
 			case 4:
 				if l := pick(); l != nil {
@@ -299,30 +299,30 @@
 					c.Remove(l)
 				}
 			}
-			checkCounts(t, c.ConnTable, here)
+			checkCounts(t, c.ConnTable, present)
 		}
 	}
 }
 
 // checkCounts compares the counts of a table with the connections that are in it.
-func checkCounts(t *rapid.T, r *ConnTable, here []*Conn) {
-	n, strange, asking, bytes, clients := 0, 0, 0, 0, map[netip.Addr]float64{}
-	for _, l := range here {
+func checkCounts(t *rapid.T, r *ConnTable, present []*Conn) {
+	n, unknown, active, bytes, clients := 0, 0, 0, 0, map[netip.Addr]float64{}
+	for _, l := range present {
 		n++
 		bytes += l.bufferedBytes
 		if !l.client.isKnown {
-			strange++
+			unknown++
 		}
 		if l.state == StateActive {
-			asking++
+			active++
 		} else {
 			clients[l.client.addr]++
 		}
 		clients[l.client.addr] += 0
 	}
-	if n != r.conns || n > r.settings.MaxConns || strange != r.unknownConns || asking != r.activeConns || bytes != r.bufferedBytes || len(clients) != len(r.clients) {
+	if n != r.conns || n > r.settings.MaxConns || unknown != r.unknownConns || active != r.activeConns || bytes != r.bufferedBytes || len(clients) != len(r.clients) {
 		t.Fatalf("%d connections of at most %d, %d unknown, %d active, %d bytes, %d clients; counted %d, %d, %d, %d, %d",
-			n, r.settings.MaxConns, strange, asking, bytes, len(clients), r.conns, r.unknownConns, r.activeConns, r.bufferedBytes, len(r.clients))
+			n, r.settings.MaxConns, unknown, active, bytes, len(clients), r.conns, r.unknownConns, r.activeConns, r.bufferedBytes, len(r.clients))
 	}
 	for addr, free := range clients {
 		a := r.clients[addr]
