--- a/internal/decide/placement/cost.go
+++ b/internal/decide/placement/cost.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// waitTimeConstant is the time constant with which an observed wait fades, in seconds.
+	// waitTimeConstant is the time constant of the exponential decay of an observed wait, in seconds.
 	waitTimeConstant = 0.6
-	// latePenaltySeconds is the cost of a prefill that is certainly too late for the latency target. It grows from 0 between
-	// latenessStart and latenessEnd, fractions of the target.
+	// latePenaltySeconds is the cost of a prefill that is certain to miss the latency target. The penalty grows linearly from 0 at
+	// latenessStart to its full value at latenessEnd, both fractions of the target.
 	latePenaltySeconds = 0.5
 	latenessStart      = 0.6
 	latenessEnd        = 1.1
-	// crossZonePrefillSeconds is the cost of prefill in another zone, crossZoneDecodeLoad that of decode in another zone, as a
-	// fraction of a server's slots.
+	// crossZonePrefillSeconds is the additional cost of prefill in another zone. crossZoneDecodeLoad is that of decode in another
+	// zone, as a fraction of a server's slots.
 	crossZonePrefillSeconds = 0.003
 	crossZoneDecodeLoad     = 0.08
-	// repeatedTokenSeconds is the cost of a token of a shared prefix that is read again where it is not cached.
+	// repeatedTokenSeconds is the cost of processing a token of a shared prefix again at a server that has not cached it.
 	repeatedTokenSeconds = 100e-6
-	// interferencePenalty is the cost of each answer in progress at a server that does prefill beside it, as a fraction of the
+	// interferencePenalty is the additional cost of a prefill for each answer in progress at the same server, as a fraction of the
 	// prefill's cost.
 	interferencePenalty = 0.5
-	// gapPenaltyStart is the fraction of the gap target up to which a prefill doesn't delay the answers beside it too much.
+	// gapPenaltyStart is the duration of a prefill, as a fraction of the gap target, from which on it counts as delaying the
+	// answers at the same server.
 	gapPenaltyStart = 0.5
-	// transferSetupSeconds is the duration of a transfer of the KV cache beside that of its bytes.
+	// transferSetupSeconds is the fixed part of the duration of a KV cache transfer.
 	transferSetupSeconds = 0.004
 )
 
-// prefillSeconds returns the duration of a prefill at a server of a stage that does nothing else.
+// prefillSeconds returns the duration of a prefill at a server of a stage that has no other work.
 func (l *Planner) prefillSeconds(stage message.Stage, tokens float64) float64 {
 	return l.paces.forStage(stage).latencySeconds + tokens/l.tokensPerSecond(stage)
 }
@@ -39,8 +40,8 @@
 	return 1 / l.paces.forStage(stage).secondsPerToken
 }
 
-// prefillCost returns the cost of the prefill of a prompt at a server, in seconds: its duration with all waits, the cost of
-// tokens that are read again, and a penalty if it is late.
+// prefillCost returns the cost of the prefill of a prompt at a server, in seconds: its duration including waits, the cost of
+// tokens that are processed again, and a penalty if it is late.
 func (l *Planner) prefillCost(e *Endpoint, q *Prompt, now float64, isHome bool) float64 {
 	uncached := e.uncachedTokens(q, now, l.cacheSeconds, isHome)
 	seconds := e.engine.expectedWait(now) + l.prefillSeconds(e.Stage, e.engine.prefillTokens+uncached)
@@ -50,7 +51,7 @@
 	return seconds + repeatedTokenSeconds*max(uncached-q.ownTokens(), 0) + latenessPenalty(seconds, q.LatencyTargetSeconds)
 }
 
-// latenessPenalty returns the cost of a prefill that ends after some seconds, where there is a latency target.
+// latenessPenalty returns the penalty for a prefill that ends after the given seconds; 0 if there is no latency target.
 func latenessPenalty(seconds, targetSeconds float64) float64 {
 	if targetSeconds <= 0 {
 		return 0
@@ -58,8 +59,8 @@
 	return latePenaltySeconds * min(max((seconds/targetSeconds-latenessStart)/(latenessEnd-latenessStart), 0), 1)
 }
 
-// expectedWait returns how long a prompt is expected to wait at a server: the wait that was last observed, which fades, or the
-// time by which a prefill there is overdue.
+// expectedWait returns how long a prompt is expected to wait at a server: the last observed wait, which decays, or the time by
+// which a prefill there is overdue, whichever is longer.
 func (v *engineState) expectedWait(now float64) float64 {
 	wait := v.waitSeconds * math.Exp(-(now-v.waitObservedAt)/waitTimeConstant)
 	for _, r := range v.prefills {
@@ -73,8 +74,8 @@
 	return 1 + interferencePenalty*float64(max(e.engine.running, e.InFlight))
 }
 
-// gapPenalty returns the cost of the gaps in answers in progress at a server during a colocated prefill, in seconds. The server
-// alternates between prefill and decode, so that events come several times as slowly while a prefill lasts.
+// gapPenalty returns the cost, in seconds, of the gaps that a colocated prefill causes in the answers in progress at a server.
+// The server alternates between prefill and decode, so events come several times more slowly during a prefill.
 func (l *Planner) gapPenalty(now float64, q *Prompt, e *Endpoint) float64 {
 	if q.GapTargetSeconds <= 0 {
 		return 0
@@ -84,7 +85,8 @@
 	return latePenaltySeconds * late * float64(max(e.engine.running, e.InFlight))
 }
 
-// decodeLoad returns the known fraction of a server's slots in use, plus the cost of a transfer from a zone.
+// decodeLoad returns the known fraction of a server's slots in use, plus the cost of a transfer if the server is not in the given
+// zone.
 func (e *Endpoint) decodeLoad(zone string) float64 {
 	taken := float64(max(e.engine.running+e.engine.waiting, e.InFlight)) / float64(max(e.Slots, 1))
 	if e.Zone != zone {
--- a/internal/decide/placement/failure_detector.go
+++ b/internal/decide/placement/failure_detector.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// windowSize is the number of gaps from which the suspicion is computed.
+	// windowSize is the number of gaps from which phi is computed.
 	windowSize = 30
-	// suspectPhi is the suspicion above which a server is drawn half as often, excludePhi the one above which it gets only
-	// probes.
+	// suspectPhi is the suspicion level (phi) above which a server is a candidate for only half of the picks. excludePhi is the
+	// level above which it gets only probes.
 	suspectPhi = 3.0
 	excludePhi = 8.0
-	// minSigmaFraction and maxSigmaFraction bound the standard deviation, as fractions of the mean gap.
+	// minSigmaFraction and maxSigmaFraction bound the standard deviation of the gaps, as fractions of their mean.
 	minSigmaFraction = 0.1
 	maxSigmaFraction = 0.3
-	// ProbeIntervalSeconds is the time between probes of a server. The design asks for five seconds at most.
+	// ProbeIntervalSeconds is the time between probes of a server. The design requires at most five seconds.
 	ProbeIntervalSeconds = 4.8
-	// retryProbeSeconds is the time until the next probe of a server that did not reply to one.
+	// retryProbeSeconds is the time until the next probe of a server that did not reply.
 	retryProbeSeconds = 0.5
 )
 
-// gapWindow holds the last gaps between a server's probe replies, for a phi accrual failure detector (Hayashibara et al.).
-// Only replies add gaps: silence must not raise the mean to which it is compared.
+// gapWindow holds the last gaps between a server's probe replies, for a phi accrual failure detector (Hayashibara et al., 2004).
+// Only replies add gaps, since silence must not raise the mean with which it is compared.
 type gapWindow struct {
 	gaps        []float64
 	nextGap     int     // index of the oldest gap, once the window is full
@@ -57,7 +57,7 @@
 	return sum / float64(len(w.gaps))
 }
 
-// phi returns the suspicion of a server that has been silent since its last reply.
+// phi returns the suspicion level of a server by the time since its last reply.
 func (w *gapWindow) phi(now float64) float64 {
 	mean := w.mean()
 	square := 0.0
--- a/internal/decide/placement/failure_detector_test.go
+++ b/internal/decide/placement/failure_detector_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = Describe("suspicion", func() {
-	It("keeps servers that reply and excludes silent ones", func() {
+	It("picks servers that reply and excludes silent ones", func() {
 		p := newPool(instances(4, ""))
 		answerProbes(p, 0, 60)
 		Expect(p.endpoints["i-000"].probeGaps.phi(60.5)).To(BeNumerically("<", suspectPhi))
@@ -17,7 +17,7 @@
 		}
 	})
 
-	It("halves the traffic of servers between the thresholds", func() {
+	It("makes servers between the thresholds candidates for half of the picks", func() {
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 60)
 		late := p.endpoints["i-000"]
--- a/internal/decide/placement/loads.go
+++ b/internal/decide/placement/loads.go
@@ -6,18 +6,18 @@
 	"hazelwheel/internal/message"
 )
 
-// RecordLoad records the load that a server has reported to this proxy: requests running and waiting.
+// RecordLoad records the load that a server has reported to this proxy: the numbers of running and waiting requests.
 func (e *Endpoint) RecordLoad(now float64, running, waiting int) {
 	e.engine.setLoad(now, running, waiting)
 	e.engine.hasNewLoad = true
 }
 
-// setLoad sets the load that a server had at a time.
+// setLoad sets the load that a server had at the given time.
 func (v *engineState) setLoad(at float64, running, waiting int) {
 	v.running, v.waiting, v.loadReportedAt = running, waiting, at
 }
 
-// MergeLoads adopts loads that servers have reported to other proxies, where they are younger.
+// MergeLoads applies loads that servers have reported to other proxies, if they are newer than the known ones.
 func (p *Pool) MergeLoads(now float64, loads []message.Load) {
 	if len(loads) == 0 || !p.Engine.IsPresent {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// TakeNewLoads returns the loads that members have reported to this proxy since the last call.
+// TakeNewLoads returns the loads that members have reported to this proxy since the last call, to be forwarded to other proxies.
 func (p *Pool) TakeNewLoads(now float64) (loads []message.Load) {
 	for _, e := range p.members {
 		if !e.engine.hasNewLoad {
@@ -48,5 +48,5 @@
 	return loads
 }
 
-// clampUint16 returns a count, or the bound of its type that it exceeds.
+// clampUint16 returns a count, limited to the range of uint16.
 func clampUint16(count int) uint16 { return uint16(min(max(count, 0), math.MaxUint16)) }
--- a/internal/decide/placement/pace.go
+++ b/internal/decide/placement/pace.go
@@ -3,31 +3,31 @@
 import "hazelwheel/internal/message"
 
 const (
-	// initialTokensPerSecond is the speed of prefill that is assumed before any was measured.
+	// initialTokensPerSecond is the assumed prefill speed before any prefill has been measured.
 	initialTokensPerSecond = 60_000.0
-	// fastLearningRate and slowLearningRate are the weights of a prefill that was faster or slower than expected.
+	// fastLearningRate and slowLearningRate are the weights of prefills that were faster or slower than expected, respectively.
 	fastLearningRate = 0.15
 	slowLearningRate = 0.03
-	// tokenScale scales the number of tokens in the regression, minSecondsPerToken bounds its result.
+	// tokenScale scales the number of tokens in the regression. minSecondsPerToken is the lower bound of its result.
 	tokenScale         = 10_000
 	minSecondsPerToken = 1e-7
-	// decodeServerPace is the speed of prefill at a decode server as a fraction of that at a prefill server, until both were
-	// measured.
+	// decodeServerPace is the assumed prefill speed of a decode server, as a fraction of that of a prefill server, before any
+	// prefill has been measured.
 	decodeServerPace = 0.5
 )
 
-// stagePaces holds the measured speed of prefill at the servers of each stage.
+// stagePaces holds the measured prefill speed of the servers of each stage.
 type stagePaces struct {
 	prefill, decode prefillPace
 }
 
-// newStagePaces returns the assumed speeds.
+// newStagePaces returns the speeds that are assumed initially.
 func newStagePaces() stagePaces {
 	return stagePaces{prefill: prefillPace{secondsPerToken: 1 / initialTokensPerSecond},
 		decode: prefillPace{secondsPerToken: 1 / (initialTokensPerSecond * decodeServerPace)}}
 }
 
-// forStage returns the speed at servers of a stage.
+// forStage returns the prefill speed of the servers of a stage.
 func (p *stagePaces) forStage(stage message.Stage) *prefillPace {
 	if stage == message.Prefill {
 		return &p.prefill
@@ -35,14 +35,14 @@
 	return &p.decode
 }
 
-// prefillPace is the speed of prefill at a server that does nothing else: a latency and a time for each token. It is fitted to
-// fast prefills, since the duration of one that had to wait says little.
+// prefillPace is a linear model of the duration of a prefill at a server without other work: a fixed latency plus a time for each
+// token. It is fitted mainly to fast prefills, since the duration of one that had to wait says little about speed.
 type prefillPace struct {
 	latencySeconds  float64
 	secondsPerToken float64
 }
 
-// observe adds a measured prefill by a step of a regression that weighs fast ones more.
+// observe updates the model by a measured prefill: a step of a regression that gives fast prefills more weight.
 func (p *prefillPace) observe(tokens, seconds float64) {
 	x := tokens / tokenScale
 	deviation := seconds - p.latencySeconds - tokens*p.secondsPerToken
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -10,13 +10,13 @@
 // maxOutsideServers bounds the servers outside the subset that are considered for one request.
 const maxOutsideServers = 256
 
-// isUsable reports whether an endpoint may get a request, apart from suspicion.
+// isUsable reports whether an endpoint may get a request, regardless of the failure detector.
 func (p *Pool) isUsable(e *Endpoint, now float64) bool {
 	return !e.Draining && !e.isWrongInstance && !e.stageChange.isActive && now >= e.ejectedUntil && (p.maxConnections == 0 || e.InFlight < p.maxConnections)
 }
 
-// candidates returns the members of a stage that may be picked now; suspected ones are left out at random. If all are
-// suspected it returns the least suspected one.
+// candidates returns the members of a stage that may be picked now. A suspected member is included with a probability of one
+// half; one above excludePhi is left out. If that leaves none, it returns the least suspected one.
 func (p *Pool) candidates(now float64, stage message.Stage, excluded []*Endpoint) []*Endpoint {
 	var candidates []*Endpoint
 	var lowest *Endpoint
@@ -39,12 +39,12 @@
 	return candidates
 }
 
-// Pick picks a server for a request without a prompt: of two random candidates the one with fewer requests of this proxy in
-// progress, nil if there is none. excluded are servers that have failed the request before.
+// Pick picks a server for a request without a prompt: of two random candidates, the one with less load from this proxy. It
+// returns nil if there is none. excluded contains the servers that have failed the request before.
 func (p *Pool) Pick(now float64, excluded []*Endpoint) *Endpoint {
 	stage := message.Stage("")
 	if p.Engine.IsPresent {
-		stage = message.Decode // among model servers, those that can answer by themselves
+		stage = message.Decode // of the model servers, only these can answer by themselves
 	}
 	candidates := p.candidates(now, stage, excluded)
 	if len(candidates) == 0 {
@@ -60,8 +60,8 @@
 	return first
 }
 
-// lastResort returns servers for the case that there are no candidates: usable ones outside the subset, else the member whose
-// ejection ends first.
+// lastResort returns servers to use if there are no candidates: usable ones outside the subset or, if there are none, the member
+// whose ejection ends first.
 func (p *Pool) lastResort(now float64, stage message.Stage, excluded []*Endpoint) []*Endpoint {
 	if outside := p.outsideSubset(now, stage, excluded); len(outside) > 0 {
 		return outside
@@ -81,8 +81,8 @@
 	return []*Endpoint{best}
 }
 
-// outsideSubset returns usable servers outside the subset, of many servers a random range. When most proxies are down the
-// others get all requests, and their subsets are full long before the servers are.
+// outsideSubset returns usable servers outside the subset; if there are many servers, it considers a random range of them. When
+// most proxies are down, the others get all requests, and their subsets are full long before all servers are.
 func (p *Pool) outsideSubset(now float64, stage message.Stage, excluded []*Endpoint) (servers []*Endpoint) {
 	from := 0
 	if len(p.ids) > maxOutsideServers {
@@ -97,7 +97,7 @@
 	return servers
 }
 
-// pickTwo returns two different random candidates, the same one twice if there is only one.
+// pickTwo returns two different random candidates, or the same one twice if there is only one.
 func (p *Pool) pickTwo(candidates []*Endpoint) (first, second *Endpoint) {
 	i := p.rng.IntN(len(candidates))
 	j := i
@@ -107,15 +107,15 @@
 	return candidates[i], candidates[j]
 }
 
-// rendezvousScore returns the score of a server for a key; the server with the highest one is the key's home. All proxies
-// must derive the same score.
+// rendezvousScore returns the score of a server for a key. The server with the highest score is the key's home. All proxies must
+// compute the same score.
 func rendezvousScore(key, id string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(key)) // never fails, like the following ones
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(id))
 	x := hash.Sum64()
-	x ^= x >> 33 // spreads similar names, by a step of the finalizer of MurmurHash3
+	x ^= x >> 33 // spreads similar names, with steps of the MurmurHash3 finalizer
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
 	return x
--- a/internal/decide/placement/pick_test.go
+++ b/internal/decide/placement/pick_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the choice of a server", func() {
-	It("picks the one of two with fewer requests in progress", func() {
+	It("picks the server with fewer requests in progress of two", func() {
 		p := newPool(instances(2, ""))
 		p.endpoints["i-000"].InFlight = 3
 		for range 50 {
@@ -16,12 +16,12 @@
 		}
 	})
 
-	It("skips servers that drain, are removed, change their stage or are another instance", func() {
+	It("skips servers that drain, are removed, change their stage or have another instance at their address", func() {
 		p := newPool(instances(5, ""))
 		list := instances(5, "")
 		list[0].Draining = true
 		p.UpdateInstances(1, list[:4])
-		p.UpdateInstances(2, instances(5, "")) // an older reading
+		p.UpdateInstances(2, instances(5, "")) // an older version of the list
 		p.ApplyStagePlan(0, message.StagePlan{Stages: map[string]message.Stage{"i-001": message.Prefill}})
 		p.endpoints["i-002"].RecordIdentity("i-other")
 		for range 100 {
@@ -41,7 +41,7 @@
 		Expect(stages).NotTo(HaveKey(p.Pick(0, nil).ID))
 	})
 
-	It("ejects a server after consecutive failures until it succeeds or the time is over", func() {
+	It("ejects a server after consecutive failures until it succeeds or the ejection ends", func() {
 		p := newPool(instances(2, ""))
 		bad := p.endpoints["i-000"]
 		bad.RecordFailure(1, false)
@@ -54,20 +54,20 @@
 		Expect(p.isUsable(bad, 2)).To(BeTrue())
 	})
 
-	It("keeps the limit of connections", func() {
+	It("keeps the connection limit", func() {
 		p := newPool(instances(1, ""))
 		p.SetRank(0, 10)
 		p.SetMaxConnections(50)
 		only := p.endpoints["i-000"]
 		only.InFlight = 3
 		Expect(p.Pick(0, nil)).NotTo(BeNil())
-		only.InFlight = 4 // a tenth of the fraction of 50 that is used
+		only.InFlight = 4 // a tenth of the usable fraction of 50
 		Expect(p.candidates(0, "", nil)).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a proxy whose subset is full", func() {
-	It("uses servers outside the subset, each within its connections", func() {
+var _ = Describe("a proxy whose subset has no free connections", func() {
+	It("uses servers outside the subset, each up to the connection limit", func() {
 		p := newPool(instances(20, ""))
 		p.SetRank(3, 50)
 		p.SetMaxConnections(200)
@@ -82,7 +82,7 @@
 			e.StartRequest()
 			if started[e.ID]++; len(started) > subsetSize {
 				for _, member := range p.members {
-					Expect(member.InFlight).To(Equal(p.maxConnections), "members first")
+					Expect(member.InFlight).To(Equal(p.maxConnections), "servers outside are used only after all members are full")
 				}
 			}
 		}
@@ -92,7 +92,7 @@
 		}
 	})
 
-	It("skips servers outside that drain, change their stage, are ejected or have failed the request", func() {
+	It("skips servers outside the subset that drain, change their stage, are ejected or have failed the request", func() {
 		p := newPool(instances(8, message.Decode))
 		p.SetRank(0, 100)
 		p.SetMaxConnections(100)
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// answerProbes answers all due probes except those of silent endpoints, in steps of 0.1 s.
+// answerProbes records replies to all due probes except those of silent servers, in steps of 0.1 s.
 func answerProbes(p *Pool, from, to float64, silent ...string) {
 	for now := from; now < to; now += 0.1 {
 		for _, e := range p.DueProbes(now) {
--- a/internal/decide/placement/planner.go
+++ b/internal/decide/placement/planner.go
@@ -7,15 +7,15 @@
 	"hazelwheel/internal/message"
 )
 
-// demandTimeConstant is the time constant of the average of the demand, in seconds.
+// demandTimeConstant is the time constant of the average demand, in seconds.
 const demandTimeConstant = 1.5
 
-// Planner plans where the prompts of a service are processed.
+// Planner decides which servers process the prompts of a service.
 type Planner struct {
 	pool         *Pool
 	paces        stagePaces
-	cacheSeconds float64     // for which a chunk counts as cached after its last use
-	prefillRate  decayingSum // prompt tokens that were sent to prefill
+	cacheSeconds float64     // for how long a chunk counts as cached after its last use
+	prefillRate  decayingSum // prompt tokens sent to prefill
 }
 
 // decayingSum is a sum that decays with demandTimeConstant.
@@ -29,7 +29,7 @@
 	d.updatedAt = now
 }
 
-// perSecond returns the rate of the amounts.
+// perSecond returns the average amount per second.
 func (d *decayingSum) perSecond(now float64) float64 {
 	return d.sum * math.Exp(-(now-d.updatedAt)/demandTimeConstant) / demandTimeConstant
 }
@@ -51,12 +51,12 @@
 	return demand
 }
 
-// PlanPrompt returns where a prompt is to be processed, and false if there is no server. excluded are servers that have failed
-// the request before. Without allowSplit one decode server does it all.
+// PlanPrompt returns where a prompt is to be processed, and false if there is no server. excluded contains the servers that have
+// failed the request before. Without allowSplit a single decode server does everything.
 func (l *Planner) PlanPrompt(now float64, q *Prompt, excluded []*Endpoint, allowSplit bool) (Plan, bool) {
 	key := q.SharedPrefixKey()
-	// Danger: proxies agree on the home of a key among prefill servers only. No decode server may count as having cached what
-	// other proxies have sent.
+	// Proxies agree on a home only among prefill servers, so no decode server may be assumed to have cached what other proxies
+	// have sent.
 	colocated, colocatedSeconds := l.cheapest(now, q, "", l.decodeCandidates(now, excluded))
 	if !allowSplit {
 		return Plan{DecodeServer: colocated}, colocated != nil
@@ -72,8 +72,8 @@
 	return Plan{PrefillServer: prefillServer}, true
 }
 
-// decodeCandidates returns decode servers for a prompt: members that have not failed it, else servers outside the subset, else
-// members that have failed it, else an ejected one.
+// decodeCandidates returns decode servers for a prompt. It returns the first of these sets that is not empty: members that have
+// not failed it, servers outside the subset, members that have failed it, and the member whose ejection ends first.
 func (l *Planner) decodeCandidates(now float64, excluded []*Endpoint) []*Endpoint {
 	if candidates := l.pool.candidates(now, message.Decode, excluded); len(candidates) > 0 {
 		return candidates
@@ -87,7 +87,7 @@
 	return l.pool.lastResort(now, message.Decode, excluded)
 }
 
-// PickDecodeServer returns the server that is to answer a prompt after its prefill in a zone, nil if there is none.
+// PickDecodeServer returns the server that is to answer a prompt after its prefill in a zone, or nil if there is none.
 func (l *Planner) PickDecodeServer(now float64, zone string, excluded []*Endpoint) *Endpoint {
 	candidates := l.decodeCandidates(now, excluded)
 	if len(candidates) == 0 {
@@ -96,8 +96,8 @@
 	return l.pickLessLoaded(candidates, zone)
 }
 
-// cheapest returns the candidate with the lowest cost of prefill, and that cost. key is the key of the shared prefix, empty if
-// no home counts.
+// cheapest returns the candidate with the lowest prefill cost, and that cost. key identifies the shared prefix; it is empty if no
+// server counts as its home.
 func (l *Planner) cheapest(now float64, q *Prompt, key string, candidates []*Endpoint) (best *Endpoint, seconds float64) {
 	home := homeServer(key, candidates)
 	for _, e := range candidates {
@@ -108,7 +108,7 @@
 	return best, seconds
 }
 
-// homeServer returns the home of a key among candidates: the server with the highest score.
+// homeServer returns the candidate with the highest rendezvous score for a key (the key's home).
 func homeServer(key string, candidates []*Endpoint) (server *Endpoint) {
 	bestScore := uint64(0)
 	for _, e := range candidates {
@@ -119,7 +119,8 @@
 	return server
 }
 
-// pickLessLoaded returns the less loaded one of two random candidates, with a preference for a zone.
+// pickLessLoaded returns the less loaded of two random candidates; servers in another zone than the given one count as more
+// loaded.
 func (l *Planner) pickLessLoaded(candidates []*Endpoint, zone string) *Endpoint {
 	first, second := l.pool.pickTwo(candidates)
 	a, b := first.decodeLoad(zone), second.decodeLoad(zone)
--- a/internal/decide/placement/planner_test.go
+++ b/internal/decide/placement/planner_test.go
@@ -30,7 +30,7 @@
 		}
 	})
 
-	It("leaves the home when it has a long queue", func() {
+	It("avoids the home server when it has a long queue", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -42,7 +42,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
-	It("leaves the home when a prefill there is overdue", func() {
+	It("avoids the home server when a prefill there is overdue", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -53,7 +53,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(plan.PrefillServer))
 	})
 
-	It("leaves the home when it would miss the latency target there", func() {
+	It("avoids the home server when the prompt would miss the latency target there", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -61,7 +61,7 @@
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.StartPrefill(0, home.PrefillServer, inTime)
-		l.FinishPrefill(0.7, home.PrefillServer, r, true) // 0.5 s longer than alone: less than the cost of reading the prefix again
+		l.FinishPrefill(0.7, home.PrefillServer, r, true) // 0.5 s longer than without a wait, which costs less than processing the prefix again
 		next, _ := l.PlanPrompt(0.7, inTime, nil, true)
 		Expect(next.PrefillServer).To(Equal(home.PrefillServer))
 		r = l.StartPrefill(0.7, home.PrefillServer, inTime)
@@ -70,7 +70,7 @@
 		Expect(next.PrefillServer).NotTo(Equal(home.PrefillServer))
 	})
 
-	It("is not colocated for what other proxies may have cached at a decode server", func() {
+	It("does not assume that other proxies have cached the prefix at a decode server", func() {
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
@@ -78,7 +78,7 @@
 		l.paces.decode = prefillPace{latencySeconds: 0.05, secondsPerToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.StartPrefill(0, plan.PrefillServer, prompt)
-		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // an observed wait of 0.3 s at the home
+		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // an observed wait of 0.3 s at the home server
 		for range 20 {
 			plan, _ = l.PlanPrompt(0.8, prompt, nil, true)
 			Expect(plan.PrefillServer).NotTo(BeNil())
@@ -94,7 +94,7 @@
 		for _, e := range p.members {
 			e.engine.running = running
 			if e.Stage == message.Prefill {
-				e.engine.waitSeconds, e.engine.waitObservedAt = 0.6, 0 // all prefill servers have a queue
+				e.engine.waitSeconds, e.engine.waitObservedAt = 0.6, 0 // a queue at all prefill servers
 			}
 		}
 		plan, ok := l.PlanPrompt(0, &Prompt{Tokens: tokens, Chunks: []Chunk{{"x", tokens}}, LatencyTargetSeconds: 0.5, GapTargetSeconds: gapTarget}, nil, true)
@@ -103,7 +103,7 @@
 	}, Entry("a short prompt", 1000, 4, 0.2, true), Entry("a long prompt without other answers", 9000, 0, 0.2, true),
 		Entry("a long prompt with a few other answers", 9000, 3, 0.2, false), Entry("a long prompt without a gap target", 9000, 3, 0.0, true))
 
-	It("uses the youngest load of a server, in any order", func() {
+	It("uses the latest load of a server, whatever the order of arrival", func() {
 		p := newPool(list)
 		p.Engine = engine
 		e := p.endpoints["i-decode001"]
@@ -111,7 +111,7 @@
 		p.MergeLoads(10.5, []message.Load{{InstanceKey: e.loadKey, Running: 9, Waiting: 2, AgeMs: 100}})
 		p.MergeLoads(10.6, []message.Load{{InstanceKey: e.loadKey, Running: 1, Waiting: 0, AgeMs: 900}})
 		Expect(e.engine.running).To(Equal(9))
-		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "a reported load is sent on once")
+		Expect(p.TakeNewLoads(10.6)).To(HaveLen(1), "a reported load is forwarded once")
 		Expect(p.TakeNewLoads(10.7)).To(BeEmpty())
 	})
 
@@ -123,7 +123,7 @@
 		Expect(plan.DecodeServer).NotTo(BeNil())
 	})
 
-	It("returns to zero load once all has ended", func() {
+	It("returns to zero load when all prefills and answers have ended", func() {
 		p := newPool(list)
 		l := NewPlanner(p, 8)
 		e := p.endpoints["i-prefill000"]
@@ -138,7 +138,7 @@
 		Expect(e.engine.kvTokens).To(BeZero())
 	})
 
-	It("learns latency and speed from the fast ones among delayed prefills", func() {
+	It("learns latency and speed of prefill although half of the prefills are delayed", func() {
 		l := newStagePaces()
 		rng := rand.New(rand.NewPCG(9, 9))
 		for range 3000 {
@@ -155,7 +155,7 @@
 		}
 	})
 
-	It("starts with finite speeds", func() {
+	It("starts with the assumed speeds", func() {
 		l := newStagePaces()
 		Expect(l.prefill.secondsPerToken).To(BeNumerically("~", 1/initialTokensPerSecond, 1e-9))
 		Expect(l.decode.secondsPerToken).To(BeNumerically(">", l.prefill.secondsPerToken))
--- a/internal/decide/placement/pool.go
+++ b/internal/decide/placement/pool.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// connectionFraction is the fraction of a server's connections that all proxies together use.
+	// connectionFraction is the fraction of a server's connections that all proxies together may use.
 	connectionFraction = 0.8
-	// readmissionSeconds is how long an instance that has left the list is not readmitted, since an older reading of the list
-	// may arrive later.
+	// readmissionSeconds is for how long an instance that has left the list is not readmitted, since an older version of the list
+	// may arrive late.
 	readmissionSeconds = 10.0
-	// unlimitedConnections is the limit for services whose limit is unknown.
+	// unlimitedConnections is the connection limit for services whose limit is unknown.
 	unlimitedConnections = 1 << 20
 )
 
 // Pool holds the servers of one service as one proxy knows them.
 type Pool struct {
 	Service string
-	Zone    string // of the proxy
+	Zone    string // zone of the proxy
 	Engine  Engine
 	Budget  RetryBudget
 
 	rng               *rand.Rand
 	endpoints         map[string]*Endpoint // by instance
-	ids               []string             // of endpoints, sorted
-	members           []*Endpoint          // the subset
-	removedAt         map[string]float64   // when instances have left the list
-	rank, proxyCount  int                  // of this proxy, and of all
-	maxConnections    int                  // that this proxy may use to one server
-	serverConnections int                  // that one server takes from all callers, 0: unknown
+	ids               []string             // sorted keys of endpoints
+	members           []*Endpoint          // the proxy's subset
+	removedAt         map[string]float64   // by instance: when it left the list
+	rank, proxyCount  int                  // rank of this proxy, and number of proxies
+	maxConnections    int                  // number that this proxy may open to one server
+	serverConnections int                  // number that one server accepts from all callers; 0 if unknown
 }
 
-// NewPool returns a pool without servers for a proxy in a zone. It draws all random numbers from rng.
+// NewPool returns a pool without servers for a proxy in a zone. All random numbers come from rng.
 func NewPool(service, zone string, budget RetryBudget, rng *rand.Rand) *Pool {
 	return &Pool{Service: service, Zone: zone, Budget: budget, rng: rng, endpoints: map[string]*Endpoint{}, removedAt: map[string]float64{}, proxyCount: 1}
 }
 
-// SetRank sets the rank of this proxy among the proxies, and their number.
+// SetRank sets the rank of this proxy among all proxies, and their number.
 func (p *Pool) SetRank(rank, count int) {
 	if count > 0 && (rank != p.rank || count != p.proxyCount) {
 		p.rank, p.proxyCount = rank, count
@@ -50,7 +50,7 @@
 // ProxyCount returns the number of proxies.
 func (p *Pool) ProxyCount() int { return p.proxyCount }
 
-// SetMaxConnections sets the number of connections that one server takes from all callers together, 0 if unknown.
+// SetMaxConnections sets the number of connections that one server accepts from all callers together; 0 if unknown.
 func (p *Pool) SetMaxConnections(connections int) {
 	if connections != p.serverConnections {
 		p.serverConnections = connections
@@ -62,14 +62,14 @@
 	}
 }
 
-// HasFewConnections reports whether a server could not take two connections of each proxy. It may still hold those of processes
-// that have lost power beside the connections of the restarted processes.
+// HasFewConnections reports whether a server can't accept two connections from each proxy. Two are needed because, after a power
+// failure, a server may still hold the connections of the old processes beside those of the restarted ones.
 func (p *Pool) HasFewConnections() bool {
 	return p.serverConnections > 0 && 2*p.proxyCount >= p.serverConnections
 }
 
-// UpdateInstances adopts a reading of the list. A server that drains does so until it leaves the list, and one that has left
-// is not readmitted for readmissionSeconds. The caller calls ApplyStagePlan after it.
+// UpdateInstances applies a version of the list of servers. A draining server stays so until it leaves the list, and one that has
+// left the list is not readmitted for readmissionSeconds. The caller must call ApplyStagePlan afterwards.
 func (p *Pool) UpdateInstances(now float64, instances []message.Instance) {
 	for id, at := range p.removedAt {
 		if now-at > readmissionSeconds {
@@ -97,7 +97,7 @@
 	p.updateSubset()
 }
 
-// updateEndpoint adopts a listed instance.
+// updateEndpoint applies a list entry.
 func (p *Pool) updateEndpoint(now float64, listed *message.Instance) {
 	if _, isRemoved := p.removedAt[listed.ID]; isRemoved {
 		return
@@ -126,7 +126,7 @@
 	return sum / float64(len(p.endpoints))
 }
 
-// CanReadmit reports whether an instance could be readmitted by calling UpdateInstances with the last reading again.
+// CanReadmit reports whether an instance could be readmitted by calling UpdateInstances again with the last list.
 func (p *Pool) CanReadmit(now float64) bool {
 	for _, at := range p.removedAt {
 		if now-at > readmissionSeconds {
@@ -136,7 +136,7 @@
 	return false
 }
 
-// DueProbes returns the members to probe now. The host reports each result to Endpoint.RecordProbe.
+// DueProbes returns the members to be probed now. The caller reports each result to Endpoint.RecordProbe.
 func (p *Pool) DueProbes(now float64) (due []*Endpoint) {
 	for _, e := range p.members {
 		if !e.isProbing && now >= e.nextProbeAt {
--- a/internal/decide/placement/prompt.go
+++ b/internal/decide/placement/prompt.go
@@ -5,7 +5,8 @@
 	"strings"
 )
 
-// ParseChunks parses the chunks of a prompt as clients send them: ID:TOKENS, separated by commas. It skips what has another form.
+// ParseChunks parses the chunks of a prompt as clients send them: a comma-separated list of ID:TOKENS. Items of any other form
+// are skipped.
 func ParseChunks(field string) (chunks []Chunk) {
 	for text := range strings.SplitSeq(field, ",") {
 		id, tokens, ok := strings.Cut(strings.TrimSpace(text), ":")
@@ -17,13 +18,13 @@
 	return chunks
 }
 
-// Chunk is a part of a prompt. Prompts that begin with the same chunks share the KV cache of these.
+// Chunk is a part of a prompt. Prompts that begin with the same chunks share the KV cache for them.
 type Chunk struct {
 	ID     string
 	Tokens int
 }
 
-// parseCount returns a number of tokens, 0 for what is not one.
+// parseCount returns a number of tokens, or 0 if the text is not a valid one.
 func parseCount(text string) int {
 	count, err := strconv.Atoi(text)
 	if err != nil || count < 0 {
@@ -35,13 +36,13 @@
 // Prompt describes a prompt to the planner.
 type Prompt struct {
 	Chunks               []Chunk // in order; the last one is not shared with other prompts
-	Tokens               int     // of all chunks
+	Tokens               int     // total of all chunks
 	MaxOutputTokens      int     // bound on the tokens of the answer
-	LatencyTargetSeconds float64 // for the first event of the answer, 0: none
-	GapTargetSeconds     float64 // for the gaps between events of the answer, 0: none
+	LatencyTargetSeconds float64 // target for the first event of the answer; 0 if none
+	GapTargetSeconds     float64 // target for the gaps between events of the answer; 0 if none
 }
 
-// SharedPrefixKey returns a key of the prefix that other prompts may share, "" if there is none.
+// SharedPrefixKey returns a key for the prefix that other prompts may share, or "" if there is none.
 func (q *Prompt) SharedPrefixKey() string {
 	if len(q.Chunks) < 2 {
 		return ""
--- a/internal/decide/placement/readmission_test.go
+++ b/internal/decide/placement/readmission_test.go
@@ -9,8 +9,8 @@
 	"hazelwheel/internal/message"
 )
 
-// TestServerIsReadmittedByItsIdentity has a server reject a request as misdirected and then reply to a probe as itself: the
-// rejection must not exclude it for longer than that.
+// TestServerIsReadmittedByItsIdentity checks that a server which rejected a request as misdirected, and at whose address another
+// instance answered, is readmitted after it has replied to a probe itself.
 func TestServerIsReadmittedByItsIdentity(t *testing.T) {
 	p := newPool(instances(1, ""))
 	e := p.endpoints["i-000"]
@@ -23,11 +23,11 @@
 		}
 	}
 	if p.Pick(10, nil) == nil {
-		t.Fatal("the server is excluded for good")
+		t.Fatal("the server is still excluded")
 	}
 }
 
-// newEngine returns a pool of model servers, and its planner.
+// newEngine returns a pool of model servers and its planner.
 func newEngine(prefill, decode int) (*Pool, *Planner) {
 	p := newPool(append(instances(prefill, message.Prefill), instances(decode, message.Decode)...))
 	p.Engine = Engine{IsPresent: true, KVTokenBytes: 35000, KVTokens: 900e3, LinkMbps: 1e6}
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("a server that has rejected a request as misdirected", func() {
-	It("is ejected for a moment and probed at once", func() {
+	It("is ejected briefly and probed at once", func() {
 		p := newPool(instances(2, ""))
 		answerProbes(p, 0, 20)
 		e := p.endpoints["i-000"]
@@ -70,7 +70,7 @@
 		Expect(p.candidates(65, "", nil)).To(ContainElement(e))
 	})
 
-	It("answers where all servers are ejected", func() {
+	It("is used if all servers are ejected", func() {
 		p, l := newEngine(2, 2)
 		for _, e := range p.members {
 			if e.Stage == message.Decode {
@@ -88,7 +88,7 @@
 	plan := message.StagePlan{Token: 1, Stages: map[string]message.Stage{"i-decode000": message.Prefill}}
 	e := func(p *Pool) *Endpoint { return p.endpoints["i-decode000"] }
 
-	It("excludes a server for as long as it may take, however often the plan arrives", func() {
+	It("excludes the server no longer than a change may take, however often the plan arrives", func() {
 		p, _ := newEngine(0, 4)
 		p.Engine.SwitchSeconds = 2
 		for now := 0.0; now < 2+switchMarginSeconds; now += 0.5 {
@@ -105,13 +105,13 @@
 	})
 })
 
-var _ = Describe("an instance that was missing in one reading of the list", func() {
-	It("is readmitted with a later one, though nothing else changes", func() {
+var _ = Describe("an instance that was missing in one version of the list", func() {
+	It("is readmitted when the last list is applied again", func() {
 		all := instances(3, "")
 		p := newPool(all)
 		p.UpdateInstances(1, all[:2])
 		p.UpdateInstances(1.1, all)
-		Expect(p.endpoints).To(HaveLen(2), "an older reading may arrive later")
+		Expect(p.endpoints).To(HaveLen(2), "an older version of the list may arrive late")
 		Expect(p.CanReadmit(1 + readmissionSeconds)).To(BeFalse())
 		Expect(p.CanReadmit(1.1 + readmissionSeconds)).To(BeTrue())
 		p.UpdateInstances(1.1+readmissionSeconds, all)
--- a/internal/decide/placement/recovery_test.go
+++ b/internal/decide/placement/recovery_test.go
@@ -11,20 +11,20 @@
 	"hazelwheel/internal/message"
 )
 
-// hostOmissions are duties that a host omits, which the property must detect.
+// hostOmissions are duties of the calling program that a simulation omits. The recovery check must detect each of them.
 type hostOmissions struct {
-	skipsRevisits bool // it applies list and plan only when they change
-	skipsProbes   bool // it doesn't probe servers
+	skipsRevisits bool // list and plan are applied only when they change
+	skipsProbes   bool // servers are not probed
 }
 
-// simulation is a pool with its host and all events that exclude servers.
+// simulation runs a pool with its calling program and random events that exclude servers.
 type simulation struct {
 	rng           *rand.Rand
 	pool          *Pool
 	list          []message.Instance // all servers
 	plan          message.StagePlan
 	now           float64
-	wrongInstance map[string]bool // servers at whose addresses another instance answers
+	wrongInstance map[string]bool // servers at whose address another instance answers
 	omissions     hostOmissions
 }
 
@@ -57,7 +57,7 @@
 		h.plan = message.StagePlan{Token: h.plan.Token + uint64(h.rng.IntN(2)), Sequence: h.plan.Sequence + 1,
 			Stages: map[string]message.Stage{e.ID: message.Prefill, h.randomEndpoint().ID: message.Decode}}
 		h.pool.ApplyStagePlan(h.now, h.plan)
-	case 4: // a reading without the server
+	case 4: // a version of the list without the server
 		h.pool.UpdateInstances(h.now, slices.DeleteFunc(slices.Clone(h.list), func(i message.Instance) bool { return i.ID == e.ID }))
 		h.pool.ApplyStagePlan(h.now, h.plan)
 	case 5:
@@ -68,7 +68,7 @@
 	}
 }
 
-// advance runs the host for some time.
+// advance simulates the calling program for some time.
 func (h *simulation) advance(seconds float64) {
 	const tick = 0.5
 	for until := h.now + seconds; h.now < until; h.now += tick {
@@ -93,13 +93,13 @@
 	}
 }
 
-// run injects events, lets all faults end, and returns the status if servers are still excluded, else "".
+// run injects events, ends all faults and waits. It returns the pool's status if servers are still excluded, otherwise "".
 func (h *simulation) run() string {
 	for range 60 {
 		h.injectEvent()
 		h.advance(h.rng.ExpFloat64() * 1.5)
 	}
-	h.pool.UpdateInstances(h.now, h.list) // the last reading; list and plan don't change from here on
+	h.pool.UpdateInstances(h.now, h.list) // the last version of the list; list and plan don't change from here on
 	h.pool.ApplyStagePlan(h.now, h.plan)
 	clear(h.wrongInstance)
 	h.pool.SetRank(0, 1)
@@ -117,14 +117,14 @@
 		}
 	})
 
-	DescribeTable("needs a host that", func(host hostOmissions) {
+	DescribeTable("needs a calling program that", func(host hostOmissions) {
 		for seed := range uint64(500) {
 			if newSimulation(seed, host).run() != "" {
 				return
 			}
 		}
-		Fail("no server stayed excluded in 500 histories")
+		Fail("no server stayed excluded in 500 simulations")
 	},
-		Entry("applies list and plan again", hostOmissions{skipsRevisits: true}),
+		Entry("applies list and plan repeatedly", hostOmissions{skipsRevisits: true}),
 		Entry("probes its servers", hostOmissions{skipsProbes: true}))
 })
--- a/internal/decide/placement/retry_budget_test.go
+++ b/internal/decide/placement/retry_budget_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the retry budget", func() {
-	It("is kept by all proxies together in every window", func() {
+	It("is not exceeded by all proxies together in any window", func() {
 		for seed := range uint64(40) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			proxies := 4 + rng.IntN(30)
@@ -18,7 +18,7 @@
 			}
 			var requests, retries []float64
 			for now := 0.0; now < 60; now += rng.ExpFloat64() / 200 {
-				b := &budgets[rng.IntN(rng.IntN(proxies)+1)] // uneven shares
+				b := &budgets[rng.IntN(rng.IntN(proxies)+1)] // proxies get uneven shares of the requests
 				b.RecordRequest(now)
 				requests = append(requests, now)
 				for range rng.IntN(4) {
--- a/internal/decide/placement/status.go
+++ b/internal/decide/placement/status.go
@@ -1,17 +1,17 @@
 package placement
 
-// Status counts the servers of a pool, and the members of the subset by why they can't be picked now. A member counts once,
-// for the first reason that applies.
+// Status counts the servers of a pool, and the members of its subset by the reason for which they can't be picked now. A member
+// is counted once, for the first reason that applies.
 type Status struct {
 	Listed        int
 	Draining      int // of those listed
-	Switching     int // of those listed: changing their stage
+	Switching     int // of those listed, not counting draining ones: changing their stage
 	Members       int // servers in the subset
 	Available     int // members that can be picked
 	WrongInstance int // another instance answered at the address
 	Ejected       int // ejected after failures
-	Full          int // the connections that this proxy may use are in use
-	Suspected     int // silent for too long
+	Full          int // all connections that this proxy may use are in use
+	Suspected     int // has not replied to probes for too long
 }
 
 // Status returns the current status.
--- a/internal/decide/placement/status_test.go
+++ b/internal/decide/placement/status_test.go
@@ -6,7 +6,7 @@
 )
 
 var _ = Describe("the status of a pool", func() {
-	It("counts each member once, by why it can't be picked", func() {
+	It("counts each member once, by the reason for which it can't be picked", func() {
 		p := newPool(instances(6, ""))
 		p.SetRank(0, 1)
 		answerProbes(p, 0, 60)
--- a/internal/decide/placement/subset.go
+++ b/internal/decide/placement/subset.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// minSubset and minPrefillSubset are the least numbers of servers in a subset, where there are as many. Of prefill servers
-	// there are more: a prefix that is cached at one server is found there only by proxies that have it in their subset.
+	// minSubset and minPrefillSubset are the least numbers of servers in a subset, if there are that many. Subsets of prefill
+	// servers are larger, since a prefix that is cached at a server is of use only to proxies that have the server in their
+	// subsets.
 	minSubset        = 6
 	minPrefillSubset = 64
-	// memberFraction is the fraction of a server's connections that proxies with the server in their subset may use. Danger: a
-	// server keeps the connections of processes that lost power until they time out. Those and the connections of the restarted
-	// processes must fit, or the server resets connections, and a request that is not idempotent can't be retried.
+	// memberFraction is the fraction of a server's connections that may be used by all proxies with the server in their subsets. A
+	// server keeps the connections of processes that lost power until they time out. It must have room for these and for the
+	// connections of the restarted processes; otherwise it resets connections, and a request that is not idempotent can't be
+	// retried.
 	memberFraction = 0.5
-	// minMembers is the least size of a subset, whatever the connections.
+	// minMembers is the least size of a subset, regardless of the connection limit.
 	minMembers = 3
 )
 
-// updateSubset derives the subset from the proxy's rank, for each stage separately.
+// updateSubset computes the subset from the proxy's rank, for each stage separately.
 func (p *Pool) updateSubset() {
 	for _, member := range p.members {
 		member.isMember = false
@@ -49,7 +51,7 @@
 	}
 }
 
-// maxMembers returns the bound that connections set to the subset of a number of servers.
+// maxMembers returns the largest subset of the given number of servers that the connection limit allows.
 func (p *Pool) maxMembers(servers int) float64 {
 	if p.serverConnections <= 0 {
 		return float64(servers)
--- a/internal/decide/placement/subset_test.go
+++ b/internal/decide/placement/subset_test.go
@@ -25,7 +25,7 @@
 })
 
 var _ = Describe("the connections of all proxies", func() {
-	It("to a server leave room for those of processes that have lost power, and each proxy has a subset", func() {
+	It("leave room at each server for those of processes that have lost power, and each proxy has a subset", func() {
 		const connections, servers, proxies = 75, 5, 58
 		uses := map[string]int{}
 		for rank := range proxies {
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("bound no subset where a service takes many or the limit is unknown", func() {
+	It("don't limit subsets if servers accept many or the limit is unknown", func() {
 		for _, connections := range []int{0, 500} {
 			p := newPool(instances(8, ""))
 			p.SetRank(3, 9)
