--- a/internal/decide/placement/cost.go
+++ b/internal/decide/placement/cost.go
@@ -32,12 +32,12 @@
 
 // prefillSeconds returns the duration of a prefill at a server of a stage that has no other work.
 func (l *Planner) prefillSeconds(stage message.Stage, tokens float64) float64 {
-	return l.paces.forStage(stage).latencySeconds + tokens/l.tokensPerSecond(stage)
+	return l.speeds.forStage(stage).latencySeconds + tokens/l.tokensPerSecond(stage)
 }
 
 // tokensPerSecond returns the speed of prefill at servers of a stage.
 func (l *Planner) tokensPerSecond(stage message.Stage) float64 {
-	return 1 / l.paces.forStage(stage).secondsPerToken
+	return 1 / l.speeds.forStage(stage).secondsPerToken
 }
 
 // prefillCost returns the cost of the prefill of a prompt at a server, in seconds: its duration including waits, the cost of
--- a/internal/decide/placement/pace.go
+++ b/internal/decide/placement/pace.go
@@ -11,39 +11,39 @@
 	// tokenScale scales the number of tokens in the regression. minSecondsPerToken is the lower bound of its result.
 	tokenScale         = 10_000
 	minSecondsPerToken = 1e-7
-	// decodeServerPace is the assumed prefill speed of a decode server, as a fraction of that of a prefill server, before any
+	// decodeSpeedFraction is the assumed prefill speed of a decode server, as a fraction of that of a prefill server, before any
 	// prefill has been measured.
-	decodeServerPace = 0.5
+	decodeSpeedFraction = 0.5
 )
 
-// stagePaces holds the measured prefill speed of the servers of each stage.
-type stagePaces struct {
-	prefill, decode prefillPace
+// stageSpeeds holds the measured prefill speed of the servers of each stage.
+type stageSpeeds struct {
+	prefill, decode prefillModel
 }
 
-// newStagePaces returns the speeds that are assumed initially.
-func newStagePaces() stagePaces {
-	return stagePaces{prefill: prefillPace{secondsPerToken: 1 / initialTokensPerSecond},
-		decode: prefillPace{secondsPerToken: 1 / (initialTokensPerSecond * decodeServerPace)}}
+// newStageSpeeds returns the speeds that are assumed initially.
+func newStageSpeeds() stageSpeeds {
+	return stageSpeeds{prefill: prefillModel{secondsPerToken: 1 / initialTokensPerSecond},
+		decode: prefillModel{secondsPerToken: 1 / (initialTokensPerSecond * decodeSpeedFraction)}}
 }
 
 // forStage returns the prefill speed of the servers of a stage.
-func (p *stagePaces) forStage(stage message.Stage) *prefillPace {
+func (p *stageSpeeds) forStage(stage message.Stage) *prefillModel {
 	if stage == message.Prefill {
 		return &p.prefill
 	}
 	return &p.decode
 }
 
-// prefillPace is a linear model of the duration of a prefill at a server without other work: a fixed latency plus a time for each
+// prefillModel is a linear model of the duration of a prefill at a server without other work: a fixed latency plus a time for each
 // token. It is fitted mainly to fast prefills, since the duration of one that had to wait says little about speed.
-type prefillPace struct {
+type prefillModel struct {
 	latencySeconds  float64
 	secondsPerToken float64
 }
 
 // observe updates the model by a measured prefill: a step of a regression that gives fast prefills more weight.
-func (p *prefillPace) observe(tokens, seconds float64) {
+func (p *prefillModel) observe(tokens, seconds float64) {
 	x := tokens / tokenScale
 	deviation := seconds - p.latencySeconds - tokens*p.secondsPerToken
 	step := slowLearningRate
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -48,7 +48,7 @@
 	}
 	candidates := p.candidates(now, stage, excluded)
 	if len(candidates) == 0 {
-		candidates = p.lastResort(now, stage, excluded)
+		candidates = p.fallbackServers(now, stage, excluded)
 	}
 	if len(candidates) == 0 {
 		return nil
@@ -60,9 +60,9 @@
 	return first
 }
 
-// lastResort returns servers to use if there are no candidates: usable ones outside the subset or, if there are none, the member
+// fallbackServers returns servers to use if there are no candidates: usable ones outside the subset or, if there are none, the member
 // whose ejection ends first.
-func (p *Pool) lastResort(now float64, stage message.Stage, excluded []*Endpoint) []*Endpoint {
+func (p *Pool) fallbackServers(now float64, stage message.Stage, excluded []*Endpoint) []*Endpoint {
 	if outside := p.outsideSubset(now, stage, excluded); len(outside) > 0 {
 		return outside
 	}
--- a/internal/decide/placement/planner.go
+++ b/internal/decide/placement/planner.go
@@ -13,7 +13,7 @@
 // Planner decides which servers process the prompts of a service.
 type Planner struct {
 	pool         *Pool
-	paces        stagePaces
+	speeds       stageSpeeds
 	cacheSeconds float64     // for how long a chunk counts as cached after its last use
 	prefillRate  decayingSum // prompt tokens sent to prefill
 }
@@ -36,7 +36,7 @@
 
 // NewPlanner returns a planner for a pool. Chunks count as cached for cacheSeconds after their last use.
 func NewPlanner(pool *Pool, cacheSeconds float64) *Planner {
-	return &Planner{pool: pool, cacheSeconds: cacheSeconds, paces: newStagePaces()}
+	return &Planner{pool: pool, cacheSeconds: cacheSeconds, speeds: newStageSpeeds()}
 }
 
 // Demand returns the load that this proxy puts on the service.
@@ -84,7 +84,7 @@
 	if candidates := l.pool.candidates(now, message.Decode, nil); len(candidates) > 0 {
 		return candidates
 	}
-	return l.pool.lastResort(now, message.Decode, excluded)
+	return l.pool.fallbackServers(now, message.Decode, excluded)
 }
 
 // PickDecodeServer returns the server that is to answer a prompt after its prefill in a zone, or nil if there is none.
--- a/internal/decide/placement/planner_test.go
+++ b/internal/decide/placement/planner_test.go
@@ -57,7 +57,7 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
+		l.speeds.prefill = prefillModel{latencySeconds: 0.05, secondsPerToken: 1e-5}
 		inTime := &Prompt{Tokens: 12000, Chunks: prompt.Chunks, LatencyTargetSeconds: 0.5}
 		home, _ := l.PlanPrompt(0, inTime, nil, true)
 		r := l.StartPrefill(0, home.PrefillServer, inTime)
@@ -74,8 +74,8 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
-		l.paces.decode = prefillPace{latencySeconds: 0.05, secondsPerToken: 2e-5}
+		l.speeds.prefill = prefillModel{latencySeconds: 0.05, secondsPerToken: 1e-5}
+		l.speeds.decode = prefillModel{latencySeconds: 0.05, secondsPerToken: 2e-5}
 		plan, _ := l.PlanPrompt(0, prompt, nil, true)
 		r := l.StartPrefill(0, plan.PrefillServer, prompt)
 		l.FinishPrefill(0.8, plan.PrefillServer, r, true) // an observed wait of 0.3 s at the home server
@@ -89,8 +89,8 @@
 		p := newPool(list)
 		p.Engine = engine
 		l := NewPlanner(p, 8)
-		l.paces.prefill = prefillPace{latencySeconds: 0.05, secondsPerToken: 1e-5}
-		l.paces.decode = prefillPace{latencySeconds: 0.01, secondsPerToken: 2e-5}
+		l.speeds.prefill = prefillModel{latencySeconds: 0.05, secondsPerToken: 1e-5}
+		l.speeds.decode = prefillModel{latencySeconds: 0.01, secondsPerToken: 2e-5}
 		for _, e := range p.members {
 			e.engine.running = running
 			if e.Stage == message.Prefill {
@@ -139,7 +139,7 @@
 	})
 
 	It("learns latency and speed of prefill although half of the prefills are delayed", func() {
-		l := newStagePaces()
+		l := newStageSpeeds()
 		rng := rand.New(rand.NewPCG(9, 9))
 		for range 3000 {
 			tokens := 500 + rng.Float64()*12000
@@ -156,7 +156,7 @@
 	})
 
 	It("starts with the assumed speeds", func() {
-		l := newStagePaces()
+		l := newStageSpeeds()
 		Expect(l.prefill.secondsPerToken).To(BeNumerically("~", 1/initialTokensPerSecond, 1e-9))
 		Expect(l.decode.secondsPerToken).To(BeNumerically(">", l.prefill.secondsPerToken))
 	})
--- a/internal/decide/placement/prefill.go
+++ b/internal/decide/placement/prefill.go
@@ -37,7 +37,7 @@
 	seconds := now - r.startedAt
 	// Which prefixes other proxies have caused to be cached there is unknown. Only the tokens that no other prompt shares have
 	// certainly been processed.
-	l.paces.forStage(e.Stage).observe(r.ownTokens, seconds)
+	l.speeds.forStage(e.Stage).observe(r.ownTokens, seconds)
 	e.engine.waitSeconds, e.engine.waitObservedAt = (seconds-l.prefillSeconds(e.Stage, r.tokens))*waitPersistence, now
 }
 
--- a/internal/decide/placement/recovery_test.go
+++ b/internal/decide/placement/recovery_test.go
@@ -13,8 +13,8 @@
 
 // hostOmissions are duties of the calling program that a simulation omits. The recovery check must detect each of them.
 type hostOmissions struct {
-	skipsRevisits bool // list and plan are applied only when they change
-	skipsProbes   bool // servers are not probed
+	skipsReapplying bool // list and plan are applied only when they change
+	skipsProbes     bool // servers are not probed
 }
 
 // simulation runs a pool with its calling program and random events that exclude servers.
@@ -82,7 +82,7 @@
 				e.RecordProbe(h.now, instance == e.ID)
 			}
 		}
-		if h.omissions.skipsRevisits {
+		if h.omissions.skipsReapplying {
 			continue
 		}
 		h.pool.ExpireStageChanges(h.now)
@@ -125,6 +125,6 @@
 		}
 		Fail("no server stayed excluded in 500 simulations")
 	},
-		Entry("applies list and plan repeatedly", hostOmissions{skipsRevisits: true}),
+		Entry("applies list and plan repeatedly", hostOmissions{skipsReapplying: true}),
 		Entry("probes its servers", hostOmissions{skipsProbes: true}))
 })
