--- a/internal/decide/subset/ring.go
+++ b/internal/decide/subset/ring.go
@@ -6,7 +6,8 @@
 )
 
 // RingOrder returns the servers in their order on the ring, in a new slice. The servers of each zone are spread evenly over the
-// ring, so that any arc holds a fair part of each zone, to within a server, and servers of small zones are as busy as others.
+// ring, so that any arc has a fair share of the servers of each zone, to within one server, and servers of small zones are as
+// busy as others.
 func RingOrder(servers []Server) []Server {
 	type slot struct {
 		server Server
@@ -38,8 +39,8 @@
 	return order
 }
 
-// Select returns the servers of the arc that begins at a position, in the order of the ring. order is a result of RingOrder; size
-// is limited to its length.
+// Select returns the servers of the arc that begins at a position, in the order of the ring. order is a result of RingOrder. size
+// is limited to the number of servers.
 func Select(order []Server, position Position, size int) []Server {
 	size = min(max(size, 0), len(order))
 	selected := make([]Server, size)
@@ -49,11 +50,12 @@
 	return selected
 }
 
-// Reselect returns the servers of a sidecar whose arc has moved and that was connected to others before (by ID): all servers of
-// the new arc; of the previous ones, those at most slack steps beside the arc; and the nearest other previous ones, as many as
-// keep half of those that are still listed. So a list that oscillates does not move connections back and forth, and reports of
-// peers, which move the position, never replace more than half at once. What is kept beyond the arc is dropped by a later call,
-// when the new connections have been in use for a while.
+// Reselect returns the servers for a sidecar whose arc has moved. previous contains the IDs of the servers that it was connected
+// to before. The result contains all servers of the new arc, the previous servers at most slack steps away from the arc, and as
+// many of the nearest other previous servers as are needed to keep half of those that are still listed. So a list that oscillates
+// does not move connections back and forth, and reports of peers, which move the position, never replace more than half of the
+// connections at once. Previous servers outside the arc are dropped by later calls, when the new connections have been in use for
+// a while.
 func Reselect(order []Server, position Position, size, slack int, previous map[uint64]bool) []Server {
 	selected := Select(order, position, size)
 	if len(previous) == 0 || len(selected) == len(order) {
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -36,7 +36,7 @@
 	return held
 }
 
-// Each server gets two sidecars at least, and by rank no server has more than two sidecars beyond another.
+// Each server gets at least two sidecars. With positions by rank, the numbers of sidecars of two servers differ by at most two.
 func TestEachServerHasTwoSidecarsAndLoadIsEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		order, count := RingOrder(drawServers(t, 2, 120)), rapid.IntRange(2, 200).Draw(t, "sidecars")
@@ -55,13 +55,14 @@
 			if name != "by traffic" || count >= 6 {
 				require.GreaterOrEqual(t, least, 2, name)
 			}
-			slack := map[string]int{"by rank": 2, "by number": 8, "by traffic": 6}[name] // two a class
+			slack := map[string]int{"by rank": 2, "by number": 8, "by traffic": 6}[name] // two for each class
 			require.LessOrEqual(t, most-least, slack, name)
 		}
 	})
 }
 
-// One server or sidecar more moves each arc by a step at most, so few servers are replaced; with zones a few more.
+// If one server or sidecar is added, each arc moves by at most one step, so few servers are replaced. There is a single zone,
+// since with several zones a few more are replaced.
 func TestNewServerOrSidecarMovesFewLinks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, count := drawServers(t, 3, 150), rapid.IntRange(2, 100).Draw(t, "sidecars")
@@ -81,16 +82,16 @@
 				}
 				return n
 			}
-			require.LessOrEqual(t, moved(Select(more, PositionByRank(rank, count), size)), 3, "a server")
+			require.LessOrEqual(t, moved(Select(more, PositionByRank(rank, count), size)), 3, "a server is added")
 			step := len(order)/count + 2
-			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank, count+1), size)), step, "a sidecar behind it")
-			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar before it")
+			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank, count+1), size)), step, "a sidecar with a higher rank is added")
+			require.LessOrEqual(t, moved(Select(order, PositionByRank(rank+1, count+1), size)), step, "a sidecar with a lower rank is added")
 			require.Zero(t, moved(Select(order, PositionByRank(rank, count), size)))
 		}
 	})
 }
 
-// The order of the list makes no difference, and any arc has a fair part of each zone, to within two servers.
+// The order of the list makes no difference, and any arc has a fair share of the servers of each zone, to within a few servers.
 func TestRingOrderIgnoresInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawServers(t, 1, 150)
@@ -113,8 +114,8 @@
 	})
 }
 
-// A count that peers report shrinks the subset to no less than half of its size by the settings, and replaces no more than half
-// of the connections at once.
+// A count that peers report shrinks the subset to no less than half of the size that the settings give, and replaces no more than
+// half of the connections at once.
 func TestReportedCountShrinksSubsetByHalfAtMost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawServers(t, 1, 100)
@@ -134,17 +135,17 @@
 			if held[b.ID] {
 				kept++
 			}
-			require.False(t, ids[b.ID], "twice")
+			require.False(t, ids[b.ID], "a server is selected twice")
 			ids[b.ID] = true
 		}
 		require.GreaterOrEqual(t, 2*kept, len(held))
 		for _, b := range Select(order, at, size) {
-			require.True(t, ids[b.ID], "all of the arc is selected")
+			require.True(t, ids[b.ID], "a server of the arc is not selected")
 		}
 	})
 }
 
-// Whatever class a sidecar reports, another one moves by less than the distance between sidecars of its class.
+// Whatever class a sidecar reports, the others move by no more than the distance between the sidecars of their class.
 func TestFalseTrafficClassMovesOthersByOneStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 2), func(c int) int8 { return int8(c) }), 2, 100).Draw(t, "classes")
@@ -161,14 +162,14 @@
 					alike++
 				}
 			}
-			moved := int64(PositionByTraffic(rank, classes) - PositionByTraffic(rank, lied)) // the shorter way round
+			moved := int64(PositionByTraffic(rank, classes) - PositionByTraffic(rank, lied)) // signed, so the shorter way round the ring
 			require.LessOrEqual(t, math.Abs(float64(moved)), math.Exp2(64)/float64(alike)*1.001)
 		}
 	})
 }
 
-// policy.Subset begins at the position, to half a step, by the number that NumberAt returns, and those of different ranks begin
-// apart.
+// policy.Subset begins at the position, to within half a step, for the number that NumberAt returns, and positions of different
+// ranks lead to different beginnings.
 func TestNumberAtLeadsToPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, at := rapid.IntRange(1, 6000).Draw(t, "count"), Position(rapid.Uint64().Draw(t, "position"))
@@ -179,7 +180,7 @@
 			from, _ := policy.Subset(count, number, count, 0)
 			return from
 		}
-		off := int64(at - PositionByRank(begins(at), count)) // the shorter way round
+		off := int64(at - PositionByRank(begins(at), count)) // signed, so the shorter way round the ring
 		require.LessOrEqual(t, math.Abs(float64(off)), math.Exp2(63)/float64(count)*1.001)
 		rank := rapid.IntRange(0, count-1).Draw(t, "rank")
 		require.Equal(t, rank, begins(PositionByRank(rank, count)))
