--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -63,7 +63,7 @@
 
 // If one server or sidecar is added, each arc moves by at most one step, so few servers are replaced. There is a single zone,
 // since with several zones a few more are replaced.
-func TestNewServerOrSidecarMovesFewLinks(t *testing.T) {
+func TestNewServerOrSidecarMovesFewConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, count := drawServers(t, 3, 150), rapid.IntRange(2, 100).Draw(t, "sidecars")
 		for i := range list {
@@ -120,9 +120,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawServers(t, 1, 100)
 		order := RingOrder(list)
-		count, told := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "reported")
+		count, configured := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "reported")
 		need := rapid.Float64Range(0, 40).Draw(t, "need")
-		size, own := Size(len(list), count, told, need), Size(len(list), told, told, need)
+		size, own := Size(len(list), count, configured, need), Size(len(list), configured, configured, need)
 		require.GreaterOrEqual(t, 2*size, own)
 		held := map[uint64]bool{}
 		for _, b := range Select(order, PositionByNumber(rapid.IntRange(0, 300).Draw(t, "number")), own) {
@@ -149,20 +149,20 @@
 func TestFalseTrafficClassMovesOthersByOneStep(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, 2), func(c int) int8 { return int8(c) }), 2, 100).Draw(t, "classes")
-		liar := rapid.IntRange(0, len(classes)-1).Draw(t, "liar")
-		lied := slices.Clone(classes)
-		lied[liar] = TrafficClass(rapid.Float64().Draw(t, "reported"))
+		falseReporter := rapid.IntRange(0, len(classes)-1).Draw(t, "falseReporter")
+		reported := slices.Clone(classes)
+		reported[falseReporter] = TrafficClass(rapid.Float64().Draw(t, "reported"))
 		for rank, own := range classes {
-			if rank == liar {
+			if rank == falseReporter {
 				continue
 			}
 			alike := 0
-			for _, c := range lied {
+			for _, c := range reported {
 				if c == own {
 					alike++
 				}
 			}
-			moved := int64(PositionByTraffic(rank, classes) - PositionByTraffic(rank, lied)) // signed, so the shorter way round the ring
+			moved := int64(PositionByTraffic(rank, classes) - PositionByTraffic(rank, reported)) // signed, so the shorter way round the ring
 			require.LessOrEqual(t, math.Abs(float64(moved)), math.Exp2(64)/float64(alike)*1.001)
 		}
 	})
