--- a/internal/decide/stages/demand.go
+++ b/internal/decide/stages/demand.go
@@ -5,10 +5,10 @@
 const (
 	// halfLoadPrompts is the mean number of prompts at a prefill server that is busy half of the time.
 	halfLoadPrompts = 0.5
-	// backlogWeight is the number of servers for which a prompt counts that waits behind another one, so that backlogs are
-	// worked off soon.
+	// backlogWeight is added to the number of busy servers for each prompt that waits behind another waiting one, so that backlogs
+	// are worked off soon.
 	backlogWeight = 0.05
-	// loadTimeConstant is the time constant of the average of the prefill load, in seconds.
+	// loadTimeConstant is the time constant of the average prefill load, in seconds.
 	loadTimeConstant = 1.0
 )
 
@@ -17,15 +17,15 @@
 	PrefillTokensPerSecond float64 // prompt tokens that need prefill
 	DecodeStreams          float64 // answers in progress
 	KVTokens               float64 // tokens that those answers hold in the KV cache
-	Reports                int     // number of proxies that the demand sums up; 0: nothing is known
+	Reports                int     // number of proxies whose demand is included; 0 if nothing is known
 	PrefillLoad            PrefillLoad
 }
 
-// isZero reports whether the proxies send nothing.
+// isZero reports whether the proxies report practically no demand.
 func (d *Demand) isZero() bool { return d.PrefillTokensPerSecond < 1 && d.DecodeStreams == 0 }
 
-// decodeLoad returns the number of servers that the answers in progress fill. slots and kvTokens are what one server has;
-// kvTokens is 0 where it is unknown.
+// decodeLoad returns the number of servers that the answers in progress would fill. slots and kvTokens are the capacity of one
+// server; kvTokens is 0 if unknown.
 func (d *Demand) decodeLoad(slots, kvTokens float64) float64 {
 	load := d.DecodeStreams / slots
 	if kvTokens > 0 {
@@ -36,12 +36,12 @@
 
 // PrefillLoad sums up the load that prefill servers report.
 type PrefillLoad struct {
-	Reporting   int     // number of servers that have reported lately; 0: nothing is known
-	BusyServers float64 // fractions of time for which they are busy, summed up, and weights of backlogs
+	Reporting   int     // number of servers that have reported recently; 0 if nothing is known
+	BusyServers float64 // sum over the servers of the fraction of time that each is busy, plus weights of backlogs
 }
 
-// Add adds the report of one server: how many prompts run and wait there. A server which takes one prompt at a time is
-// assumed to be busy for the fraction of time that leaves as many prompts there on the average.
+// Add adds the report of one server: how many prompts are running and waiting there. A server that processes one prompt at a time
+// is assumed to be busy for the fraction of time that leads to this number of prompts on average.
 func (l *PrefillLoad) Add(running, waiting int) {
 	prompts := float64(running + waiting)
 	l.Reporting++
--- a/internal/decide/stages/planner.go
+++ b/internal/decide/stages/planner.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	// minImbalance is the fraction of the servers below which a difference from the desired number is ignored.
+	// minImbalance is the smallest difference from the desired number of prefill servers that leads to changes, as a fraction of
+	// all servers.
 	minImbalance = 0.06
-	// urgentDelaySeconds and normalDelaySeconds are how long a change in one direction must have been desired, where a stage
-	// is near saturation and where none is.
+	// urgentDelaySeconds and normalDelaySeconds are for how long a change in one direction must have been desired if it is urgent
+	// (a stage is near saturation) and if it is not.
 	urgentDelaySeconds = 0.8
 	normalDelaySeconds = 6.0
-	// urgentStep and normalStep are the fractions of the difference that are moved in one round.
+	// urgentStep and normalStep are the fractions of the difference that are moved in one round of changes.
 	urgentStep = 0.7
 	normalStep = 0.5
 	// maxChangingFraction is the fraction of a stage's servers that may change in one round.
 	maxChangingFraction = 0.34
-	// pendingMarginSeconds is added to the time that a change takes, until answers in progress have ended and the platform's
-	// list shows the change.
+	// pendingMarginSeconds is added to the time that a change takes. It covers the end of answers in progress and the delay until
+	// the platform's list shows the change.
 	pendingMarginSeconds = 10
-	// minRoundIntervalSeconds is the time between two rounds of changes of a service. Answers take seconds, so that the
-	// effect of fewer decode servers shows late.
+	// minRoundIntervalSeconds is the least time between two rounds of changes of a service. Answers take seconds, so the effect of
+	// fewer decode servers shows with a delay.
 	minRoundIntervalSeconds = 2.5
 )
 
-// Service is a service with its servers as the platform lists them.
+// Service is a service with its servers, as listed by the platform.
 type Service struct {
 	Name              string
 	SwitchSeconds     float64 // how long a change of the stage takes
-	KVTokensPerServer float64 // tokens that one server's KV cache holds, 0: unknown
+	KVTokensPerServer float64 // tokens that one server's KV cache holds; 0 if unknown
 	Instances         []message.Instance
 }
 
@@ -43,25 +44,25 @@
 	Stage    message.Stage // the new stage
 }
 
-// pendingChange is a change that was ordered and that the platform's list does not show yet.
+// pendingChange is a change that was ordered but is not shown by the platform's list yet.
 type pendingChange struct {
 	stage     message.Stage
 	expiresAt float64
 }
 
-// direction is a desired direction of change.
+// direction is the direction of the desired change and the time since when it is desired.
 type direction struct {
 	morePrefill bool
 	since       float64
 }
 
-// Planner plans the changes of stages of all services. One process runs it at a time, the lease holder of the role.
+// Planner plans the stage changes of all services. Only the holder of the lease for this role runs one.
 type Planner struct {
 	pending      map[string]pendingChange  // by instance
 	directions   map[string]direction      // by service
 	lastRoundAt  map[string]float64        // by service; when changes were last ordered
-	prefillLoads map[string]*movingAverage // by service; number of busy prefill servers
-	idleSince    map[string]float64        // by service; since when there is no demand, for services that never had any
+	prefillLoads map[string]*movingAverage // by service; average number of busy prefill servers
+	idleSince    map[string]float64        // by service that never had demand; since when proxies report no demand
 	hadDemand    map[string]bool           // by service
 }
 
@@ -71,7 +72,7 @@
 		prefillLoads: map[string]*movingAverage{}, idleSince: map[string]float64{}, hadDemand: map[string]bool{}}
 }
 
-// AdoptPending adopts the pending changes of the lease holder before, by instance, so that they are not ordered again.
+// AdoptPending takes over the pending changes of the previous lease holder, by instance, so that they are not ordered again.
 func (p *Planner) AdoptPending(now float64, changes map[string]message.Stage) {
 	for id, stage := range changes {
 		if _, known := p.pending[id]; !known {
@@ -91,11 +92,11 @@
 	return out
 }
 
-// HandleRejected withdraws a change that a server has rejected.
+// HandleRejected withdraws a pending change that a server has rejected or that could not be ordered.
 func (p *Planner) HandleRejected(change StageChange) { delete(p.pending, change.Instance.ID) }
 
-// PlanChanges returns the changes of a service to order now. They are pending from then on. The caller calls it several
-// times a second and reports changes that could not be ordered to HandleRejected.
+// PlanChanges returns the changes of a service to be ordered now. They are pending from then on. It should be called several
+// times a second. The caller must report changes that could not be ordered to HandleRejected.
 func (p *Planner) PlanChanges(now float64, service Service, demand Demand) []StageChange {
 	var prefillServers, decodeServers []message.Instance
 	slots := 0.0
@@ -123,7 +124,8 @@
 		return nil
 	}
 	p.lastRoundAt[service.Name] = now
-	// Demand shows late and a peak may pass, so only a part of the difference is moved; the rest follows if it lasts.
+	// The demand is known only with a delay and a peak may pass, so only a part of the difference is moved. The rest follows if
+	// the difference lasts.
 	step := normalStep
 	if isUrgent {
 		step = urgentStep
@@ -135,7 +137,8 @@
 	return p.chooseServers(now, service, prefillServers, decodeServers, count, message.Decode)
 }
 
-// stageOf returns the stage of a server once its pending change is complete. It drops changes that are complete or expired.
+// stageOf returns the stage that a server has or, if a change is pending, will have. It forgets changes that are complete or have
+// expired.
 func (p *Planner) stageOf(now float64, instance *message.Instance) message.Stage {
 	change, ok := p.pending[instance.ID]
 	if !ok {
@@ -148,7 +151,7 @@
 	return change.stage
 }
 
-// hasPersisted reports whether a change in one direction has been desired for long enough.
+// hasPersisted reports whether a change in the given direction has been desired for long enough.
 func (p *Planner) hasPersisted(now float64, service string, morePrefill, isUrgent bool) bool {
 	known, ok := p.directions[service]
 	if !ok || known.morePrefill != morePrefill {
@@ -161,7 +164,8 @@
 	return now-known.since >= normalDelaySeconds
 }
 
-// chooseServers chooses up to count servers to move from one stage to another, in the zones where the other one has the fewest.
+// chooseServers chooses up to count servers to move from one stage to another, preferably in the zones where the other stage has
+// the fewest servers.
 func (p *Planner) chooseServers(now float64, service Service, from, to []message.Instance, count int, stage message.Stage) (changes []StageChange) {
 	count = min(count, max(int(maxChangingFraction*float64(len(from))), 1), len(from)-min(minPerStage, len(from)))
 	perZone := map[string]int{}
@@ -185,15 +189,15 @@
 	return changes
 }
 
-// hashID returns a hash by which servers are ordered, so that those which change together are not neighbours in the subsets
-// of proxies.
+// hashID returns a hash by which servers are ordered, so that servers which change together are not neighbours in the subsets of
+// proxies, which are ordered by ID.
 func hashID(id string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(id)) // never fails
 	return hash.Sum64()
 }
 
-// pendingCount returns 1 for a server with a pending change, else 0.
+// pendingCount returns 1 for a server with a pending change, otherwise 0.
 func (p *Planner) pendingCount(now float64, instance *message.Instance) int {
 	if change, ok := p.pending[instance.ID]; ok && now <= change.expiresAt {
 		return 1
--- a/internal/decide/stages/planner_test.go
+++ b/internal/decide/stages/planner_test.go
@@ -29,7 +29,7 @@
 	return service
 }
 
-// simulate plans every 0.3 s with the same demand and executes each change at once.
+// simulate calls PlanChanges every 0.3 s with the same demand and executes each change at once.
 func simulate(p *stages.Planner, service stages.Service, demand stages.Demand, from, to float64) (changes int) {
 	for now := from; now < to; now += 0.3 {
 		for _, change := range p.PlanChanges(now, service, demand) {
@@ -56,11 +56,11 @@
 var _ = Describe("the split of servers", func() {
 	heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 
-	It("is left alone without reports", func() {
+	It("does not change without reports", func() {
 		Expect(simulate(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 	})
 
-	It("moves to the desired one and stays there", func() {
+	It("reaches the desired numbers and stays there", func() {
 		service := servers(7, 11)
 		p := stages.New()
 		Expect(simulate(p, service, heavy, 0, 30)).To(BeNumerically(">", 0))
@@ -74,7 +74,7 @@
 		Expect(countPrefill(service)).To(Equal(6))
 	})
 
-	It("moves only a part of a stage at once", func() {
+	It("changes only a part of a stage's servers at once", func() {
 		p := stages.New()
 		p.PlanChanges(0, servers(7, 11), heavy)
 		Expect(len(p.PlanChanges(1, servers(7, 11), heavy))).To(BeNumerically("<=", 4))
@@ -108,7 +108,7 @@
 		Expect(p.Pending(6)).NotTo(HaveKey(first[0].Instance.ID))
 	})
 
-	It("considers the KV cache where answers fill it before the slots", func() {
+	It("considers the KV cache if answers fill it before the slots", func() {
 		demand := stages.Demand{PrefillTokensPerSecond: 600e3, DecodeStreams: 100, KVTokens: 1.2e6}
 		Expect(stages.DesiredPrefillServers(18, 100, 300e3, demand)).To(BeNumerically("<", stages.DesiredPrefillServers(18, 100, 0, demand)))
 	})
@@ -122,27 +122,27 @@
 	})
 })
 
-// reported returns a demand with reports of the prefill load.
+// reported returns a demand that includes a report of the prefill load.
 func reported(busy, streams float64) stages.Demand {
 	return stages.Demand{PrefillTokensPerSecond: 1, DecodeStreams: streams, Reports: 1, PrefillLoad: stages.PrefillLoad{Reporting: 1, BusyServers: busy}}
 }
 
 var _ = Describe("the split with reports of the prefill load", func() {
-	It("brings both stages equally near to saturation", func() {
+	It("brings both stages equally close to saturation", func() {
 		for _, c := range []struct{ busy, streams float64 }{{6, 300}, {3, 900}, {10, 100}} {
 			service := servers(9, 9)
 			p := stages.New()
 			simulate(p, service, reported(c.busy, c.streams), 0, 60)
 			Expect(countPrefill(service)).To(BeNumerically("~", stages.BalancedPrefillServers(18, c.busy, c.streams/100), 1))
-			Expect(simulate(p, service, reported(c.busy, c.streams), 60, 120)).To(BeZero(), "then it stays")
+			Expect(simulate(p, service, reported(c.busy, c.streams), 60, 120)).To(BeZero(), "the split does not change any more")
 		}
 	})
 
-	It("is left alone at low utilization", func() {
+	It("does not change at low utilization", func() {
 		Expect(simulate(stages.New(), servers(4, 14), reported(1, 100), 0, 60)).To(BeZero())
 	})
 
-	It("changes at once near saturation, and after a while else", func() {
+	It("changes soon near saturation, and otherwise after a while", func() {
 		first := func(demand stages.Demand) (at float64) {
 			p := stages.New()
 			for now := 0.0; now < 30; now += 0.3 {
@@ -153,7 +153,7 @@
 			return 30
 		}
 		Expect(first(reported(3, 900))).To(BeNumerically("<", 1.5), "decode is saturated")
-		Expect(first(reported(6.9, 100))).To(BeNumerically("<", 1.5), "prefill is")
+		Expect(first(reported(6.9, 100))).To(BeNumerically("<", 1.5), "prefill is saturated")
 		Expect(first(reported(5, 100))).To(BeNumerically(">", 5))
 	})
 
@@ -166,7 +166,7 @@
 		}
 	})
 
-	It("moves a part of the difference at once", func() {
+	It("moves only a part of the difference in one round", func() {
 		p := stages.New()
 		p.PlanChanges(0, servers(30, 60), reported(30, 1000))
 		changes := p.PlanChanges(1, servers(30, 60), reported(30, 1000))
@@ -177,7 +177,7 @@
 })
 
 var _ = Describe("the prefill load", func() {
-	It("grows with prompts, by less and less for each server, and with backlogs", func() {
+	It("grows less than proportionally with the prompts at a server, and grows with backlogs", func() {
 		var idle, one, two, backlog stages.PrefillLoad
 		idle.Add(0, 0)
 		one.Add(1, 0)
@@ -187,21 +187,21 @@
 		Expect(one.BusyServers).To(BeNumerically(">", 0.5))
 		Expect(two.BusyServers).To(BeNumerically(">", one.BusyServers))
 		Expect(two.BusyServers).To(BeNumerically("<", 1))
-		Expect(backlog.BusyServers).To(BeNumerically(">", 1), "one server is not enough for them")
+		Expect(backlog.BusyServers).To(BeNumerically(">", 1), "a single server is not enough for the backlog")
 	})
 })
 
 var _ = Describe("a service without demand so far", func() {
 	nothing := stages.Demand{Reports: 3}
 
-	It("is split for full prefill, once", func() {
+	It("is split once, with most servers in prefill", func() {
 		service, p := servers(7, 11), stages.New()
 		Expect(simulate(p, service, nothing, 0, 30)).To(BeNumerically(">", 0))
 		Expect(countPrefill(service)).To(Equal(12))
 		Expect(simulate(p, service, nothing, 30, 60)).To(BeZero())
 	})
 
-	It("is left alone without reports, and once it had demand", func() {
+	It("is not split without reports, or after it had demand", func() {
 		Expect(simulate(stages.New(), servers(7, 11), stages.Demand{}, 0, 60)).To(BeZero())
 		p := stages.New()
 		p.PlanChanges(0, servers(7, 11), stages.Demand{PrefillTokensPerSecond: 10, DecodeStreams: 3, Reports: 3})
@@ -210,7 +210,7 @@
 })
 
 var _ = Describe("a new lease holder", func() {
-	It("adopts the pending changes of the holder before", func() {
+	It("takes over the pending changes of the previous holder", func() {
 		heavy := stages.Demand{PrefillTokensPerSecond: 900e3, DecodeStreams: 100}
 		before, service := stages.New(), servers(7, 11)
 		var ordered []stages.StageChange
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -3,29 +3,30 @@
 import "math"
 
 const (
-	// decodeTarget is the fraction of their slots and KV cache that decode servers are to use where no server reports its
-	// prefill load.
+	// decodeTarget is the fraction of their slots and KV cache that decode servers should use if no server reports its prefill
+	// load.
 	decodeTarget = 0.42
-	// prefillSaturation and decodeSaturation are the fractions of time, and of slots and KV cache, at which servers of the
-	// two stages count as equally loaded: above them waits grow fast.
+	// prefillSaturation and decodeSaturation are the utilizations at which the two stages count as equally loaded: the fraction of
+	// time that prefill servers are busy, and the fraction of slots and KV cache that decode servers use. Above them waits grow
+	// fast.
 	prefillSaturation = 0.75
 	decodeSaturation  = 0.6
-	// pressureThreshold is the utilization of a stage from which on the split is balanced, urgentThreshold the one from which
-	// on that is urgent.
+	// pressureThreshold is the utilization of a stage from which on the split is rebalanced, relative to saturation. Above
+	// urgentThreshold that is urgent.
 	pressureThreshold = 0.5
 	urgentThreshold   = 0.9
-	// minPerStage is the number of servers that each stage keeps, where there are twice as many.
+	// minPerStage is the least number of servers of each stage, if there are at least twice as many servers in total.
 	minPerStage = 2
 	// idlePrefillFraction is the fraction of prefill servers of a service that never had demand. The first prompts need full
-	// prefill, since no prefix is cached, while few answers are in progress yet; and decode servers can do prefill too.
+	// prefill, since no prefix is cached, and few answers are in progress yet; decode servers can do prefill, too.
 	idlePrefillFraction = 0.65
-	// idleDelaySeconds is how long there must have been no demand until that split is ordered.
+	// idleDelaySeconds is for how long proxies must have reported no demand before that split is ordered.
 	idleDelaySeconds = 1.5
 )
 
-// DesiredPrefillServers returns the number of n servers that are to do prefill: all that answers leave; -1 without demand for
-// prefill. It is used where no server reports its prefill load: the slots and KV cache that answers need are known, the speed
-// of prefill is not.
+// DesiredPrefillServers returns how many of n servers should do prefill: all those that answers in progress do not need. It
+// returns -1 if there is no demand for prefill. It is used if no server reports its prefill load, since then the slots and KV
+// cache that answers need are known but the speed of prefill is not.
 func DesiredPrefillServers(n int, slots, kvTokens float64, demand Demand) int {
 	if demand.PrefillTokensPerSecond < 1 || slots <= 0 {
 		return -1
@@ -34,14 +35,15 @@
 	return clampPrefillServers(n, n-int(math.Ceil(decodeServers)))
 }
 
-// BalancedPrefillServers returns the number of n servers that are to do prefill so that both stages are equally near to
-// saturation. Loads are numbers of servers.
+// BalancedPrefillServers returns how many of n servers should do prefill so that both stages are equally close to saturation.
+// Loads are given as numbers of busy servers.
 func BalancedPrefillServers(n int, prefillLoad, decodeLoad float64) int {
 	prefill, decode := prefillLoad/prefillSaturation, decodeLoad/decodeSaturation
 	return clampPrefillServers(n, int(math.Round(float64(n)*prefill/(prefill+decode))))
 }
 
-// clampPrefillServers returns the number of prefill servers nearest to the given one that leaves each stage minPerStage of n.
+// clampPrefillServers returns the number of prefill servers closest to the given one that leaves each stage at least minPerStage
+// of n servers.
 func clampPrefillServers(n, prefillServers int) int {
 	minServers := min(minPerStage, n/2)
 	return min(max(prefillServers, minServers), n-minServers)
@@ -54,8 +56,8 @@
 
 func (u utilization) highest() float64 { return max(u.prefill, u.decode) }
 
-// desiredPrefill returns the desired number of prefill servers, -1 where the split is to be left alone, and whether a change
-// is urgent.
+// desiredPrefill returns the desired number of prefill servers, or -1 if the split should not be changed, and whether a change is
+// urgent.
 func (p *Planner) desiredPrefill(now float64, service *Service, demand *Demand, slots float64, prefillServers, decodeServers int) (int, bool) {
 	n := prefillServers + decodeServers
 	if p.isIdle(now, service.Name, demand) {
@@ -79,8 +81,8 @@
 	return BalancedPrefillServers(n, prefillLoad, decodeLoad), utilized.highest() > urgentThreshold
 }
 
-// isIdle reports whether a service never had demand and proxies have been reporting that for a while. Danger: without
-// reports of proxies requests may well be in progress.
+// isIdle reports whether a service never had demand and proxies have reported that for a while. Without reports from proxies,
+// requests may be in progress, so the service does not count as idle.
 func (p *Planner) isIdle(now float64, service string, demand *Demand) bool {
 	if !demand.isZero() {
 		p.hadDemand[service] = true
