--- a/policy/actions.go
+++ b/policy/actions.go
@@ -6,7 +6,7 @@
 	// Send starts the next attempt of a request; attempts are numbered from 0. AttemptDone must follow, with TimedOut at the
 	// request's deadline at the latest.
 	Send(request, host uint32)
-	// Cancel cancels an attempt.
+	// Cancel cancels an attempt in flight. It is called only if Settings.CanCancel is set.
 	Cancel(request uint32, attempt int)
 	// Probe sends a health check. ProbeDone must follow.
 	Probe(host uint32)
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -15,7 +15,7 @@
 	retryBudgetRatio = 0.1
 	// maxRetryBudget is how many retries may be saved up.
 	maxRetryBudget = 10
-	// maxWorkSeconds is the bound from which on a hint of a request's work is ignored as implausible.
+	// Hints of a request's work of maxWorkSeconds or more are ignored as implausible.
 	maxWorkSeconds = 1e6
 	// meanWorkGain is the gain of the moving average of work hints.
 	meanWorkGain = 0.02
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -58,7 +58,7 @@
 
 	// Estimates.
 	tightestTargetSeconds float64 // the smallest latency target of all classes; +Inf without classes
-	serviceSeconds        float64 // service time of a request of mean work per request that a host holds
+	serviceSeconds        float64 // estimated seconds that each request of mean work at a host adds to the delay of a new one
 	meanWorkSeconds       float64 // moving average of WorkSeconds; 0 if no request had it
 	classMeanSeconds      []float64
 	kindFactors           kindFactors
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -36,7 +36,8 @@
 	if b.trySend(r) {
 		return
 	}
-	cannotMeetTarget := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt // not even an idle host would meet the target
+	// Not even an idle host would meet the target.
+	cannotMeetTarget := r.HasWork && b.pollsReports && b.now+hintedTimeFactor*b.serviceSeconds*r.relativeWork > r.targetAt
 	if r.isOverShare || cannotMeetTarget || b.now-r.arrivedAt >= maxHoldFraction*(r.targetAt-r.arrivedAt) {
 		b.relaxEstimates(r)
 		b.answerUnserved(r)
--- a/policy/host.go
+++ b/policy/host.go
@@ -11,18 +11,18 @@
 
 	// Failure detector.
 	gaps              []float32 // the last gaps between answers to cadence probes, in cadences
-	gapMean           float64   // of gaps
+	gapMean           float64   // mean of gaps
 	gapSigma          float64   // standard deviation of gaps
 	currentCadence    float64   // seconds; the unit in which the current silence is measured
 	nextCadence       float64   // seconds from the last cadence probe to the next
-	lastAnswerAt      float64   // last answer to a cadence probe
-	nextProbeAt       float64   // next cadence probe
+	lastAnswerAt      float64   // time of the last answer to a cadence probe
+	nextProbeAt       float64   // time of the next cadence probe
 	hasAnswered       bool      // has answered a cadence probe since it was added or restarted
 	probedAt          float64   // send time of the cadence probe in flight; 0 if none
 	polledAt          float64   // send time of the report poll in flight; 0 if none
 	phi               float64   // suspicion at the last updatePhi
 	connFailures      int       // connections refused or reset in a row
-	connFailedAt      float64   // the last of them
+	connFailedAt      float64   // time of the last of them
 	recoveryStartedAt float64   // when it answered again after an outage; its slow start begins then
 
 	// Backoff, by class.
@@ -31,11 +31,11 @@
 
 	// Load.
 	inFlight         []inFlightAttempt // in order of their sends
-	lastResponseAt   float64           // last answer to an attempt
+	lastResponseAt   float64           // time of the last answer to an attempt
 	reportedLoad     float64           // requests that it held according to the last load report
 	reportSentAt     float64           // send time of the probe that brought the report; 0: no report yet
 	latencyRatio     float64           // moving average of actual delays divided by expected ones
-	latencyRatioAt   float64           // last change of latencyRatio
+	latencyRatioAt   float64           // time of the last change of latencyRatio
 	queueSeconds     float64           // queue delay as of queueMeasuredAt, where reports are absent
 	queueMeasuredAt  float64
 	concurrencyLimit float64 // limit of own attempts in flight, where reports are absent
--- a/policy/idleconn.go
+++ b/policy/idleconn.go
@@ -1,7 +1,7 @@
 package policy
 
 const (
-	// idleDistrustSeconds is for how long after such losses idle connections are closed before each send.
+	// idleDistrustSeconds is for how long idle connections are closed before each send, after attempts on some were lost.
 	idleDistrustSeconds = 30.0
 	// minIdleSeconds is the shortest idle time with which a loss counts as one on an idle connection.
 	minIdleSeconds = 0.2
--- a/policy/membergroups.go
+++ b/policy/membergroups.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// relativeSize returns a host's size relative to the mean one, at most 1, and 1 if it is not known. Only a smaller host's load is
-// adjusted.
+// relativeSize returns a host's size relative to the mean one, at most 1, and 1 if the sizes can't be compared: the slow start
+// budget is reduced for smaller hosts but not raised for larger ones.
 func (s *memberGroups) relativeSize(h *host) float64 {
 	if s.meanSize <= 0 || h.Size <= 0 {
 		return 1
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -127,7 +127,7 @@
 // slow answer cuts the limit, at most once within the delay that counts as slow; a fast answer raises it if it is nearly used up.
 // mean is the mean delay of the answer's class.
 func (b *Balancer) adaptLimit(h *host, mean, delaySeconds float64) {
-	targetSeconds := math.Inf(1) // longest delay in this class with which the class with the tightest target still meets it
+	targetSeconds := math.Inf(1) // delay in this class that corresponds to a class reaching its target, the smallest over all classes
 	for i, otherMean := range b.classMeanSeconds {
 		targetSeconds = min(targetSeconds, b.settings.Classes[i].LatencyTargetSeconds*mean/otherMean)
 	}
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -8,8 +8,8 @@
 const (
 	// probeIntervalSeconds is the shortest interval (cadence) of the probes that feed the failure detector.
 	probeIntervalSeconds = 1.0
-	// probingProxies is the number of proxies up to which the cadence is not lengthened much; beyond it, the cadence grows by a
-	// second for every two proxies that probe the same host.
+	// probingProxies is the number of proxies that may probe a host without lengthening the cadence. With more proxies, the
+	// cadence is at least half a second for each additional one, within the limits of probeCadence.
 	probingProxies = 4.0
 	// probeJitterFraction is the largest random deviation of a probe's time in both directions, as a fraction of the cadence.
 	probeJitterFraction = 0.1
--- a/policy/report.go
+++ b/policy/report.go
@@ -6,7 +6,7 @@
 	pollSampleSize = 4
 	// pollTimeoutRTTs is the timeout of a poll in units of the usual probe delay.
 	pollTimeoutRTTs = 4.0
-	// maxReportedLoad is the bound from which on a reported load is ignored as implausible.
+	// Reported loads of maxReportedLoad or more are ignored as implausible.
 	maxReportedLoad = 1e6
 )
 
--- a/policy/simulatedfleet_test.go
+++ b/policy/simulatedfleet_test.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// The more a probe costs, the fewer probes there are for each request, for any number of proxies.
+// The number of probes at a host stays about constant while the number of proxies grows, and the more a probe costs, the fewer
+// probes there are for each request.
 func TestProbeRateFollowsPrice(t *testing.T) {
 	for _, c := range []struct {
 		price, most float64 // probes for each request
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// slowStartBudgetFraction is the part of the work that would overload a warming host which all proxies together may send to
-	// it. A lower value is safer, but hosts then warm up with less traffic.
+	// slowStartBudgetFraction is a fraction of the work that would overload a warming host: all proxies together may send it that
+	// much. A lower value is safer, but hosts then warm up with less traffic.
 	slowStartBudgetFraction = 0.35
 	// minWarmFraction is the least fraction of the members that is assumed to be warm. It keeps the budget small while most
 	// members warm up.
