--- a/internal/decide/admission/client.go
+++ b/internal/decide/admission/client.go
@@ -19,8 +19,8 @@
 	// maxRememberedClients is how many scores are remembered. The 2Q cache evicts addresses that were seen once before those that
 	// come back, so a flood from many addresses with one request each does not evict regular clients.
 	maxRememberedClients = 4096
-	// A client exceeds its fair share of active connections from fairShareMultiple times the mean of the other clients plus
-	// fairShareAllowance on.
+	// A client exceeds its fair share if its number of active connections reaches fairShareMultiple times the mean of the other
+	// clients, plus fairShareAllowance.
 	fairShareMultiple  = 2.0
 	fairShareAllowance = 4.0
 )
@@ -73,7 +73,8 @@
 	return shown, len(list)
 }
 
-// RecordServed records that a request of a connection was served completely. After knownScore such requests the client is known.
+// RecordServed records that a request of a connection was served completely. The client is known once its score reaches
+// knownScore.
 func (t *ConnTable) RecordServed(conn *Conn) {
 	score, _ := t.scores.Get(conn.client.addr)
 	t.setScore(conn.client, min(score+1, maxScore))
--- a/internal/decide/admission/eviction.go
+++ b/internal/decide/admission/eviction.go
@@ -11,8 +11,8 @@
 	lightClientGraceSeconds = 1.0
 )
 
-// minCrowdedGroupWeight is the weight of a group from which on any of its connections without a request in flight can be closed
-// for a client of a lighter group, even within the grace period.
+// minCrowdedGroupWeight is the least weight of a crowded group. Any connection of such a group without a request in flight can be
+// closed for a client of a lighter group, even within the grace period.
 const minCrowdedGroupWeight = 4.0
 
 // VictimFor returns the connection to be closed for a new one that was not admitted. It returns nil if the new one must be
--- a/internal/decide/placement/cost.go
+++ b/internal/decide/placement/cost.go
@@ -23,8 +23,8 @@
 	// interferencePenalty is the additional cost of a prefill for each answer in progress at the same server, as a fraction of the
 	// prefill's cost.
 	interferencePenalty = 0.5
-	// gapPenaltyStart is the duration of a prefill, as a fraction of the gap target, from which on it counts as delaying the
-	// answers at the same server.
+	// gapPenaltyStart is a fraction of the gap target. A prefill that takes longer counts as delaying the answers at the same
+	// server.
 	gapPenaltyStart = 0.5
 	// transferSetupSeconds is the fixed part of the duration of a KV cache transfer.
 	transferSetupSeconds = 0.004
--- a/internal/decide/placement/pace.go
+++ b/internal/decide/placement/pace.go
@@ -11,8 +11,8 @@
 	// tokenScale scales the number of tokens in the regression. minSecondsPerToken is the lower bound of its result.
 	tokenScale         = 10_000
 	minSecondsPerToken = 1e-7
-	// decodeSpeedFraction is the assumed prefill speed of a decode server, as a fraction of that of a prefill server, before any
-	// prefill has been measured.
+	// decodeSpeedFraction is the assumed prefill speed of a decode server before any was measured, as a fraction of that of a
+	// prefill server.
 	decodeSpeedFraction = 0.5
 )
 
--- a/internal/decide/placement/pick.go
+++ b/internal/decide/placement/pick.go
@@ -60,8 +60,8 @@
 	return first
 }
 
-// fallbackServers returns servers to use if there are no candidates: usable ones outside the subset or, if there are none, the member
-// whose ejection ends first.
+// fallbackServers returns servers to use if there are no candidates: usable ones outside the subset or, if there are none, the
+// member whose ejection ends first.
 func (p *Pool) fallbackServers(now float64, stage message.Stage, excluded []*Endpoint) []*Endpoint {
 	if outside := p.outsideSubset(now, stage, excluded); len(outside) > 0 {
 		return outside
--- a/internal/decide/placement/planner_test.go
+++ b/internal/decide/placement/planner_test.go
@@ -163,5 +163,5 @@
 
 	DescribeTable("is made from the chunks that a client sends", func(field string, want int) {
 		Expect(ParseChunks(field)).To(HaveLen(want))
-	}, Entry("three chunks", "5c1e07a2:800,91bd3f06:410, e4402b7d:250", 3), Entry("none", "", 0), Entry("no size", "aa,bb:0,cc:-4,dd:x", 0))
+	}, Entry("three chunks", "5c1e07a2:800,91bd3f06:410, e4402b7d:250", 3), Entry("no chunks", "", 0), Entry("no valid sizes", "aa,bb:0,cc:-4,dd:x", 0))
 })
--- a/internal/decide/placement/retry_budget.go
+++ b/internal/decide/placement/retry_budget.go
@@ -9,8 +9,8 @@
 	minAssumedProxies = 4
 )
 
-// RetryBudget limits the retries that a proxy sends to a service in a sliding window to a ratio of its requests plus a share of
-// the fleet's slack. The budgets of all proxies together do not exceed the limit for the fleet.
+// RetryBudget limits the retries that a proxy sends to a service. In a sliding window they may not exceed a ratio of its requests
+// plus a share of the fleet's slack. The budgets of all proxies together do not exceed the limit for the fleet.
 type RetryBudget struct {
 	WindowSeconds float64
 	Ratio         float64
--- a/internal/decide/placement/subset_test.go
+++ b/internal/decide/placement/subset_test.go
@@ -21,7 +21,7 @@
 			fewest, most = min(fewest, count), max(most, count)
 		}
 		Expect(most - fewest).To(BeNumerically("<=", 2))
-	}, Entry("few servers", 3, 9), Entry("as many", 20, 20), Entry("many servers", 300, 20), Entry("many proxies", 40, 300))
+	}, Entry("few servers", 3, 9), Entry("as many servers as proxies", 20, 20), Entry("many servers", 300, 20), Entry("many proxies", 40, 300))
 })
 
 var _ = Describe("the connections of all proxies", func() {
--- a/internal/decide/stages/split.go
+++ b/internal/decide/stages/split.go
@@ -11,7 +11,7 @@
 	// fast.
 	prefillSaturation = 0.75
 	decodeSaturation  = 0.6
-	// pressureThreshold is the utilization of a stage from which on the split is rebalanced, relative to saturation. Above
+	// The split is rebalanced if the utilization of a stage, relative to its saturation, reaches pressureThreshold. Above
 	// urgentThreshold that is urgent.
 	pressureThreshold = 0.5
 	urgentThreshold   = 0.9
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -120,7 +120,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawServers(t, 1, 100)
 		order := RingOrder(list)
-		count, configured := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "reported")
+		count, configured := rapid.IntRange(-1, 1<<40).Draw(t, "count"), rapid.IntRange(1, 300).Draw(t, "configured")
 		need := rapid.Float64Range(0, 40).Draw(t, "need")
 		size, own := Size(len(list), count, configured, need), Size(len(list), configured, configured, need)
 		require.GreaterOrEqual(t, 2*size, own)
