--- a/internal/decide/placement/pace.go
+++ b/internal/decide/placement/pace.go
@@ -3,47 +3,47 @@
 import "hazelwheel/internal/message"
 
 const (
-	// initialTokensPerSecond is the speed of prefill that is assumed before any was measured.
+	// initialTokensPerSecond is the assumed prefill speed before any prefill has been measured.
 	initialTokensPerSecond = 60_000.0
-	// fastLearningRate and slowLearningRate are the weights of a prefill that was faster or slower than expected.
+	// fastLearningRate and slowLearningRate are the weights of prefills that were faster or slower than expected, respectively.
 	fastLearningRate = 0.15
 	slowLearningRate = 0.03
-	// tokenScale scales the number of tokens in the regression, minSecondsPerToken bounds its result.
+	// tokenScale scales the number of tokens in the regression. minSecondsPerToken is the lower bound of its result.
 	tokenScale         = 10_000
 	minSecondsPerToken = 1e-7
-	// decodeServerPace is the speed of prefill at a decode server as a fraction of that at a prefill server, until both were
-	// measured.
-	decodeServerPace = 0.5
+	// decodeSpeedFraction is the assumed prefill speed of a decode server before any was measured, as a fraction of that of a
+	// prefill server.
+	decodeSpeedFraction = 0.5
 )
 
-// stagePaces holds the measured speed of prefill at the servers of each stage.
-type stagePaces struct {
-	prefill, decode prefillPace
+// stageSpeeds holds the measured prefill speed of the servers of each stage.
+type stageSpeeds struct {
+	prefill, decode prefillModel
 }
 
-// newStagePaces returns the assumed speeds.
-func newStagePaces() stagePaces {
-	return stagePaces{prefill: prefillPace{secondsPerToken: 1 / initialTokensPerSecond},
-		decode: prefillPace{secondsPerToken: 1 / (initialTokensPerSecond * decodeServerPace)}}
+// newStageSpeeds returns the speeds that are assumed initially.
+func newStageSpeeds() stageSpeeds {
+	return stageSpeeds{prefill: prefillModel{secondsPerToken: 1 / initialTokensPerSecond},
+		decode: prefillModel{secondsPerToken: 1 / (initialTokensPerSecond * decodeSpeedFraction)}}
 }
 
-// forStage returns the speed at servers of a stage.
-func (p *stagePaces) forStage(stage message.Stage) *prefillPace {
+// forStage returns the prefill speed of the servers of a stage.
+func (p *stageSpeeds) forStage(stage message.Stage) *prefillModel {
 	if stage == message.Prefill {
 		return &p.prefill
 	}
 	return &p.decode
 }
 
-// prefillPace is the speed of prefill at a server that does nothing else: a latency and a time for each token. It is fitted to
-// fast prefills, since the duration of one that had to wait says little.
-type prefillPace struct {
+// prefillModel is a linear model of the duration of a prefill at a server without other work: a fixed latency plus a time for each
+// token. It is fitted mainly to fast prefills, since the duration of one that had to wait says little about speed.
+type prefillModel struct {
 	latencySeconds  float64
 	secondsPerToken float64
 }
 
-// observe adds a measured prefill by a step of a regression that weighs fast ones more.
-func (p *prefillPace) observe(tokens, seconds float64) {
+// observe updates the model by a measured prefill: a step of a regression that gives fast prefills more weight.
+func (p *prefillModel) observe(tokens, seconds float64) {
 	x := tokens / tokenScale
 	deviation := seconds - p.latencySeconds - tokens*p.secondsPerToken
 	step := slowLearningRate
