--- a/internal/decide/lease/candidates.go
+++ b/internal/decide/lease/candidates.go
@@ -7,14 +7,14 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Times and bounds of offers, in seconds where nothing else is said.
+// Times and bounds of offers.
 const (
-	bidValidSeconds         = 3.0  // a bid is valid
-	bestBidWaitSeconds      = 0.1  // for the best candidate's bid, before another bidder is chosen
-	offerTimeoutSeconds     = 0.3  // for replies to an offer, before other candidates get it
-	declineExclusionSeconds = 30.0 // after it declined or was asked to step down
-	silentExclusionSeconds  = 2.0  // after it did not reply to an offer
-	maxOffers               = 3    // candidates that are offered a role at a time
+	bidValidSeconds         = 3.0  // how long a bid counts
+	bestBidWaitSeconds      = 0.1  // how long the best candidate's bid is waited for before another bidder is chosen
+	offerTimeoutSeconds     = 0.3  // how long replies to an offer are waited for before other candidates get it
+	declineExclusionSeconds = 30.0 // how long a member is excluded after it declined a role or was asked to step down
+	silentExclusionSeconds  = 2.0  // how long a member is excluded after it did not reply to an offer
+	maxOffers               = 3    // how many candidates are offered a role at a time
 )
 
 // bid is a member's offer to take roles.
@@ -25,14 +25,14 @@
 	receivedAt float64
 }
 
-// exclusion keeps a member from being granted a role for a while. An empty role excludes it from becoming a voter.
+// exclusion keeps a member from being granted a role until a time. With an empty role it keeps the member from becoming a voter.
 type exclusion struct {
 	role  string
 	id    swim.ID
 	until float64
 }
 
-// recordBid keeps a member's bid. Bids of one process add up while they are valid.
+// recordBid stores a member's bid. While an earlier bid of the same process is valid, the roles of both count.
 func (n *Node) recordBid(from swim.ID, m *Message) {
 	for _, role := range m.Bids {
 		n.roleFor(role)
@@ -54,15 +54,16 @@
 	b.receivedAt, b.bootID = n.now, m.BootID
 }
 
-// withdrawBid drops a member's bid for a role that it has just released. Danger: a process that restarted between its bid and the
-// grant releases what its predecessor was granted, and would be granted the role again and again by that bid.
+// withdrawBid drops a member's bid for a role that it has just released. Otherwise a process that restarted between its bid and the
+// grant would release the grant, which names the boot ID of the process before it, and get the role again by the same bid, over
+// and over.
 func (n *Node) withdrawBid(from swim.ID, role string) {
 	if i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
 		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == role })
 	}
 }
 
-// bidBootID returns the boot ID of a member that has bid for a role, 0 if it has no valid bid.
+// bidBootID returns the boot ID that came with a member's bid for a role, 0 if it has no valid bid.
 func (n *Node) bidBootID(id swim.ID, role string) uint64 {
 	if id == n.self {
 		if n.canHold(role) {
@@ -113,7 +114,7 @@
 	return ids
 }
 
-// candidateHash mixes a role and a member into a number that is the same on all members.
+// candidateHash hashes a role and a member's ID. The result is the same on all members.
 func candidateHash(role string, id swim.ID) uint64 {
 	x := uint64(id)
 	for _, b := range []byte(role) {
@@ -124,8 +125,8 @@
 	return x ^ x>>31
 }
 
-// chooseHolder returns the next holder of a vacant role and its boot ID, 0 until one has bid. The best candidate is waited for a
-// little before another bidder is chosen.
+// chooseHolder returns the next holder of a role and its boot ID, or zeros until a candidate has bid. It waits bestBidWaitSeconds
+// for the best candidate's bid before it chooses another bidder.
 func (n *Node) chooseHolder(state *roleState, commands []command) (swim.ID, uint64) {
 	ranked := n.rankCandidates(state, commands)
 	if len(ranked) == 0 {
@@ -147,10 +148,11 @@
 	return 0, 0
 }
 
-// solicitBids offers a role whose lease may soon expire, so that bids are there by then.
+// solicitBids offers a role whose lease may soon expire, so that bids have come in by then.
 func (n *Node) solicitBids(state *roleState) { n.offerRole(state, n.rankCandidates(state, nil)) }
 
-// offerRole offers a role to the best candidates, a few at a time. Candidates that did not reply to the last offer are excluded.
+// offerRole offers a role to the best candidates, maxOffers at a time. Candidates that did not bid after the last offer are excluded
+// for silentExclusionSeconds.
 func (n *Node) offerRole(state *roleState, ranked []swim.ID) {
 	switch {
 	case state.offered != nil && n.now-state.offeredAt < offerTimeoutSeconds:
@@ -176,7 +178,7 @@
 	n.dueAt = min(n.dueAt, n.now+bestBidWaitSeconds)
 }
 
-// resendOffers repeats offers to a member that a new link leads to, since the first may have been lost.
+// resendOffers repeats offers to a member once a link to it is up, since the first may have been lost without a link.
 func (n *Node) resendOffers(id swim.ID) {
 	if !n.isLeaderReady() {
 		return
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Fence holds the highest fencing token seen of each role, by which a receiver rejects what a former lease holder still sends. The
-// zero value has seen none. It is not safe for concurrent use.
+// Fence holds the highest fencing token seen of each role. A receiver uses it to reject what a former lease holder still sends. The
+// zero value has seen no token. It is not safe for concurrent use.
 type Fence struct {
 	seen []Grant // sorted by role; without holders
 }
 
-// maxRoles bounds the roles that a Fence or a leader keeps. Danger: their names come from other processes.
+// maxRoles bounds the roles that a Fence or a leader keeps, since their names come from other processes.
 const maxRoles = 256
 
 // maxRoleNameBytes bounds the name of a role that the leader keeps.
@@ -33,7 +33,7 @@
 // Highest returns the highest token of each role, sorted by role. The caller must not change it.
 func (f *Fence) Highest() []Grant { return f.seen }
 
-// Restore adds the tokens that an earlier process had seen. Those that are lower than what was seen since change nothing.
+// Restore adds the tokens that an earlier process had seen. Tokens lower than those seen since change nothing.
 func (f *Fence) Restore(seen []Grant) {
 	for _, s := range seen {
 		f.Admit(s.Role, s.Token)
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// FoundingStep is what a Founding message says. The numbers are the wire form.
+// FoundingStep is the kind of a Founding message. The numbers are the wire form.
 type FoundingStep uint8
 
 // The steps of the founding.
@@ -30,9 +30,9 @@
 
 // Times of the founding, in seconds.
 const (
-	foundingCheckIntervalSeconds = 0.5  // between two checks whether all initial voters are alive
-	foundingRetrySeconds         = 2.0  // least time between two proposals; up to as much again is added at random
-	groupGoneSeconds             = 60.0 // all voters of a known group must be gone for as long before another is founded
+	foundingCheckIntervalSeconds = 0.5  // time between two checks whether all initial voters are alive
+	foundingRetrySeconds         = 2.0  // minimum time between two proposals; a random time of up to as much is added
+	groupGoneSeconds             = 60.0 // how long all voters of a known group must be gone before another group is founded
 	maxInitialVoters             = 7
 )
 
@@ -49,7 +49,7 @@
 	return ids
 }
 
-// tickFounding proposes a founding once all initial voters are alive and none belongs to a group.
+// tickFounding proposes a founding once all initial voters are alive and no known group may still have a live voter.
 func (n *Node) tickFounding() {
 	index := slices.Index(n.settings.InitialVoters, n.settings.Address)
 	if index < 0 || n.founding != nil || n.persistFailed || n.leaving || n.now < n.foundingDueAt {
@@ -60,7 +60,7 @@
 		return
 	}
 	n.foundingDueAt = n.now + foundingRetrySeconds*(1+n.rng.Float64())
-	// Danger: a member that lost its state must never propose another value under a ballot that it has used before.
+	// The random bits of the ballot keep a member that lost its state from proposing another value under a ballot that it used before.
 	n.ballotRound = max(n.ballotRound, n.promisedBallot>>32) + 1
 	ballot := n.ballotRound<<32 | uint64(n.rng.Uint32()>>8)<<8 | uint64(index)
 	n.proposal = &proposal{ballot: ballot, promises: make([]*Founding, len(ids)), accepted: make([]bool, len(ids))}
@@ -69,7 +69,7 @@
 	}
 }
 
-// hasNoLiveGroup reports that no group is known whose voters may still be alive.
+// hasNoLiveGroup reports whether no known group has a voter that may still be alive.
 func (n *Node) hasNoLiveGroup() bool {
 	if n.table.Epoch == 0 {
 		return true
@@ -85,7 +85,7 @@
 	return true
 }
 
-// handleFounding handles one message of the founding. Replies that promise something wait until the promise is on disk.
+// handleFounding handles one message of the founding. Replies wait until the state that they depend on is on disk.
 func (n *Node) handleFounding(from swim.ID, f *Founding) {
 	if len(f.Voters) > maxInitialVoters {
 		return
@@ -105,8 +105,8 @@
 	}
 }
 
-// handleBallot is the acceptor of the founding: it promises or accepts a ballot unless a higher one was promised. A member of a group
-// replies with its founding instead.
+// handleBallot is the Paxos acceptor of the founding: it promises or accepts a ballot unless it has promised a higher one. A member
+// that belongs to a group replies with that group's founding instead.
 func (n *Node) handleBallot(f *Founding, reply func(*Founding)) {
 	if slices.Index(n.settings.InitialVoters, n.settings.Address) < 0 || n.persistFailed {
 		return
@@ -171,7 +171,7 @@
 	}
 }
 
-// handleChosen records that a group is founded, and joins it where this member is one of its voters.
+// handleChosen records that a group is founded, and joins it if this member is one of its voters.
 func (n *Node) handleChosen(f *Founding) {
 	if f.Epoch < n.highestEpoch || f.Epoch == 0 || n.founding != nil && n.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -7,21 +7,21 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Times of leases, in seconds. Danger: clocks may run up to 5 % fast or slow. A holder counts holderLeaseFraction of the lease by
-// its own clock from when it sent the renewal; the leader waits for the whole lease by its own clock from when it confirmed it.
-// Safe as long as holderLeaseFraction / 0.95 < 1 / 1.05.
+// Times of leases, in seconds. The holder's lease must end before the leader's, although either clock may run up to 5 % fast or
+// slow. The holder counts holderLeaseFraction of leaseSeconds from when it sent the renewal, the leader all of leaseSeconds from
+// when it confirmed it, each by its own clock. That is safe as long as holderLeaseFraction / 0.95 < 1 / 1.05.
 const (
 	leaseSeconds         = 1.5
 	holderLeaseFraction  = 0.85
 	renewIntervalSeconds = 0.35
-	bidIntervalSeconds   = 1.0 // least time between two bids for roles that have no grant
-	maxPendingRenewals   = 8   // renewals without a reply that are remembered
+	bidIntervalSeconds   = 1.0 // minimum time between two bids for roles that have no grant
+	maxPendingRenewals   = 8   // how many of the last renewals are remembered, to match replies
 )
 
 // heldLease is a grant to this member that has not ended.
 type heldLease struct {
 	Grant
-	expiresAt float64 // by this member's clock; -Inf: it has not started
+	expiresAt float64 // by this member's clock; -Inf until the first renewal is confirmed
 	started   bool    // LeaseStarted was called
 
 	recordVersion uint64 // of record
@@ -31,7 +31,7 @@
 // holderState is the part of a Node that holds leases.
 type holderState struct {
 	leases                []*heldLease // by role
-	ended                 []Grant      // grants that this process has ended or never accepted, until the table assigns them anew
+	ended                 []Grant      // grants that this process has ended or never accepted, until the table shows a successor
 	pendingRenewals       []sentRenewal
 	renewalNumber         uint64
 	renewDueAt            float64
@@ -39,7 +39,7 @@
 	bidDueAt              float64
 	declinedRoles         []string // sorted
 	leaving               bool
-	leadershipTransferred bool // or given up on
+	leadershipTransferred bool // or the transfer was given up
 	leavingSince          float64
 }
 
@@ -109,7 +109,7 @@
 	return slices.ContainsFunc(n.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
 }
 
-// canHold reports whether this member takes a role now.
+// canHold reports whether this member accepts a role now.
 func (n *Node) canHold(role string) bool {
 	return !n.leaving && slices.Contains(n.settings.Roles, role) && !slices.Contains(n.declinedRoles, role)
 }
@@ -130,7 +130,8 @@
 	}
 }
 
-// release reports to the leader that nothing is done under a grant any more, again and again until the table shows it.
+// release tells the leader that this member no longer acts under a grant. The report is repeated with the renewals until the table
+// shows that the grant is replaced.
 func (n *Node) release(g Grant) {
 	if n.retired {
 		return
@@ -142,8 +143,8 @@
 	n.renewDueAt = min(n.renewDueAt, n.now+renewIntervalSeconds)
 }
 
-// expireLeases ends leases that have run out. Danger: the process may have stood still since the last call, so each call into the
-// Node does this first.
+// expireLeases ends leases that have expired. Each call into the Node does this first, since the process may have been paused since
+// the last call.
 func (n *Node) expireLeases() {
 	for _, held := range slices.Clone(n.leases) {
 		if held.started && n.now >= held.expiresAt {
@@ -175,7 +176,7 @@
 	}
 }
 
-// SetWilling sets whether this member takes a role. A lease that it has for a role that it no longer takes ends at once.
+// SetWilling sets whether this member accepts a role. If it no longer does, a lease that it has for the role ends at once.
 func (n *Node) SetWilling(now float64, role string, willing bool) {
 	n.advanceTo(now)
 	i, isDeclined := slices.BinarySearch(n.declinedRoles, role)
@@ -192,14 +193,14 @@
 	n.finishCall()
 }
 
-// sendDeclined tells the leader which roles this member does not take.
+// sendDeclined tells the leader which roles this member does not accept.
 func (n *Node) sendDeclined(roles []string) {
 	if n.table.Leader != 0 && len(roles) > 0 {
 		n.send(n.table.Leader, &Message{Declined: roles})
 	}
 }
 
-// handleOffer replies which of the offered roles this member would take.
+// handleOffer replies which of the offered roles this member accepts.
 func (n *Node) handleOffer(from swim.ID, roles []string) {
 	var bids, declined []string
 	for _, role := range roles {
@@ -212,8 +213,8 @@
 	n.send(from, &Message{Bids: bids, Declined: declined, BootID: n.bootID})
 }
 
-// RequestStepDown asks the leader, on behalf of an operator, to move a role to another member. Nothing reports a request that is
-// lost.
+// RequestStepDown asks the leader, on behalf of an operator, to move a role to another member. The request may be lost without a
+// report.
 func (n *Node) RequestStepDown(now float64, role string) {
 	n.advanceTo(now)
 	if !n.retired && n.table.Leader != 0 {
@@ -254,7 +255,7 @@
 
 // The reasons of Actions.LeaseEnded.
 const (
-	// ReasonNotRenewed: the leader has not confirmed the lease in time. The role need not have been granted to another member.
+	// ReasonNotRenewed: the leader has not confirmed the lease in time. The role may or may not have been granted to another member.
 	ReasonNotRenewed       EndReason = "lease not renewed in time"
 	ReasonGrantedElsewhere EndReason = "role granted to another member"
 	ReasonDeclined         EndReason = "role declined by this member"
--- a/internal/decide/lease/leader.go
+++ b/internal/decide/lease/leader.go
@@ -10,22 +10,22 @@
 
 // Times after which a leader acts on a lease, in seconds.
 const (
-	renewalOverdueSeconds = 0.75 // since the last renewal: bids are asked for ahead of the lease's expiry
-	vacateSeconds         = 0.3  // a released role without a bidder, before it is recorded as vacant
+	renewalOverdueSeconds = 0.75 // after the last renewal, bids are solicited ahead of the lease's expiry
+	vacateSeconds         = 0.3  // how long a released role may lack a bidder before it is recorded as vacant
 )
 
-// leaderState is the part of a Node that is the voters' leader. It is reset with each change of leadership.
+// leaderState is the part of a Node that acts as the voters' leader. It is reset with each change of leadership.
 type leaderState struct {
-	leadingSince       float64      // leases that an earlier leader confirmed expire within leaseSeconds of it
+	leadingSince       float64      // leases that an earlier leader confirmed expire within leaseSeconds of this time
 	roles              []*roleState // sorted by role
 	bids               []bid        // sorted by member
 	waitingRenewals    []waitingRenewal
 	lastQuorumRead     uint64 // number of the last quorum read
 	quorumReadInFlight bool
 	exclusions         []exclusion
-	changedAt          float64 // of the last grant, or the last change of how many members are alive
+	changedAt          float64 // when the last grant was applied, or the number of live members last changed
 	liveMembers        int     // at the last tick
-	dueAt              float64
+	dueAt              float64 // when tickLeader is due
 	transferDueAt      float64 // of the next attempt to transfer leadership
 	transferAttempts   int     // so far
 
@@ -37,16 +37,16 @@
 type roleState struct {
 	role              string
 	renewedAt         float64 // of the last confirmed renewal or applied command
-	releasedToken     uint64  // of a grant that its holder has released; 0: none
+	releasedToken     uint64  // of the grant that its holder has released; 0: none
 	releasedAt        float64
 	writingVersion    uint64 // of the record that is in the log and not applied yet; 0: none
-	hasPendingCommand bool   // in the log and not applied yet
+	hasPendingCommand bool   // a command for the grant is in the log and not applied yet
 	offeredAt         float64
 	offered           []swim.ID // to whom the role was offered last
 	moveRequestedAt   float64   // when rebalancing last asked the holder to step down
 }
 
-// leadershipChanged resets the leader's state when this member has become leader, or no longer is.
+// leadershipChanged resets the leader's state when this member has become leader or has stopped leading.
 func (n *Node) leadershipChanged(leads bool) {
 	n.leaderState = leaderState{leadingSince: n.now, changedAt: n.now, dueAt: n.now}
 	if leads {
@@ -59,7 +59,7 @@
 	}
 }
 
-// isLeaderReady reports whether this member leads and has applied an entry of its own term, so that its state is complete.
+// isLeaderReady reports whether this member leads and has applied an entry of its own term, and so all that was committed before.
 func (n *Node) isLeaderReady() bool {
 	g := n.group
 	return g != nil && g.isLeader && !n.retired && g.appliedTerm == g.term && !n.persistFailed
@@ -94,7 +94,7 @@
 	}
 }
 
-// handleAsLeader handles the parts of a message that only a leader can. Other voters reply with their table, which names the
+// handleAsLeader handles the parts of a message that are meant for the leader. Other voters reply with their table, which names the
 // leader.
 func (n *Node) handleAsLeader(from swim.ID, m *Message) {
 	if m.RenewRequest == nil && m.Released == nil && m.Declined == nil && m.Bids == nil && m.StepDown == "" && m.WriteRecord == nil {
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -8,14 +8,14 @@
 
 // Times of leaving, in seconds.
 const (
-	releaseTimeoutSeconds  = 1.0  // for released grants to be assigned anew, before leadership is transferred
-	transferTimeoutSeconds = 2.0  // since the start of leaving, before the transfer is given up
-	transferRetrySeconds   = 0.3  // for a voter to become leader, before another is tried
-	releaseCheckSeconds    = 0.02 // between two checks whether the grants are assigned anew
-	transferCheckSeconds   = 0.05 // between two checks whether another leads
+	releaseTimeoutSeconds  = 1.0  // how long released grants may take to be replaced before leadership is transferred all the same
+	transferTimeoutSeconds = 2.0  // from the start of leaving until the transfer is given up
+	transferRetrySeconds   = 0.3  // how long a voter may take to become leader before another is tried
+	releaseCheckSeconds    = 0.02 // time between two checks whether the released grants are replaced
+	transferCheckSeconds   = 0.05 // time between two checks whether another voter leads
 )
 
-// tickLeaving transfers leadership once the grants that this member released are assigned anew.
+// tickLeaving transfers leadership once the grants that this member released are replaced.
 func (n *Node) tickLeaving() {
 	if !n.leaving || n.leadershipTransferred {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// transferLeadership asks Raft to transfer leadership to a live voter, each time to another.
+// transferLeadership asks Raft to transfer leadership to a live voter, to the next one with each attempt.
 func (n *Node) transferLeadership() {
 	var live []uint64
 	for _, id := range n.group.confState.GetVoters() {
@@ -51,8 +51,8 @@
 	}
 }
 
-// Leave ends all leases, releases their grants and, once leadership is transferred, stops taking part as a voter. The caller goes
-// on to call the Node until HasLeft.
+// Leave ends all leases and releases their grants. Once leadership is transferred, the member stops taking part as a voter. The
+// caller goes on calling the Node until HasLeft.
 func (n *Node) Leave(now float64) {
 	n.advanceTo(now)
 	if !n.leaving && !n.retired {
@@ -63,7 +63,7 @@
 	n.finishCall()
 }
 
-// HasLeft reports whether all released grants are assigned anew and another member leads, so that the process may end.
+// HasLeft reports whether all released grants are replaced and another member leads, so that the process may end.
 func (n *Node) HasLeft() bool {
 	return n.retired || n.leaving && len(n.leases) == 0 && n.leadershipTransferred && !slices.ContainsFunc(n.ended, n.isOurs)
 }
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -7,19 +7,19 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Writer is a process that wrote persisted states of its member, from FirstSerial up to that of the next Writer.
+// Writer is a process that wrote persisted states of its member, from FirstSerial until the FirstSerial of the next Writer.
 type Writer struct {
 	ID          uint32 `msgpack:"l"`
 	FirstSerial uint64 `msgpack:"f"`
 }
 
-// lineage lists the writers that a state descends from, oldest first. Danger: a state written on top of an old copy has the serial
-// of one that it replaces, so a serial alone does not identify it.
+// lineage lists the writers of the states that a state descends from, oldest first. A serial alone does not identify a state: one
+// that is written after a restart on an old copy repeats a serial that was used before.
 type lineage []Writer
 
 const (
-	maxWriters             = 8   // in a lineage; older states are known by their serial alone
-	lineageIntervalSeconds = 1.0 // between two messages to a member that carry the lineage
+	maxWriters             = 8   // in a lineage; older states are identified by their serial alone
+	lineageIntervalSeconds = 1.0 // time between two messages to a member that carry the lineage
 )
 
 // writerOf returns the writer of the state with a serial, 0 if it is not known.
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// extended returns the lineage of a state that a writer writes next.
+// extended returns the lineage of the next state, which a writer writes under a serial.
 func (l lineage) extended(writerID uint32, serial uint64) lineage {
 	if len(l) > 0 && l[len(l)-1].ID == writerID {
 		return l
@@ -40,22 +40,22 @@
 	return append(slices.Clone(l[max(len(l)+1-maxWriters, 0):]), Writer{writerID, serial})
 }
 
-// contains reports whether this lineage includes the state of a serial and its writer, or can't rule it out.
+// contains reports whether this lineage may include the state with a serial and writer. An unknown writer counts as included.
 func (l lineage) contains(serial uint64, writerID uint32) bool {
 	writer := l.writerOf(serial)
 	return writer == 0 || writerID == 0 || writer == writerID
 }
 
-// peerState is what is known of another member's persisted state, and what that member was sent of this one's.
+// peerState is what is known of another member's persisted state, and when that member was last sent this one's lineage.
 type peerState struct {
 	id            swim.ID
 	serial        uint64
 	writerID      uint32  // of that state; 0: the peer's version does not send it
-	shownWriterID uint32  // the last writer of the lineage that it was sent; 0: the lineage is due
-	shownAt       float64 // when it was sent
+	shownWriterID uint32  // the last writer of the lineage that the peer was sent; 0: the lineage is due
+	shownAt       float64 // when the peer was sent the lineage
 }
 
-// maxPeers bounds the members whose states are remembered. Danger: their identities come from other processes.
+// maxPeers bounds the members whose states are remembered, since their identities come from other processes.
 const maxPeers = 256
 
 // peer returns the state of a member, created if it is new; nil if there are too many.
@@ -70,7 +70,7 @@
 	return &n.peers[i]
 }
 
-// sendRaft sends a Raft message with the serial and, where it is due, the lineage of the state that it rests on.
+// sendRaft sends a Raft message with the serial and, when it is due, the lineage of the state that the message depends on.
 func (n *Node) sendRaft(to swim.ID, raft []byte) {
 	m := &Message{Epoch: n.founding.Epoch, Serial: n.serial, WriterID: n.lineage.writerOf(n.serial), Raft: raft}
 	switch peer := n.peer(to); {
@@ -83,12 +83,12 @@
 	n.actions.Send(to, m)
 }
 
-// checkSerial reports whether a message rests on the latest state known of its sender, or on one that descends from it. Danger: a
-// member that came back with an old copy of its state has lost votes that others count on; it is told so and replaces its
+// checkSerial reports whether a message depends on the latest state known of its sender, or on one that descends from it. A member
+// that restarted on an old copy of its state has lost votes that others count on: it is sent the latest serial and replaces its
 // identity.
 func (n *Node) checkSerial(from swim.ID, m *Message) bool {
 	peer := n.peer(from)
-	if m.Raft == nil { // it reports the latest state known of this member
+	if m.Raft == nil { // the message reports the latest state that the sender knows of this member
 		switch {
 		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
 			n.replaceIdentity("peers know a later state of this identity: this one is an old copy")
--- a/internal/decide/lease/message.go
+++ b/internal/decide/lease/message.go
@@ -2,17 +2,17 @@
 
 import "hazelwheel/internal/decide/swim"
 
-// Grant assigns a role to a member. Without a holder it keeps the last token of a vacant role.
+// Grant assigns a role to a member. For a vacant role it has no holder and keeps the last token.
 type Grant struct {
 	Role   string  `msgpack:"j"`
 	Holder swim.ID `msgpack:"o,omitempty"` // 0: the role is vacant
-	Token  uint64  `msgpack:"t"`           // fencing token; the role's next grant has a greater one
+	Token  uint64  `msgpack:"t"`           // fencing token; the role's next grant has a higher one
 	BootID uint64  `msgpack:"l,omitempty"` // of the holder's process; a later process with the same identity releases the grant
 }
 
-// Table is a copy of all grants as of an entry of the voters' log. Tables are ordered by Epoch, Index and Term. Each member keeps
-// the newest one and forwards a newer one once over all its links. A Table without Voters carries no grants: it asks whether the
-// receiver has a newer one.
+// Table is a copy of all grants after an entry of the voters' log was applied. Tables are ordered by Epoch, Index and Term. Each
+// member keeps the newest one and forwards a newer one once over all its links. A Table without Voters carries no grants: it asks
+// the receiver for a newer one.
 type Table struct {
 	Epoch  uint64    `msgpack:"e"` // of the group's founding
 	Index  uint64    `msgpack:"i"` // of the last log entry that is applied
@@ -22,30 +22,30 @@
 	Grants []Grant   `msgpack:"g,omitempty"` // by role
 }
 
-// Message is what two members exchange. Any combination of the fields may be set; each is handled by itself. The msgpack keys are
-// the wire form, which earlier versions read.
+// Message is what two members exchange. Any combination of the fields may be set; each is handled independently. The msgpack keys
+// are part of the wire form, which earlier versions read.
 type Message struct {
 	// Raft traffic between members of the group.
 	Epoch    uint64   `msgpack:"e,omitempty"` // of the group that Raft belongs to
 	Raft     []byte   `msgpack:"r,omitempty"` // a raftpb.Message
-	Serial   uint64   `msgpack:"s,omitempty"` // of the sender's persisted state; without Raft, the one that the sender knows of the receiver
+	Serial   uint64   `msgpack:"s,omitempty"` // of the sender's persisted state; without Raft, of the receiver's state as the sender knows it
 	WriterID uint32   `msgpack:"y,omitempty"` // of the process that wrote that state
-	Lineage  []Writer `msgpack:"z,omitempty"` // the writers of the states before it; sent now and then
+	Lineage  []Writer `msgpack:"z,omitempty"` // the writers up to that state; not in every message
 
 	Founding *Founding `msgpack:"f,omitempty"`
 	Table    *Table    `msgpack:"t,omitempty"`
 
 	// Between lease holders and the leader.
 	RenewRequest *Renewal `msgpack:"n,omitempty"` // to the leader
-	RenewReply   *Renewal `msgpack:"d,omitempty"` // from the leader: confirmed by a quorum after the request with this number came in
+	RenewReply   *Renewal `msgpack:"d,omitempty"` // from the leader, after a quorum has confirmed that it leads
 	Released     []Grant  `msgpack:"b,omitempty"` // to the leader: the sender no longer acts under these grants
-	Declined     []string `msgpack:"x,omitempty"` // to the leader: roles that the sender does not take for now
-	Bids         []string `msgpack:"w,omitempty"` // to the leader: roles that the sender would take
+	Declined     []string `msgpack:"x,omitempty"` // to the leader: roles that the sender does not accept at present
+	Bids         []string `msgpack:"w,omitempty"` // to the leader: roles that the sender accepts
 	Offered      []string `msgpack:"o,omitempty"` // from the leader: roles that need a holder; answered by Bids and Declined
 	BootID       uint64   `msgpack:"l,omitempty"` // of the sender's process, with Bids and RenewRequest
 	WriteRecord  *Record  `msgpack:"k,omitempty"` // to the leader: the holder's next version of its role's record
 	Records      []Record `msgpack:"a,omitempty"` // from the leader: committed records
-	StepDown     string   `msgpack:"v,omitempty"` // to the leader: an operator's request to move this role; from it: the holder is to release it
+	StepDown     string   `msgpack:"v,omitempty"` // to the leader: an operator's request to move this role; from the leader: the holder must release it
 }
 
 // Renewal requests the renewal of all leases of a member, or confirms it.
@@ -57,8 +57,8 @@
 	Records []Record `msgpack:"r,omitempty"`
 }
 
-// Founding is a message of the single-decree Paxos by which the configured addresses agree on the first voters. It needs all of them
-// rather than a majority, so that no member that kept the state of an earlier group is left out.
+// Founding is a message of the single-decree Paxos by which the members at the configured addresses agree on the first voters. All
+// of them must promise and accept, not only a majority, so that no member that kept the state of an earlier group is left out.
 type Founding struct {
 	Ballot   uint64       `msgpack:"b"`
 	Accepted uint64       `msgpack:"a,omitempty"` // the ballot at which Voters was accepted
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -12,11 +12,11 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// minTickSeconds is the least time between two ticks.
+// minTickSeconds is the minimum time between two ticks.
 const minTickSeconds = 0.001
 
 // Node is one member's part in granting roles: voter, leader and lease holder. Calls must not overlap; see the package doc. Times
-// are seconds of the member's own monotonic clock; one that goes back counts as the last.
+// are seconds of the member's own monotonic clock; a time before that of the previous call counts as the latter.
 type Node struct {
 	settings Settings
 	self     swim.ID
@@ -27,13 +27,13 @@
 
 	startedAt      float64
 	members        []Member // sorted by ID
-	membersAt      float64  // of the last SetMembers, to which their StateAgeSeconds refer
+	membersAt      float64  // when SetMembers was last called; each Member's StateAgeSeconds is as of then
 	requestedLinks []swim.ID
 	loopback       []*Message // messages from this member to itself, handled at the end of a call
 
-	// The persisted state, and what waits for it.
+	// The persisted state, and messages that wait for it.
 	serial          uint64 // of the last state that was passed to Persist
-	persisting      bool   // a Persist has not been answered
+	persisting      bool   // HandlePersisted has not been called for it yet
 	dirty           bool   // the state has changed since
 	persistFailed   bool   // the last write failed
 	persistRetryAt  float64
@@ -46,13 +46,13 @@
 
 	promisedBallot   uint64
 	acceptedFounding *Founding
-	persistedEpoch   uint64    // highestEpoch as it was last passed to Persist
+	persistedEpoch   uint64    // highestEpoch in the state that was last passed to Persist
 	founding         *Founding // of the group that this member belongs to; nil: none
 	proposal         *proposal
 	ballotRound      uint64
 	foundingDueAt    float64
 	foundingAskedAt  float64
-	contactedEpoch   uint64 // of a group whose leader has sent this member Raft messages as to a voter
+	contactedEpoch   uint64 // of a group that this member does not belong to and whose leader has sent it Raft messages
 	group            *group
 
 	table        Table
@@ -69,9 +69,9 @@
 	m  *Message
 }
 
-// New returns the Node of a member, which goes on from a state that an earlier Persist was given; without a state it begins anew.
-// An error wraps ErrInvalidState: the identity must then not be used any more, and the caller draws another. The Node calls
-// actions only from within its other methods.
+// New returns the Node of a member, which continues from a state that was passed to Persist; without a state it starts empty. An
+// error wraps ErrInvalidState: the identity must then not be used any more, and the caller draws another. New itself does not call
+// actions.
 func New(now float64, self swim.ID, settings Settings, savedState []byte, actions Actions) (*Node, error) {
 	n := &Node{settings: settings, self: self, actions: actions, now: now, startedAt: now, rng: rand.New(rand.NewPCG(settings.Seed, uint64(self)))}
 	n.settings.Roles = slices.Sorted(slices.Values(settings.Roles))
@@ -99,7 +99,7 @@
 	return n, nil
 }
 
-// SetMembers updates the list of members, sorted by ID and including this one. The Node keeps the slice.
+// SetMembers replaces the list of members, sorted by ID and including this one. The Node keeps the slice.
 func (n *Node) SetMembers(now float64, members []Member) {
 	n.advanceTo(now)
 	n.members, n.membersAt = members, n.now
@@ -124,7 +124,7 @@
 // stateAgeSeconds returns how long ago a member's State last changed.
 func (n *Node) stateAgeSeconds(m *Member) float64 { return m.StateAgeSeconds + n.now - n.membersAt }
 
-// HandleLinkUp sends a member what it may have missed without a link.
+// HandleLinkUp sends a member, once a link to it is up, what it may have missed without one.
 func (n *Node) HandleLinkUp(now float64, id swim.ID) {
 	n.advanceTo(now)
 	if n.retired {
@@ -246,17 +246,17 @@
 	return max(min(next, n.holderNextTick(), n.leaderNextTick()), n.now+minTickSeconds)
 }
 
-// advanceTo moves the clock, and ends the leases that have expired by it.
+// advanceTo sets the current time, and ends the leases that have expired by then.
 func (n *Node) advanceTo(now float64) {
 	n.now = max(n.now, now)
 	n.expireLeases()
 }
 
-// finishCall lets Raft go on, handles messages from this member to itself, and updates the requested links. Each call that changes
-// anything ends with it.
+// finishCall does what Raft asks for, handles messages from this member to itself, and updates the requested links. Each call that
+// changes anything ends with it.
 func (n *Node) finishCall() {
-	// Danger: where all voters lose their state, a member that founds another group must know the old epoch, or tokens begin below
-	// those that were granted. So every durable member persists the highest epoch.
+	// If all voters lose their state, a member that founds another group must know the old epoch, or tokens start below those that
+	// were granted before. So every durable member persists the highest epoch.
 	n.dirty = n.dirty || n.highestEpoch > n.persistedEpoch && !n.retired && n.isDurable()
 	for !n.retired {
 		n.advanceRaft()
@@ -270,7 +270,7 @@
 	n.updateLinks()
 }
 
-// send sends a message, to this member itself by loopback.
+// send sends a message. One to this member itself goes through loopback.
 func (n *Node) send(to swim.ID, m *Message) {
 	if to == n.self {
 		n.loopback = append(n.loopback, m)
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// cluster is a number of nodes, three of them initial voters, whose messages arrive at once.
+// cluster is a number of nodes, three of them initial voters, whose messages arrive without delay.
 type cluster struct {
 	t     *testing.T
 	now   float64
@@ -30,7 +30,7 @@
 	diskStalled    bool // writes never finish
 	muted          bool // its messages are lost
 	history        [][]byte
-	replacedReason string // of ReplaceIdentity; empty: not called
+	replacedReason string // passed to ReplaceIdentity; empty: it was not called
 
 	record Record // of the last RecordCommitted
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-// A node that restarts on an old copy of its state is told so by peers that know a later one, and retires.
+// A node that restarts on an old copy of its state learns so from peers that know a later one, and replaces its identity.
 func TestNodeWithOldStateReplacesItsIdentity(t *testing.T) {
 	c := newCluster(t, 3, "list")
 	c.runUntil(102)
@@ -202,8 +202,8 @@
 	require.True(t, restarted.HasLeft())
 }
 
-// A node that restarts on an old copy, and writes as often as the copy lacks before its first message, has the serial that it
-// had before the restart, and is detected all the same. Danger: the votes that it gave before count, and it may give them
+// A node that restarts on an old copy of its state, and writes it as often as the copy lacks writes before its first message, has
+// the same serial as before the restart. Peers detect it by the lineage: otherwise it could give the votes of the lost writes
 // again.
 func TestNodeThatWroteOnOldStateReplacesItsIdentity(t *testing.T) {
 	for back := 1; back <= 3; back++ {
@@ -339,7 +339,7 @@
 	})
 }
 
-// A role's record outlives its holders and leaders: a new holder gets the last version before it may act, versions grow by one,
+// A role's record outlives its holders and leaders: a new holder gets the last version when its lease starts, versions grow by one,
 // and writes under an earlier grant or in place of an earlier version are rejected.
 func TestRecordOutlivesHolders(t *testing.T) {
 	c := newCluster(t, 7, "works")
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -42,8 +42,8 @@
 	n.actions.Persist(n.encodeState())
 }
 
-// HandlePersisted takes the result of the last Persist. After an error the member does not vote until a later write succeeds; the
-// write is tried again after a second.
+// HandlePersisted handles the result of the last Persist. After an error the member does not vote until a later write succeeds; the
+// write is tried again after persistRetrySeconds.
 func (n *Node) HandlePersisted(now float64, err error) {
 	n.advanceTo(now)
 	if n.retired || !n.persisting {
@@ -54,7 +54,7 @@
 		if !n.persistFailed {
 			n.actions.Log("lease state not persisted: this member does not vote", "error", err)
 		}
-		// Danger: messages that depend on the state must go on waiting. A vote that was sent and not stored can be given twice.
+		// Danger: messages that depend on the state must not be sent yet. A vote that was sent but not stored could be given twice.
 		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+persistRetrySeconds
 		return
 	}
@@ -92,7 +92,7 @@
 	MemberID  swim.ID   `msgpack:"i"`
 	Serial    uint64    `msgpack:"s"` // grows with each write
 	Lineage   lineage   `msgpack:"w,omitempty"`
-	Epoch     uint64    `msgpack:"e"` // the highest that is known
+	Epoch     uint64    `msgpack:"e"` // the highest known
 	Promised  uint64    `msgpack:"p,omitempty"`
 	Accepted  *Founding `msgpack:"a,omitempty"`
 	Founding  *Founding `msgpack:"g,omitempty"` // of the group that this member belongs to
@@ -105,7 +105,7 @@
 // member.
 var ErrInvalidState = errors.New("lease: invalid persisted state")
 
-// decodeState decodes a state as a whole or not at all. Danger: a state that is read in part is a vote forgotten.
+// decodeState decodes a state as a whole or not at all: in a state that is read in part, votes would be missing.
 func decodeState(b []byte, self swim.ID) (persistedState, error) {
 	var s persistedState
 	if err := decode(b, &s); err != nil {
--- a/internal/decide/lease/raft.go
+++ b/internal/decide/lease/raft.go
@@ -14,9 +14,9 @@
 // Times of Raft, in seconds and in ticks.
 const (
 	raftTickSeconds        = 0.15 // the leader sends a heartbeat each tick
-	electionTicks          = 6    // without a message of the leader, before a voter votes for another
+	electionTicks          = 6    // how many ticks without a message from the leader let a voter vote for another member
 	electionTimeoutSeconds = raftTickSeconds * electionTicks
-	stallSeconds           = 0.6 // between two calls: the process stood still
+	stallSeconds           = 0.6 // a longer time between two calls counts as a pause of the process
 )
 
 // group is this member's part of a Raft group: Raft itself, its log and the state machine that entries are applied to.
@@ -27,14 +27,14 @@
 	appliedIndex  uint64
 	appliedTerm   uint64 // of the last applied entry
 	confState     *raftpb.ConfState
-	ready         *raft.Ready // waits for its state to be persisted
+	ready         *raft.Ready // whose state is being persisted; nil: none
 	leaderID      swim.ID
 	isLeader      bool
 	commitAtStart uint64 // the commit index of the state that the process started with
 	term          uint64
 	vote          uint64
 	tickDueAt     float64
-	electionDueAt float64 // when this member campaigns unless a leader's message comes in before
+	electionDueAt float64 // when this member campaigns, unless a message from the leader arrives before
 }
 
 // raftLogger discards what Raft logs, and panics where Raft does.
@@ -54,8 +54,8 @@
 func (raftLogger) Panic(v ...any)                 { panic(fmt.Sprint(v...)) }
 func (raftLogger) Panicf(format string, v ...any) { panic(fmt.Sprintf(format, v...)) }
 
-// startGroup starts Raft for the present founding. Without a stored state an initial voter starts from a snapshot that names all
-// initial voters, and a member that was added later from nothing: it can't vote before it has received the configuration.
+// startGroup starts Raft for the present founding. Without a stored state, an initial voter starts from a snapshot that names all
+// initial voters. A member that was added later starts empty: it can't vote before it has received the configuration.
 func (n *Node) startGroup(hard, snapshot []byte, entries [][]byte) error {
 	g := &group{storage: &raftStorage{MemoryStorage: raft.NewMemoryStorage()}, machine: stateMachine{Epoch: n.founding.Epoch}, confState: &raftpb.ConfState{}, tickDueAt: n.now}
 	g.storage.latest = func() (uint64, *raftpb.ConfState, []byte) {
@@ -95,8 +95,8 @@
 	})
 }
 
-// guardRaft calls Raft and turns its panics into errors that wrap ErrInvalidState. Danger: Raft panics on input that it can't make
-// sense of, and messages come from other processes.
+// guardRaft calls Raft and turns its panics into errors that wrap ErrInvalidState. Raft panics on invalid input, and messages come
+// from other processes.
 func (n *Node) guardRaft(do func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -124,29 +124,29 @@
 	return nil
 }
 
-// resetElectionTimer draws when this member campaigns next. Raft's own timer draws from a source that a simulation can't repeat,
-// so it is kept from firing.
+// resetElectionTimer draws when this member campaigns next. Raft's own timer uses a random source that can't be seeded, so that a
+// simulation could not be repeated; tickRaft keeps that timer from firing.
 func (n *Node) resetElectionTimer() {
 	n.group.electionDueAt = n.now + electionTimeoutSeconds*(1+n.rng.Float64())
 }
 
-// tickRaft moves Raft's clock to the present, and campaigns when the election timer has fired.
+// tickRaft advances Raft's clock to the current time, and campaigns when the election timer has expired.
 func (n *Node) tickRaft() {
 	g := n.group
 	if n.now-g.tickDueAt > stallSeconds {
-		// The process stood still. Messages that wait are handled before it campaigns.
+		// The process was paused. Messages that arrived meanwhile are handled before it campaigns.
 		g.tickDueAt = n.now - stallSeconds
 		if !g.isLeader {
 			n.resetElectionTimer()
 		}
 	}
 	for ; g.tickDueAt <= n.now; g.tickDueAt += raftTickSeconds {
-		// Danger: a leader that lost its quorum while a write was pending has yet to step down. A full tick of Raft as a follower would
-		// start its own election timer, which is not drawn from the seed.
+		// Raft's own state decides here, not isLeader, which lags while a write is pending: a leader that lost its quorum may already be
+		// a follower in Raft. A full tick of a follower would start Raft's own election timer, which is not drawn from the seed.
 		if g.rawNode.BasicStatus().RaftState == raft.StateLeader {
 			n.runRaft(g.rawNode.Tick)
 		} else {
-			g.rawNode.TickQuiesced() // only advances the wait before a vote for another leader
+			g.rawNode.TickQuiesced() // only advances the time after which this voter may vote for another leader
 		}
 		n.advanceRaft()
 		if n.group != g {
@@ -161,7 +161,7 @@
 	}
 }
 
-// isVoter reports whether this member is a voter, as far as it knows.
+// isVoter reports whether this member is a voter, by its own configuration and by a newer table if it has one.
 func (n *Node) isVoter() bool {
 	g := n.group
 	if g == nil || !slices.Contains(slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()), uint64(n.self)) {
@@ -170,10 +170,11 @@
 	return n.table.Epoch != n.founding.Epoch || n.table.Index <= g.appliedIndex || slices.Contains(n.table.Voters, n.self)
 }
 
-// canVote reports whether this member takes part in Raft: not while its state can't be stored, nor after it has left.
+// canVote reports whether this member takes part in Raft. It does not while its state can't be stored, nor after it has left.
 func (n *Node) canVote() bool { return !n.persistFailed && !(n.leaving && n.leadershipTransferred) }
 
-// stepRaft passes a message to Raft. Messages that are not from their sender, or not to this member, are dropped.
+// stepRaft passes a message to Raft. Messages that name another sender than the one they came from, or another receiver, are
+// dropped.
 func (n *Node) stepRaft(from swim.ID, body []byte) {
 	g := n.group
 	var m raftpb.Message
--- a/internal/decide/lease/ready.go
+++ b/internal/decide/lease/ready.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// advanceRaft does what Raft asks for, up to where it must wait for a write to disk, and starts that write.
+// advanceRaft does what Raft asks for until it must wait for a write to disk, and starts that write.
 func (n *Node) advanceRaft() {
 	for n.group != nil && !n.persisting && !n.retired {
 		g := n.group
@@ -48,7 +48,7 @@
 		if h.GetVote() != g.vote && h.GetVote() != 0 {
 			n.resetElectionTimer()
 		}
-		if h.GetTerm() != g.term && g.isLeader { // it no longer leads, which must show before anything else of the new term is done
+		if h.GetTerm() != g.term && g.isLeader { // this member no longer leads; its leader state is reset before the new term begins
 			g.isLeader, g.leaderID = false, 0
 			n.leadershipChanged(false)
 		}
@@ -79,7 +79,7 @@
 		g.rawNode.Advance(*rd)
 		for _, m := range rd.Messages {
 			if m.GetType() == raftpb.MsgSnap {
-				g.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // Raft would otherwise wait for a report, and reject the next entry
+				g.rawNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // Raft would otherwise wait for this report, and reject the next entry
 			}
 		}
 		g.storage.compact()
@@ -108,9 +108,9 @@
 			panic(err)
 		}
 		g.confState = g.rawNode.ApplyConfChange(&cc)
-		// Danger: Raft does not ask for a write for a commit index alone. If the members restart without it and the leader does not come
-		// back, they would want votes of members that were removed. What was committed at the start is not written again: with a write
-		// before the first message an old copy of the state would look as new as the one that it lacks.
+		// Raft does not ask for a write when only the commit index has changed. If the voters restarted without this commit index and the
+		// leader did not come back, they would need votes of members that were removed. What was committed before the start is not
+		// written again: a write before the first message would raise the serial, and an old copy of the state would look like a later one.
 		n.dirty = n.dirty || e.GetIndex() > g.commitAtStart
 	case raftpb.EntryNormal:
 		var commands []command
@@ -129,7 +129,7 @@
 	}
 }
 
-// updateLeader records who leads.
+// updateLeader records which member leads.
 func (n *Node) updateLeader(rd *raft.Ready) {
 	g := n.group
 	if rd.SoftState != nil {
@@ -141,7 +141,7 @@
 	}
 }
 
-// propose appends commands to the log and reports whether it could. Whether they are committed shows in commandApplied.
+// propose proposes commands for the log and reports whether Raft took them. commandApplied is called once they are committed.
 func (n *Node) propose(commands ...command) (ok bool) {
 	g := n.group
 	n.runRaft(func() { ok = g.rawNode.Propose(encode(commands)) == nil })
--- a/internal/decide/lease/rebalance.go
+++ b/internal/decide/lease/rebalance.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// rebalanceQuietSeconds is how long grants and members must not have changed before a role is moved.
+// rebalanceQuietSeconds is how long grants and the number of live members must be unchanged before a role is moved.
 const rebalanceQuietSeconds = 2.0
 
 // rebalance moves a role from the member with the most roles to one that has at least two fewer.
@@ -38,7 +38,7 @@
 		if len(ranked) == 0 || n.roleCount(ranked[0], nil) > highest-2 {
 			continue
 		}
-		if n.bidBootID(ranked[0], state.role) == 0 { // Danger: without a bidder the role would only become vacant
+		if n.bidBootID(ranked[0], state.role) == 0 { // without a bidder the role would only become vacant
 			n.offerRole(state, ranked)
 			return
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-// startStepDown asks the holder of a role to release it, and excludes the holder from it for a while.
+// startStepDown asks the holder of a role to release it, and excludes the holder from it for declineExclusionSeconds.
 func (n *Node) startStepDown(role string) {
 	if g, known := n.group.machine.grant(role); known && g.Holder != 0 {
 		n.exclude(role, g.Holder, declineExclusionSeconds)
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -7,9 +7,9 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Record is what a role's holder stores with the voters, and what outlives the holder. Danger: a holder that stood still goes on
-// writing. So a record is written under a grant and in place of the version before it, and is rejected if the role was granted
-// anew or another version was committed first.
+// Record is data that a role's holder stores with the voters and that the next holder receives. A former holder that was paused may
+// still write. So each write names its grant and replaces the version before its own, and is rejected if the role was granted again
+// or another version was committed first.
 type Record struct {
 	Role    string `msgpack:"j"`
 	Version uint64 `msgpack:"v"`           // grows by one; 0: nothing was written
@@ -20,8 +20,8 @@
 const (
 	// MaxRecordBytes bounds a record's body, so that a message with one record fits into a frame between members.
 	MaxRecordBytes = 40 << 10
-	// maxLogBytes bounds the data of log entries before they are compacted into a snapshot, since every write to disk holds all of
-	// them.
+	// maxLogBytes is the size of the log entries' data from which they are compacted into a snapshot, since every write to disk holds
+	// all of them.
 	maxLogBytes = 96 << 10
 )
 
@@ -58,8 +58,9 @@
 func (n *Node) hasRecord(role string) bool { return slices.Contains(n.settings.RecordedRoles, role) }
 
 // WriteRecord proposes the next version of a role's record; version is one more than the last committed one.
-// Actions.RecordCommitted follows once a version is committed, which may be another one. A proposal that is lost on the way is not
-// reported: the caller repeats the call until then. Without a valid lease, or with a body above MaxRecordBytes, it does nothing.
+// Actions.RecordCommitted is called once a version is committed, which may be one that another process wrote. A lost proposal is not
+// reported: the caller repeats WriteRecord until RecordCommitted is called. Without a valid lease, or with a body above
+// MaxRecordBytes, WriteRecord does nothing.
 func (n *Node) WriteRecord(now float64, role string, version uint64, body []byte) {
 	n.advanceTo(now)
 	if held := n.leaseFor(role); held != nil && held.started && n.table.Leader != 0 && !n.retired && len(body) <= MaxRecordBytes {
@@ -68,7 +69,7 @@
 	n.finishCall()
 }
 
-// knownRecordVersions returns the versions of the records that this member has of the roles that it holds.
+// knownRecordVersions returns, for each role that this member holds and that has a record, the version that it has, without a body.
 func (n *Node) knownRecordVersions() (all []Record) {
 	for _, held := range n.leases {
 		if n.hasRecord(held.Role) {
@@ -78,7 +79,7 @@
 	return all
 }
 
-// handleRecords takes committed records from the leader.
+// handleRecords handles committed records from the leader.
 func (n *Node) handleRecords(records []Record) {
 	for i := range records {
 		r := &records[i]
@@ -101,8 +102,8 @@
 	state := n.roleFor(r.Role)
 	switch current := n.group.machine.record(r.Role); {
 	case !known || state == nil || g.Holder != from || g.Token != r.Token || state.releasedToken == g.Token || state.hasPendingCommand || len(r.Body) > MaxRecordBytes:
-		// not the holder, or about to lose the role
-	case current.Version >= r.Version: // committed already, or another version was first
+		// The sender is not the holder, or is about to lose the role.
+	case current.Version >= r.Version: // this version is committed already, or another one was first
 		n.send(from, &Message{Records: []Record{current}})
 	case current.Version+1 == r.Version && state.writingVersion != r.Version:
 		if state.writingVersion = r.Version; !n.propose(command{Role: r.Role, Record: r}) {
--- a/internal/decide/lease/renewal.go
+++ b/internal/decide/lease/renewal.go
@@ -8,15 +8,15 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// waitingRenewal is a request that waits for a quorum to confirm that this member leads.
+// waitingRenewal is a renewal request that waits for a quorum to confirm that this member leads.
 type waitingRenewal struct {
 	from       swim.ID
-	quorumRead uint64 // the number of the quorum read that must finish before it is confirmed
+	quorumRead uint64 // the number of the quorum read that must finish before the request is confirmed
 	*Renewal
 }
 
-// startQuorumRead has a quorum confirm that this member leads, by Raft's ReadIndex. One quorum read serves all requests that came
-// in before it began.
+// startQuorumRead asks a quorum to confirm that this member leads, by Raft's ReadIndex. One quorum read serves all requests that
+// arrived before it began.
 func (n *Node) startQuorumRead() {
 	if !n.quorumReadInFlight && len(n.waitingRenewals) > 0 && n.isLeaderReady() {
 		n.quorumReadInFlight = true
@@ -43,7 +43,7 @@
 	n.startQuorumRead()
 }
 
-// confirmRenewal extends the leases of a request that are still granted as the holder says, and replies.
+// confirmRenewal extends those leases of a request whose grants are still as the holder states them, and replies.
 func (n *Node) confirmRenewal(w waitingRenewal) {
 	answer := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
@@ -63,7 +63,7 @@
 	n.send(w.from, m)
 }
 
-// sentRenewal is a request that was sent to the leader and may yet be confirmed.
+// sentRenewal is a request that was sent to the leader and may still be confirmed.
 type sentRenewal struct {
 	number uint64
 	sentAt float64
@@ -106,8 +106,8 @@
 	}
 }
 
-// handleRenewReply extends the leases that the leader has confirmed, from when the request was sent, and starts those that are
-// new.
+// handleRenewReply extends the leases that the leader has confirmed, counted from when the request was sent, and starts those that
+// are new.
 func (n *Node) handleRenewReply(r *Renewal) {
 	i := slices.IndexFunc(n.pendingRenewals, func(s sentRenewal) bool { return s.number == r.Number })
 	if i < 0 {
--- a/internal/decide/lease/settings.go
+++ b/internal/decide/lease/settings.go
@@ -4,13 +4,15 @@
 
 // Settings configure a Node. They do not change during its lifetime.
 type Settings struct {
-	// InitialVoters are the addresses, as others dial them, of the 3, 5 or 7 members that found the group. The list is the same on all
-	// members and is used once: voters that leave for good are replaced without it. Empty disables grants: no role has a holder.
+	// InitialVoters are the addresses, as others dial them, of the 3, 5 or 7 members that found the group. The list must be the same on
+	// all members. It is only used to found the group: voters that are gone for good are replaced without it. An empty list disables
+	// grants: no role has a holder.
 	InitialVoters []string
 	Address       string   // of this member
-	Roles         []string // that this member can hold, and that need a holder
+	Roles         []string // the roles that need a holder; this member can hold each of them
 	RecordedRoles []string // those of Roles that have a Record
-	// Seed must differ for each process: the boot ID is drawn from it, and a process must not go on under its predecessor's grants.
+	// Seed must differ for each process: the boot ID is drawn from it, by which a process tells its own grants from those of the process
+	// that ran before it under the same identity.
 	Seed uint64
 }
 
@@ -19,6 +21,6 @@
 	ID              swim.ID
 	Address         string
 	State           swim.State
-	Durable         bool    // it stores its identity on disk, and so can vote
+	Durable         bool    // the member stores its identity on disk, and so can vote
 	StateAgeSeconds float64 // since State last changed
 }
--- a/internal/decide/lease/statemachine.go
+++ b/internal/decide/lease/statemachine.go
@@ -15,8 +15,8 @@
 	Role          string  `msgpack:"j"`
 	Holder        swim.ID `msgpack:"o,omitempty"` // 0: the role becomes vacant and the token stays
 	BootID        uint64  `msgpack:"l,omitempty"`
-	ExpectedToken uint64  `msgpack:"w,omitempty"` // of the grant that it replaces; 0: the role is new
-	Record        *Record `msgpack:"p,omitempty"` // if set, the command only stores this
+	ExpectedToken uint64  `msgpack:"w,omitempty"` // of the grant that the command replaces; 0: the role is new
+	Record        *Record `msgpack:"p,omitempty"` // if set, the command only stores this record
 }
 
 // stateMachine is the replicated state. The same log leads to the same state on every voter.
@@ -72,7 +72,7 @@
 	return b
 }
 
-// decode decodes what came from a disk or another member. Danger: input may be crafted; its size is bounded before it is decoded.
+// decode decodes data from disk or from another member. It may be crafted, so its length is checked before it is decoded.
 func decode(b []byte, v any) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/decide/lease/stats.go
+++ b/internal/decide/lease/stats.go
@@ -8,13 +8,13 @@
 	IsVoter        bool   `json:"elector"`  // as far as this member knows
 	IsLeader       bool   `json:"leads"`    // of the voters
 	PersistFailed  bool   `json:"unkept"`   // the last write failed: this member does not vote
-	Grants         uint64 `json:"grants"`   // applied from the log, of all roles
+	Grants         uint64 `json:"grants"`   // commands applied from the log that changed a grant or a record
 	Acquired       uint64 `json:"owned"`    // leases of this member that started
 	Lapsed         uint64 `json:"lapsed"`   // of these, leases that expired without a renewal
-	QuorumReads    uint64 `json:"rounds"`   // that this member started as the leader, to confirm renewals
-	Persists       uint64 `json:"saves"`    // writes of the state that were asked for
+	QuorumReads    uint64 `json:"rounds"`   // started by this member as the leader, to confirm renewals
+	Persists       uint64 `json:"saves"`    // requested writes of the state
 	ElectionsWon   uint64 `json:"leaders"`  // by this member
-	DroppedStale   uint64 `json:"dropped"`  // messages that rested on an older state than one seen before
+	DroppedStale   uint64 `json:"dropped"`  // messages that depended on an older state of their sender than the latest known one
 	VotersReplaced uint64 `json:"replaced"` // by this member as the leader
 }
 
--- a/internal/decide/lease/storage.go
+++ b/internal/decide/lease/storage.go
@@ -17,8 +17,8 @@
 	latest func() (index uint64, conf *raftpb.ConfState, data []byte)
 }
 
-// Snapshot returns a snapshot of the applied state. Danger: an older one may not name the member that it is sent to, which would
-// reject it.
+// Snapshot returns a snapshot of the applied state. It does not return an older one: that may not name the member that it is sent
+// to, and the member would reject it.
 func (s *raftStorage) Snapshot() (*raftpb.Snapshot, error) {
 	s.refreshSnapshot()
 	return s.MemoryStorage.Snapshot()
@@ -27,14 +27,14 @@
 // refreshSnapshot replaces the stored snapshot by one of the applied state.
 func (s *raftStorage) refreshSnapshot() {
 	index, conf, data := s.latest()
-	// The only error is that the stored one is as new.
+	// The only possible error is that the stored snapshot is as new.
 	_, _ = s.CreateSnapshot(index, conf, data)
 }
 
 // Bounds of the log, in entries.
 const (
-	maxLogEntries   = 64 // before the log is compacted
-	retainedEntries = 16 // after compaction, for followers that are slightly behind
+	maxLogEntries   = 64 // how many entries the log may hold before it is compacted
+	retainedEntries = 16 // how many entries remain after compaction, for followers that are slightly behind
 )
 
 // compact replaces old entries by a snapshot when the log has become too long.
@@ -49,7 +49,7 @@
 		keep = 1
 	}
 	s.refreshSnapshot()
-	_ = s.Compact(index - keep) // the only errors are indexes that are compacted already or not there yet
+	_ = s.Compact(index - keep) // it only fails for an index that is compacted already or not stored yet
 }
 
 // noSizeLimit asks raft.MemoryStorage for all entries of a range.
@@ -69,7 +69,7 @@
 	return n
 }
 
-// encode returns the protobuf form of what is stored.
+// encode returns the protobuf form of the hard state, the snapshot and the entries after it.
 func (s *raftStorage) encode() (hard, snapshot []byte, entries [][]byte) {
 	snap, _ := s.MemoryStorage.Snapshot()
 	if s.hardState != nil {
@@ -90,7 +90,7 @@
 	return hard, snapshot, entries
 }
 
-// mustMarshal encodes messages of Raft, for which protobuf has no errors.
+// mustMarshal encodes a message of Raft. Protobuf returns no error for these.
 func mustMarshal(m proto.Message) []byte {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return b
 }
 
-// restore fills an empty storage. An error says what does not fit together.
+// restore fills an empty storage with what encode returned. It fails if the parts are damaged or contradict each other.
 func (s *raftStorage) restore(hard, snapshot []byte, entries [][]byte) error {
 	var snap raftpb.Snapshot
 	if err := proto.Unmarshal(snapshot, &snap); err != nil {
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestStateOfReleasedVersionIsRead starts members with the states that an earlier version has written. They go on with the group, its
-// grants and its records.
+// TestStateOfReleasedVersionIsRead starts members with the states that an earlier version has written. They continue with the same
+// group, grants and records.
 func TestStateOfReleasedVersionIsRead(t *testing.T) {
 	c := newCluster(t, 3, "list", "report")
 	c.runUntil(110)
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// adoptTable replaces the table, forwards it, and leaves a group that another one has superseded.
+// adoptTable replaces the table by a newer one and forwards it. If the table belongs to a later group than this member does, the
+// member leaves its group.
 func (n *Node) adoptTable(table *Table, except swim.ID) {
 	n.table = *table
 	n.highestEpoch = max(n.highestEpoch, n.table.Epoch)
@@ -47,14 +48,14 @@
 	return &Message{Table: &table}
 }
 
-// publishTable makes a table of what this voter has applied, and adopts it if it is newer.
+// publishTable builds a table from what this voter has applied, and adopts it if it is newer or names another leader.
 func (n *Node) publishTable() {
 	g := n.group
 	if g.appliedIndex == 0 {
 		return
 	}
 	table := Table{Epoch: n.founding.Epoch, Index: g.appliedIndex, Term: g.term, Leader: g.leaderID, Grants: slices.Clone(g.machine.Grants)}
-	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // during a change of voters, both sets
+	for _, id := range slices.Concat(g.confState.GetVoters(), g.confState.GetVotersOutgoing()) { // during a change of voters, the old and the new ones
 		table.Voters = append(table.Voters, swim.ID(id))
 	}
 	slices.Sort(table.Voters)
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -12,16 +12,16 @@
 
 // Times of changes of voters, in seconds.
 const (
-	voterGoneSeconds          = 30.0 // a voter is gone, before it is replaced
-	learnerTimeoutSeconds     = 10.0 // a learner is gone or does not catch up, before it is given up
-	minAliveSeconds           = 5.0  // a member is alive, before it can become a voter
-	voterCheckIntervalSeconds = 1.0  // between two checks
+	voterGoneSeconds          = 30.0 // how long a voter must be gone before it is replaced
+	learnerTimeoutSeconds     = 10.0 // how long a learner may be gone or not have caught up before it is removed
+	minAliveSeconds           = 5.0  // how long a member must be alive before it can become a voter
+	voterCheckIntervalSeconds = 1.0  // time between two checks of the voters
 	minVoters                 = 3
 )
 
-// reconfigureVoters replaces voters that are gone for good, one at a time: the new one is added as a learner, and takes the old
-// one's place by one joint change once it has caught up. Without a candidate the group shrinks, so that its quorum stays among the
-// living.
+// reconfigureVoters replaces voters that are gone for good, one at a time: the new one is added as a learner, and replaces the old
+// one by one joint change once it has caught up. Without a candidate the group shrinks to what the live members can sustain, so
+// that they keep a quorum.
 func (n *Node) reconfigureVoters() {
 	g := n.group
 	if n.now < n.votersDueAt {
@@ -39,7 +39,8 @@
 	}
 	durable := 0
 	for _, m := range n.members {
-		// Danger: a group that shrank with each restart would lose its quorum with the next voter.
+		// Members that are gone only briefly count, too: a group that shrank at each restart of a member would lose its quorum with the
+		// next voter that fails.
 		if m.Durable && n.goneSeconds(m.ID) < voterGoneSeconds {
 			durable++
 		}
@@ -59,7 +60,7 @@
 	case gone != 0:
 		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, gone))
 	default:
-		// All are alive and their number is even: one more than an odd number tolerates no further failure.
+		// All are alive and there are more than needed. One voter more than an odd number tolerates no further failure.
 		for _, id := range slices.Backward(g.confState.GetVoters()) {
 			if id != uint64(n.self) {
 				n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, id))
@@ -69,8 +70,8 @@
 	}
 }
 
-// goneSeconds returns for how long a member is dead or has left, 0 if it is alive. A member that is not known counts as gone since
-// this member leads.
+// goneSeconds returns for how long a member has been dead or has left, 0 if it is alive. An unknown member counts as gone since this
+// member became leader.
 func (n *Node) goneSeconds(id swim.ID) float64 {
 	switch m := n.memberByID(id); {
 	case id == n.self:
@@ -100,7 +101,8 @@
 	return uint64(best.ID)
 }
 
-// promoteLearner makes a learner a voter once it has caught up, in place of one that is gone, or gives it up.
+// promoteLearner makes a learner a voter once it has caught up, in place of a voter that is gone if there is one. It removes a
+// learner that is no longer needed or does not catch up.
 func (n *Node) promoteLearner(learner, gone uint64, grow bool) {
 	g := n.group
 	caughtUp := false
@@ -130,7 +132,7 @@
 	return []*raftpb.ConfChangeSingle{{Type: kind.Enum(), NodeId: &id}}
 }
 
-// proposeConfChange proposes a change of the group's members. Raft ignores it while another change is under way.
+// proposeConfChange proposes a change of the group's members. Raft ignores it while another change is in progress.
 func (n *Node) proposeConfChange(changes []*raftpb.ConfChangeSingle) {
 	n.learnerSince = 0
 	n.runRaft(func() { _ = n.group.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes}) })
