--- a/internal/decide/lease/candidates.go
+++ b/internal/decide/lease/candidates.go
@@ -59,7 +59,7 @@
 // and over.
 func (n *Node) withdrawBid(from swim.ID, role string) {
 	if i, known := slices.BinarySearchFunc(n.bids, from, func(b bid, id swim.ID) int { return cmp.Compare(b.id, id) }); known {
-		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(o string) bool { return o == role })
+		n.bids[i].roles = slices.DeleteFunc(n.bids[i].roles, func(other string) bool { return other == role })
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // exclude keeps a member from being granted a role for some seconds.
 func (n *Node) exclude(role string, id swim.ID, seconds float64) {
-	n.exclusions = slices.DeleteFunc(n.exclusions, func(p exclusion) bool { return p.until <= n.now || p.role == role && p.id == id })
+	n.exclusions = slices.DeleteFunc(n.exclusions, func(e exclusion) bool { return e.until <= n.now || e.role == role && e.id == id })
 	n.exclusions = append(n.exclusions, exclusion{role, id, n.now + seconds})
 }
 
@@ -91,12 +91,12 @@
 	type rank struct {
 		id   swim.ID
 		load int
-		draw uint64
+		hash uint64
 	}
 	var ranks []rank
 	for _, m := range n.members {
 		if m.State != swim.Alive || m.ID == n.self && !n.canHold(state.role) ||
-			slices.ContainsFunc(n.exclusions, func(o exclusion) bool { return o.role == state.role && o.id == m.ID && n.now < o.until }) {
+			slices.ContainsFunc(n.exclusions, func(e exclusion) bool { return e.role == state.role && e.id == m.ID && n.now < e.until }) {
 			continue
 		}
 		load := n.roleCount(m.ID, commands)
@@ -106,7 +106,7 @@
 		ranks = append(ranks, rank{m.ID, load, candidateHash(state.role, m.ID)})
 	}
 	slices.SortFunc(ranks, func(a, b rank) int {
-		return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.draw, b.draw), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.hash, b.hash), cmp.Compare(a.id, b.id))
 	})
 	for _, r := range ranks {
 		ids = append(ids, r.id)
--- a/internal/decide/lease/fence.go
+++ b/internal/decide/lease/fence.go
@@ -16,8 +16,8 @@
 
 // Admit reports whether an effect under a token may be applied, and the highest token seen of the role. A token equal to the
 // highest is admitted, since one grant has many effects. A new role beyond maxRoles is rejected.
-func (f *Fence) Admit(role string, token uint64) (ok bool, greatest uint64) {
-	i, known := f.place(role)
+func (f *Fence) Admit(role string, token uint64) (ok bool, highest uint64) {
+	i, known := f.index(role)
 	switch {
 	case !known && len(f.seen) >= maxRoles || token == 0:
 		return false, 0
@@ -40,7 +40,7 @@
 	}
 }
 
-func (f *Fence) place(role string) (int, bool) { return grantIndex(f.seen, role) }
+func (f *Fence) index(role string) (int, bool) { return grantIndex(f.seen, role) }
 
 // grantIndex finds a role among grants sorted by role.
 func grantIndex(grants []Grant, role string) (int, bool) {
--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -90,7 +90,7 @@
 	if len(f.Voters) > maxInitialVoters {
 		return
 	}
-	reply := func(a *Founding) { n.sendAfterPersist(from, &Message{Founding: a}) }
+	reply := func(answer *Founding) { n.sendAfterPersist(from, &Message{Founding: answer}) }
 	switch f.Step {
 	case StepQuery:
 		if n.founding != nil {
@@ -118,11 +118,11 @@
 		reply(&Founding{Ballot: n.promisedBallot, Step: StepRejected})
 	case f.Step == StepPrepare:
 		n.promisedBallot, n.dirty = f.Ballot, true
-		a := &Founding{Ballot: f.Ballot, Step: StepPromise, Epoch: n.highestEpoch}
+		promise := &Founding{Ballot: f.Ballot, Step: StepPromise, Epoch: n.highestEpoch}
 		if n.acceptedFounding != nil {
-			a.Accepted, a.Epoch, a.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
+			promise.Accepted, promise.Epoch, promise.Voters = n.acceptedFounding.Ballot, n.acceptedFounding.Epoch, n.acceptedFounding.Voters
 		}
-		reply(a)
+		reply(promise)
 	default:
 		n.promisedBallot, n.dirty = f.Ballot, true
 		n.acceptedFounding = &Founding{Ballot: f.Ballot, Epoch: f.Epoch, Voters: f.Voters, Step: StepAccepted}
@@ -147,11 +147,11 @@
 		}
 		value := &Founding{Ballot: p.ballot, Voters: ids, Step: StepAccept}
 		best := uint64(0)
-		for _, a := range p.promises {
-			if a.Accepted > best {
-				best, value.Epoch, value.Voters = a.Accepted, a.Epoch, a.Voters
+		for _, promise := range p.promises {
+			if promise.Accepted > best {
+				best, value.Epoch, value.Voters = promise.Accepted, promise.Epoch, promise.Voters
 			} else if best == 0 {
-				value.Epoch = max(value.Epoch, a.Epoch+1)
+				value.Epoch = max(value.Epoch, promise.Epoch+1)
 			}
 		}
 		p.value = value
@@ -163,10 +163,10 @@
 		if slices.Contains(p.accepted, false) {
 			return
 		}
-		c := *p.value
-		c.Step = StepChosen
+		chosen := *p.value
+		chosen.Step = StepChosen
 		for _, id := range ids {
-			n.send(id, &Message{Founding: &c})
+			n.send(id, &Message{Founding: &chosen})
 		}
 	}
 }
@@ -176,11 +176,11 @@
 	if f.Epoch < n.highestEpoch || f.Epoch == 0 || n.founding != nil && n.founding.Epoch >= f.Epoch || len(f.Voters) < 3 {
 		return
 	}
-	known := *f
+	founding := *f
 	n.highestEpoch, n.proposal, n.dirty = f.Epoch, nil, true
 	// A member that was added later joins once a leader of the group has sent it Raft messages.
 	if slices.Contains(f.Voters, n.self) || n.contactedEpoch == f.Epoch {
-		n.joinGroup(&known)
+		n.joinGroup(&founding)
 	}
 }
 
--- a/internal/decide/lease/holder.go
+++ b/internal/decide/lease/holder.go
@@ -64,7 +64,7 @@
 
 // applyTable ends leases that the table assigns to others, and accepts or releases grants that it assigns to this member.
 func (n *Node) applyTable() {
-	n.ended = slices.DeleteFunc(n.ended, func(d Grant) bool { return !n.isOurs(d) })
+	n.ended = slices.DeleteFunc(n.ended, func(ended Grant) bool { return !n.isOurs(ended) })
 	for _, held := range slices.Clone(n.leases) {
 		if g, known := n.grantFor(held.Role); known && (g.Token > held.Token || g.Token == held.Token && g.Holder != n.self) {
 			n.endLease(held, ReasonGrantedElsewhere)
@@ -106,7 +106,7 @@
 
 // hasEnded reports whether this process has ended a grant.
 func (n *Node) hasEnded(g Grant) bool {
-	return slices.ContainsFunc(n.ended, func(d Grant) bool { return d.Role == g.Role && d.Token >= g.Token })
+	return slices.ContainsFunc(n.ended, func(ended Grant) bool { return ended.Role == g.Role && ended.Token >= g.Token })
 }
 
 // canHold reports whether this member accepts a role now.
@@ -160,7 +160,7 @@
 		n.sendRenewal()
 	}
 	if n.now >= n.bidDueAt {
-		n.bidDueAt = n.now + compareIntervalSeconds
+		n.bidDueAt = n.now + tableQueryIntervalSeconds
 		var bids []string
 		for _, role := range n.settings.Roles {
 			if _, known := n.grantFor(role); !known && n.canHold(role) {
--- a/internal/decide/lease/lineage.go
+++ b/internal/decide/lease/lineage.go
@@ -42,17 +42,17 @@
 
 // contains reports whether this lineage may include the state with a serial and writer. An unknown writer counts as included.
 func (l lineage) contains(serial uint64, writerID uint32) bool {
-	writer := l.writerOf(serial)
-	return writer == 0 || writerID == 0 || writer == writerID
+	knownWriter := l.writerOf(serial)
+	return knownWriter == 0 || writerID == 0 || knownWriter == writerID
 }
 
 // peerState is what is known of another member's persisted state, and when that member was last sent this one's lineage.
 type peerState struct {
-	id            swim.ID
-	serial        uint64
-	writerID      uint32  // of that state; 0: the peer's version does not send it
-	shownWriterID uint32  // the last writer of the lineage that the peer was sent; 0: the lineage is due
-	shownAt       float64 // when the peer was sent the lineage
+	id           swim.ID
+	serial       uint64
+	writerID     uint32  // of that state; 0: the peer's version does not send it
+	sentWriterID uint32  // the last writer of the lineage that the peer was sent; 0: the lineage is due
+	sentAt       float64 // when the peer was sent the lineage
 }
 
 // maxPeers bounds the members whose states are remembered, since their identities come from other processes.
@@ -60,7 +60,7 @@
 
 // peer returns the state of a member, created if it is new; nil if there are too many.
 func (n *Node) peer(id swim.ID) *peerState {
-	i, known := slices.BinarySearchFunc(n.peers, id, func(h peerState, id swim.ID) int { return cmp.Compare(h.id, id) })
+	i, known := slices.BinarySearchFunc(n.peers, id, func(p peerState, id swim.ID) int { return cmp.Compare(p.id, id) })
 	if !known {
 		if len(n.peers) >= maxPeers {
 			return nil
@@ -76,9 +76,9 @@
 	switch peer := n.peer(to); {
 	case peer == nil:
 		m.Lineage = n.lineage
-	case peer.shownWriterID == 0 || peer.shownWriterID != m.WriterID || n.now-peer.shownAt >= lineageIntervalSeconds:
+	case peer.sentWriterID == 0 || peer.sentWriterID != m.WriterID || n.now-peer.sentAt >= lineageIntervalSeconds:
 		m.Lineage = n.lineage
-		peer.shownWriterID, peer.shownAt = m.WriterID, n.now
+		peer.sentWriterID, peer.sentAt = m.WriterID, n.now
 	}
 	n.actions.Send(to, m)
 }
@@ -93,7 +93,7 @@
 		case m.Serial > n.serial || !n.lineage.contains(m.Serial, m.WriterID):
 			n.replaceIdentity("peers know a later state of this identity: this one is an old copy")
 		case peer != nil:
-			peer.shownWriterID = 0
+			peer.sentWriterID = 0
 		}
 		return false
 	}
--- a/internal/decide/lease/node.go
+++ b/internal/decide/lease/node.go
@@ -44,19 +44,19 @@
 	retired         bool        // ReplaceIdentity was called: the Node does nothing more
 	highestEpoch    uint64      // of any group that this member knows of
 
-	promisedBallot   uint64
-	acceptedFounding *Founding
-	persistedEpoch   uint64    // highestEpoch in the state that was last passed to Persist
-	founding         *Founding // of the group that this member belongs to; nil: none
-	proposal         *proposal
-	ballotRound      uint64
-	foundingDueAt    float64
-	foundingAskedAt  float64
-	contactedEpoch   uint64 // of a group that this member does not belong to and whose leader has sent it Raft messages
-	group            *group
+	promisedBallot    uint64
+	acceptedFounding  *Founding
+	persistedEpoch    uint64    // highestEpoch in the state that was last passed to Persist
+	founding          *Founding // of the group that this member belongs to; nil: none
+	proposal          *proposal
+	ballotRound       uint64
+	foundingDueAt     float64
+	foundingQueriedAt float64
+	contactedEpoch    uint64 // of a group that this member does not belong to and whose leader has sent it Raft messages
+	group             *group
 
-	table        Table
-	compareDueAt float64
+	table           Table
+	tableQueryDueAt float64
 
 	holderState
 	leaderState
@@ -78,7 +78,7 @@
 	n.bootID = n.rng.Uint64() | 1
 	n.renewalNumber = n.rng.Uint64() >> 1
 	n.foundingDueAt = now + foundingRetrySeconds*n.rng.Float64()
-	n.compareDueAt = now + compareIntervalSeconds*n.rng.Float64()
+	n.tableQueryDueAt = now + tableQueryIntervalSeconds*n.rng.Float64()
 	n.bidDueAt = now + bidIntervalSeconds*(1+4*n.rng.Float64())
 	if len(savedState) == 0 {
 		return n, nil
@@ -189,12 +189,12 @@
 		if n.group != nil {
 			n.stepRaft(from, m.Raft)
 		}
-	case m.Epoch >= n.highestEpoch && n.now-n.foundingAskedAt > raftTickSeconds && !n.leaving && !n.persistFailed:
+	case m.Epoch >= n.highestEpoch && n.now-n.foundingQueriedAt > raftTickSeconds && !n.leaving && !n.persistFailed:
 		var raftMessage raftpb.Message
 		if proto.Unmarshal(m.Raft, &raftMessage) != nil || !n.isDurable() {
 			return
 		}
-		n.foundingAskedAt = n.now
+		n.foundingQueriedAt = n.now
 		switch raftMessage.GetType() {
 		case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 			n.contactedEpoch = m.Epoch
@@ -218,8 +218,8 @@
 	n.tickFounding()
 	n.tickHolder()
 	n.tickLeader()
-	if n.now >= n.compareDueAt {
-		n.compareDueAt = n.now + compareIntervalSeconds*(0.5+n.rng.Float64())
+	if n.now >= n.tableQueryDueAt {
+		n.tableQueryDueAt = n.now + tableQueryIntervalSeconds*(0.5+n.rng.Float64())
 		n.actions.Broadcast(&Message{Table: &Table{Epoch: n.table.Epoch, Index: n.table.Index, Term: n.table.Term}}, 0)
 	}
 	n.finishCall()
@@ -230,7 +230,7 @@
 	if n.retired {
 		return math.Inf(1)
 	}
-	next := n.compareDueAt
+	next := n.tableQueryDueAt
 	if n.group != nil {
 		next = min(next, n.group.tickDueAt)
 		if !n.group.isLeader {
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -69,11 +69,11 @@
 		}
 	})
 }
-func (s *testNode) LeaseStarted(role string, token uint64)        {}
-func (s *testNode) LeaseEnded(role string, t uint64, w EndReason) {}
-func (s *testNode) RecordCommitted(r Record)                      { s.record = r }
-func (s *testNode) ReplaceIdentity(why string)                    { s.replacedReason = why }
-func (s *testNode) Log(string, ...any)                            {}
+func (s *testNode) LeaseStarted(role string, token uint64)                 {}
+func (s *testNode) LeaseEnded(role string, token uint64, reason EndReason) {}
+func (s *testNode) RecordCommitted(r Record)                               { s.record = r }
+func (s *testNode) ReplaceIdentity(reason string)                          { s.replacedReason = reason }
+func (s *testNode) Log(string, ...any)                                     {}
 
 func (c *cluster) runUntil(at float64) {
 	for c.now < at {
@@ -130,17 +130,17 @@
 	holder, token := c.holder("list")
 	require.NotNil(t, holder)
 	c.runUntil(130)
-	again, same := c.holder("list")
-	require.Equal(t, holder, again)
-	require.Equal(t, token, same, "renewed, not granted again")
+	later, laterToken := c.holder("list")
+	require.Equal(t, holder, later)
+	require.Equal(t, token, laterToken, "renewed, not granted again")
 	other, _ := c.holder("report")
 	require.NotEqual(t, holder, other, "spread")
 	holder.up = false
 	c.runUntil(136)
-	next, greater := c.holder("list")
+	next, nextToken := c.holder("list")
 	require.NotNil(t, next)
 	require.NotEqual(t, holder, next)
-	require.Greater(t, greater, token)
+	require.Greater(t, nextToken, token)
 }
 
 // leader returns the node that leads, nil if there is none.
@@ -166,10 +166,10 @@
 		require.NotNil(t, holder, name)
 		release(c, holder)
 		c.runUntil(c.now + 0.2)
-		next, greater := c.holder("list")
+		next, nextToken := c.holder("list")
 		require.NotNil(t, next, name)
 		require.NotEqual(t, holder.id, next.id, name)
-		require.Equal(t, token+1, greater, name)
+		require.Equal(t, token+1, nextToken, name)
 		if name == "leaves" {
 			c.runUntil(c.now + 1)
 			require.True(t, holder.node.HasLeft())
@@ -210,8 +210,8 @@
 		c := newCluster(t, 3, "list")
 		c.runUntil(110)
 		transfer := func() {
-			was := c.leader()
-			was.node.transferLeadership()
+			former := c.leader()
+			former.node.transferLeadership()
 			c.runUntil(c.now + 0.5)
 		}
 		for c.leader() == c.all[2] || len(c.all[2].history) < 6 {
@@ -313,9 +313,9 @@
 	require.ErrorIs(t, err, ErrInvalidState)
 	restarted, err := New(c.now, s.id, s.node.settings, s.state, s)
 	require.NoError(t, err)
-	was, _ := s.node.group.storage.LastIndex()
-	is, _ := restarted.group.storage.LastIndex()
-	require.Equal(t, was, is)
+	before, _ := s.node.group.storage.LastIndex()
+	after, _ := restarted.group.storage.LastIndex()
+	require.Equal(t, before, after)
 	require.Equal(t, s.node.group.term, restarted.group.term)
 }
 
@@ -326,10 +326,10 @@
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
 			role, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "role"), rapid.Uint64Range(1, 9).Draw(t, "token")
-			ok, greatest := fence.Admit(role, token)
+			ok, highest := fence.Admit(role, token)
 			require.Equal(t, token >= seen[role], ok)
 			seen[role] = max(seen[role], token)
-			require.Equal(t, seen[role], greatest)
+			require.Equal(t, seen[role], highest)
 			if rapid.Bool().Draw(t, "restart") {
 				var next Fence
 				next.Restore(fence.Highest())
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -21,9 +21,9 @@
 		return
 	}
 	if !n.dirty {
-		later := n.deferred
+		messages := n.deferred
 		n.deferred = nil
-		for _, o := range later {
+		for _, o := range messages {
 			n.send(o.to, o.m)
 		}
 		return
@@ -62,9 +62,9 @@
 		n.persistFailed = false
 		n.actions.Log("lease state persisted again: this member votes")
 	}
-	inflight := n.awaitingPersist
+	messages := n.awaitingPersist
 	n.awaitingPersist = nil
-	for _, o := range inflight {
+	for _, o := range messages {
 		n.send(o.to, o.m)
 	}
 	if n.group != nil && n.group.ready != nil {
--- a/internal/decide/lease/raft.go
+++ b/internal/decide/lease/raft.go
@@ -97,19 +97,19 @@
 
 // guardRaft calls Raft and turns its panics into errors that wrap ErrInvalidState. Raft panics on invalid input, and messages come
 // from other processes.
-func (n *Node) guardRaft(do func()) (err error) {
+func (n *Node) guardRaft(call func()) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			err = fmt.Errorf("%w: %v", ErrInvalidState, cause)
 		}
 	}()
-	do()
+	call()
 	return nil
 }
 
 // runRaft calls Raft and gives up this identity if Raft panics.
-func (n *Node) runRaft(do func()) {
-	if err := n.guardRaft(do); err != nil {
+func (n *Node) runRaft(call func()) {
+	if err := n.guardRaft(call); err != nil {
 		n.replaceIdentity(err.Error())
 	}
 }
--- a/internal/decide/lease/record.go
+++ b/internal/decide/lease/record.go
@@ -44,8 +44,8 @@
 	if current := m.record(r.Role); !known || g.Holder == 0 || g.Token != r.Token || current.Version+1 != r.Version || len(r.Body) > MaxRecordBytes {
 		return false
 	}
-	i, kept := recordIndex(m.Records, r.Role)
-	if !kept {
+	i, found := recordIndex(m.Records, r.Role)
+	if !found {
 		m.Records = slices.Insert(m.Records, i, Record{})
 	}
 	m.Records[i] = *r
--- a/internal/decide/lease/renewal.go
+++ b/internal/decide/lease/renewal.go
@@ -45,7 +45,7 @@
 
 // confirmRenewal extends those leases of a request whose grants are still as the holder states them, and replies.
 func (n *Node) confirmRenewal(w waitingRenewal) {
-	answer := &Renewal{Number: w.Number}
+	reply := &Renewal{Number: w.Number}
 	for _, g := range w.Grants {
 		current, known := n.group.machine.grant(g.Role)
 		state := n.roleFor(g.Role)
@@ -53,11 +53,11 @@
 			continue
 		}
 		state.renewedAt = n.now
-		answer.Grants = append(answer.Grants, g)
+		reply.Grants = append(reply.Grants, g)
 	}
-	answer.Records = n.newerRecords(w.Records)
-	m := &Message{RenewReply: answer}
-	if len(answer.Grants) < len(w.Grants) {
+	reply.Records = n.newerRecords(w.Records)
+	m := &Message{RenewReply: reply}
+	if len(reply.Grants) < len(w.Grants) {
 		m.Table = n.tableMessage().Table
 	}
 	n.send(w.from, m)
--- a/internal/decide/lease/stored_form_test.go
+++ b/internal/decide/lease/stored_form_test.go
@@ -83,9 +83,9 @@
 		s.node = next
 	}
 	c.runUntil(c.now + 10)
-	next, later := c.holder("list")
+	next, nextToken := c.holder("list")
 	require.NotNil(t, next)
-	require.Greater(t, later, token, "a token that was granted is not granted again")
+	require.Greater(t, nextToken, token, "a token that was granted is not granted again")
 	require.Equal(t, []byte("kept"), next.record.Body)
 	for _, s := range c.all {
 		require.Empty(t, s.replacedReason)
--- a/internal/decide/lease/table.go
+++ b/internal/decide/lease/table.go
@@ -7,8 +7,8 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// compareIntervalSeconds is the mean time between two requests for newer tables.
-const compareIntervalSeconds = 10.0
+// tableQueryIntervalSeconds is the mean time between two requests for newer tables.
+const tableQueryIntervalSeconds = 10.0
 
 // isNewerThan compares the versions of two tables.
 func (a *Table) isNewerThan(b *Table) bool {
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -90,7 +90,7 @@
 	for i := range n.members {
 		m := &n.members[i]
 		if m.State == swim.Alive && m.Durable && n.stateAgeSeconds(m) >= minAliveSeconds && !slices.Contains(n.group.memberIDs(), uint64(m.ID)) &&
-			!slices.ContainsFunc(n.exclusions, func(p exclusion) bool { return p.role == "" && p.id == m.ID && n.now < p.until }) &&
+			!slices.ContainsFunc(n.exclusions, func(e exclusion) bool { return e.role == "" && e.id == m.ID && n.now < e.until }) &&
 			(best == nil || m.StateAgeSeconds > best.StateAgeSeconds) {
 			best = m
 		}
