--- a/internal/decide/maintenance/advance.go
+++ b/internal/decide/maintenance/advance.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 // advancePlan moves the servers of a plan to their next stages as far as time and the fleet allow. It reports whether the plan
-// changed, and whether a server became Draining, which needs mayDrain.
+// changed, and whether a server became Draining, which only happens if mayDrain is true.
 func (c *Coordinator) advancePlan(next *State, p *Plan, mayDrain bool) (changed, drained bool) {
 	progress := c.planProgress(p.Number)
-	if progress == nil { // it was submitted in this step
+	if progress == nil { // the plan was submitted in this step
 		return false, false
 	}
 	changed, hasServerOut := c.advanceServers(p, progress)
@@ -42,8 +42,8 @@
 	return changed, hasServerOut
 }
 
-// advanceServer moves a server to its next stage if it is due. With giveBack a server that is not being worked on yet is put back in
-// service, unless it would not serve anyway.
+// advanceServer moves a server to its next stage if that is due. With giveBack, a server that no agent works on yet is put back in
+// service, unless it is unavailable for other reasons too.
 func (c *Coordinator) advanceServer(p *Plan, server *Server, giveBack bool) {
 	progress := c.serverProgress(p.Number, server.Name)
 	if progress == nil || progress.stage != server.Stage || progress.sinceVersion != server.SinceVersion {
@@ -67,7 +67,7 @@
 	}
 }
 
-// skipPending skips the servers of a plan whose time is over, and reports whether there were any.
+// skipPending skips the pending servers of a plan whose time is over, and reports whether there were any.
 func (c *Coordinator) skipPending(p *Plan) (changed bool) {
 	for i := range p.Servers {
 		if server := &p.Servers[i]; server.Stage == Pending {
@@ -78,8 +78,8 @@
 	return changed
 }
 
-// drainNext starts to drain the next server of a plan, and reports whether there was one. The first one fixes the baseline that the
-// plan is held to.
+// drainNext starts to drain the next server of a plan, and reports whether there was one. When the plan's first server drains, the
+// measured baseline becomes Plan.BaselineRejection.
 func (c *Coordinator) drainNext(next *State, p *Plan) bool {
 	server := c.chooseNext(next, p)
 	if server == nil {
@@ -93,7 +93,7 @@
 	return true
 }
 
-// setStage moves a server to a stage. ForcedPast stays on record, unless the server waits for its turn again.
+// setStage moves a server to a stage. It keeps ForcedPast, except for a server that becomes Pending again.
 func (c *Coordinator) setStage(server *Server, stage Stage, reason string) {
 	server.Stage, server.SinceVersion, server.Reason = stage, c.nextVersion(), truncate(reason, maxTextLen)
 	if stage == Pending {
@@ -101,7 +101,7 @@
 	}
 }
 
-// releaseLost ends the hold of other plans on a server that they lost, now that a plan drains it.
+// releaseLost makes a server that is Lost in other plans Skipped there, since this plan drains it now.
 func (c *Coordinator) releaseLost(next *State, by *Plan, name string) {
 	for i := range next.Plans {
 		p := &next.Plans[i]
--- a/internal/decide/maintenance/baseline.go
+++ b/internal/decide/maintenance/baseline.go
@@ -5,30 +5,32 @@
 	"math"
 )
 
-// rejectionBaseline measures which fraction of its requests the fleet rejects while no plan has a server out, nor had one until
-// lately. A fleet near its capacity rejects some whatever plans do; a plan that waited for the end of that would wait for ever.
+// rejectionBaseline measures which fraction of its requests the fleet rejects while no plan has a server out, or had one within
+// aftermathSeconds. A fleet near its capacity rejects some requests whatever plans do; a plan that waited for that to end would wait
+// for ever.
 //
-// Danger: what a plan causes must never become part of the baseline, or each server that drains would allow for the next one. So
-// nothing is measured until the effect of the last server is over. Against effects that stay, Plan.BaselineRejection holds what was
-// measured before the plan's first server drained: it is committed, survives the lease holder, and only ResumePlan resets it.
+// Danger: rejections that a plan causes must never become part of the baseline, or each server that drains would raise the limit for
+// the next one. So nothing is measured until the effect of the last server is over. Against lasting effects, Plan.BaselineRejection
+// holds what was measured before the plan's first server drained: it is committed, outlives the lease holder, and only ResumePlan
+// resets it.
 type rejectionBaseline struct {
 	completed, rejected             movingAverage // over baselineWindowSeconds
 	recentCompleted, recentRejected movingAverage // over recentWindowSeconds
-	undisturbedSince                float64       // since when no server has been out; 0: one is, or no snapshot came yet
-	measuredSeconds                 float64       // for how long the baseline has been measured since then
+	undisturbedSince                float64       // since when no server has been out; 0: one is out, or there was no snapshot yet
+	measuredSeconds                 float64       // for how long the baseline has been measured since undisturbedSince
 }
 
 const (
-	aftermathSeconds      = 8.0 // after a server is back in service its effect is over
-	minMeasureSeconds     = 10.0
+	aftermathSeconds      = 8.0  // how long the effect of a server that is back in service may last
+	minMeasureSeconds     = 10.0 // how long the baseline is measured before it counts as current
 	baselineWindowSeconds = 60.0
-	recentWindowSeconds   = 15.0   // to follow a fall sooner
-	minBaseline           = 0.0001 // least value of a Plan.BaselineRejection, where 0 means that no server has drained yet
-	negligibleFraction    = 0.2    // of a plan's RejectionBudget: rejections below it need no baseline
-	drainMargin           = 0.7    // of a plan's RejectionBudget that is tolerated when a server is to drain; while servers are out all of it is
+	recentWindowSeconds   = 15.0   // a shorter window, to follow falling rejections sooner
+	minBaseline           = 0.0001 // minimum of a measured Plan.BaselineRejection, where 0 means that no server has drained yet
+	negligibleFraction    = 0.2    // fraction of a plan's RejectionBudget; fewer rejections need no baseline
+	drainMargin           = 0.7    // fraction of a plan's RejectionBudget that may be used when a server starts to drain; once servers are out, all of it may
 )
 
-// observe takes a report that covers the last elapsed seconds.
+// observe handles a report that covers the last elapsed seconds.
 func (b *rejectionBaseline) observe(now, elapsed float64, hasServerOut bool, report *Report) {
 	if hasServerOut {
 		b.undisturbedSince, b.measuredSeconds = 0, 0
@@ -47,7 +49,8 @@
 	b.measuredSeconds += elapsed
 }
 
-// isMeasured reports whether the baseline is current: no server is out, and it was measured for long enough since.
+// isMeasured reports whether the baseline is current: no server is out, and it has been measured for long enough since the last one
+// was.
 func (b *rejectionBaseline) isMeasured() bool { return b.measuredSeconds >= minMeasureSeconds }
 
 // fraction returns the measured fraction of rejected requests, if anything was measured.
@@ -60,8 +63,8 @@
 	return min(long, recent), true
 }
 
-// baselineRejection returns the baseline that counts for a plan: never more than its RejectionBudget above what was measured before
-// its first server drained.
+// baselineRejection returns the baseline that applies to a plan. It is at most the plan's RejectionBudget above what was measured
+// before its first server drained.
 func (c *Coordinator) baselineRejection(p *Plan) float64 {
 	fraction, known := c.fleet.baseline.fraction()
 	switch {
@@ -78,15 +81,15 @@
 	return min(c.baselineRejection(p)+budgetFraction*p.Spec.rejectionBudget(), p.Spec.maxRejection())
 }
 
-// isDegraded reports whether the baseline alone is more than a plan tolerates. Servers then drain one at a time, each after the
-// baseline was measured again.
+// isDegraded reports whether the baseline alone exceeds what a plan may add when a server starts to drain. Servers then drain one at
+// a time, each after the baseline was measured again.
 func (c *Coordinator) isDegraded(p *Plan) bool {
 	return c.baselineRejection(p) > drainMargin*p.Spec.rejectionBudget()
 }
 
-// needsBaseline reports whether the first server of a plan must wait until the baseline is measured. It needn't if next to nothing is
-// rejected, or if nothing can be measured now because another plan has a server out. Danger: a plan that began with what happened to
-// be rejected in a few seconds would be held to that for good.
+// needsBaseline reports whether the first server of a plan must wait until the baseline is measured: the rejections of a few seconds
+// would otherwise bound the plan's baseline for good. It needn't wait if the rejections are negligible, or if nothing can be measured
+// now because another plan has a server out.
 func (c *Coordinator) needsBaseline(p *Plan) bool {
 	_, known := c.fleet.baseline.fraction()
 	return p.BaselineRejection == 0 && !known && c.fleet.baseline.undisturbedSince != 0 &&
--- a/internal/decide/maintenance/baseline_test.go
+++ b/internal/decide/maintenance/baseline_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// runWithAgent advances by steps of half a second with an agent that completes its work at once. rejected returns the fraction of
-// requests that is rejected now; drained, if set, is called after each server that becomes Draining.
+// runWithAgent advances by steps of half a second, with an agent that completes its work at once. rejected returns the present
+// fraction of requests that are rejected; drained, if set, is called whenever a server becomes Draining.
 func (d *driver) runWithAgent(steps int, rejected func() float64, drained func()) {
 	for range steps {
 		d.snapshot.Report.RejectedPerSecond = rejected() * d.snapshot.Report.CompletedPerSecond
@@ -31,7 +31,7 @@
 	}
 }
 
-// A plan continues one server at a time while the fleet rejects a steady fraction by itself, and records the baseline; above
+// While the fleet rejects a steady fraction without any plan, a plan records that baseline and continues one server at a time. Above
 // MaxRejection no server drains.
 func TestPlanContinuesDespiteBaselineRejection(t *testing.T) {
 	for own, drains := range map[float64]bool{0.05: true, 0.2: true, 0.27: false, 0.6: false} {
@@ -56,7 +56,7 @@
 	}
 }
 
-// In a fleet that rejects nothing all servers that may be out at once are, without a measured baseline.
+// In a fleet that rejects nothing, a plan drains as many servers as MaxConcurrent allows without a measured baseline.
 func TestNoBaselineNeededWithoutRejections(t *testing.T) {
 	d := newDriver(t, 3, 3, 3)
 	s := spec()
@@ -77,14 +77,14 @@
 	}
 	require.Equal(t, 1, d.countStages()[WarmingUp], "%v", d.Blockers())
 	done := d.countStages()[Done]
-	d.runWithAgent(400, func() float64 { return 0.09 }, nil) // an effect that stays: above the baseline of 0.05 and the budget of 0.02
+	d.runWithAgent(400, func() float64 { return 0.09 }, nil) // a lasting effect: more than the baseline of 0.05 and the budget of 0.02
 	assert.LessOrEqual(t, d.countStages()[Done], done+1)
 	assert.Contains(t, d.Blockers()[0].Reason, "are refused or fail")
 	d.runWithAgent(200, func() float64 { return 0.05 }, nil)
 	assert.Greater(t, d.countStages()[Done], done+1, "%v", d.Blockers())
 }
 
-// A Draining server is put back in service when more is rejected than the budget allows.
+// A Draining server is put back in service when more requests are rejected than the budget allows.
 func TestGivesBackServerThatRaisesRejections(t *testing.T) {
 	d := newDriver(t, 3, 3, 3)
 	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
@@ -100,14 +100,15 @@
 	}
 	require.Equal(t, 1, d.countStages()[Draining])
 	d.advance(10)
-	require.Equal(t, 1, d.countStages()[Draining], "no more is refused")
+	require.Equal(t, 1, d.countStages()[Draining], "rejections have not risen yet")
 	d.snapshot.Report.RejectedPerSecond = 0.1 * d.snapshot.Report.CompletedPerSecond
 	d.advance(10)
 	assert.Zero(t, d.countStages()[Draining])
 }
 
-// Whatever effect servers have on the fleet, while they are out or for good, and whenever the lease holder is replaced: no server
-// drains while more is rejected than the fleet rejected at most before the first one drained, plus what is tolerated of the budget.
+// Draining servers may raise the rejections while they are out or for good, and the lease holder may be replaced at any time. No
+// server starts to drain while the rejections exceed the highest fraction before the first one drained plus the allowed share of the
+// budget.
 func TestPlanDoesNotRaiseItsBaseline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(t, 2, 3, 4)
@@ -144,7 +145,8 @@
 	})
 }
 
-// The same without effects that stay: the measured baseline never exceeds the fleet's own rejections.
+// Draining servers raise the rejections only while they are out and shortly after. The measured baseline never exceeds the fraction
+// that the fleet rejects without them.
 func TestDrainEffectIsNotPartOfBaseline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDriver(t, 2, 3, 4)
--- a/internal/decide/maintenance/blockers.go
+++ b/internal/decide/maintenance/blockers.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Blocker states what a server of a plan, or with an empty Server the whole plan, waits for.
+// Blocker states what a server of a plan waits for, or what the whole plan waits for if Server is empty.
 type Blocker struct {
 	Plan    uint64   `msgpack:"p" json:"plan"`
 	Server  string   `msgpack:"b,omitempty" json:"box,omitempty"`
@@ -10,8 +10,8 @@
 	Members []string `msgpack:"o,omitempty" json:"who,omitempty"` // names of the sidecars that are the cause, at most ten
 }
 
-// Blockers returns what the plans that go on wait for, in the order of plans and servers, each plan's own blocker behind those of its
-// servers.
+// Blockers returns what the plans that have not ended wait for, in the order of plans and servers. Each plan's own blocker follows
+// those of its servers.
 func (c *Coordinator) Blockers() (all []Blocker) {
 	for i := range c.committed.State.Plans {
 		p := &c.committed.State.Plans[i]
@@ -36,7 +36,7 @@
 	return all
 }
 
-// serverBlocker returns what a server waits for; without a Reason it waits for nothing of its own.
+// serverBlocker returns what a server waits for. Without a Reason it waits for nothing but its plan.
 func (c *Coordinator) serverBlocker(p *Plan, server *Server) Blocker {
 	b := Blocker{Plan: p.Number, Server: server.Name}
 	switch server.Stage {
@@ -62,7 +62,7 @@
 	return b
 }
 
-// planBlocker returns why no pending server of a plan drains; without a Reason one will with the next Step.
+// planBlocker returns why no pending server of a plan drains. Without a Reason the next Step drains one.
 func (c *Coordinator) planBlocker(p *Plan) Blocker {
 	progress := c.planProgress(p.Number)
 	b := Blocker{Plan: p.Number, Reason: c.drainBlocker(p, progress)}
@@ -75,7 +75,8 @@
 	return b
 }
 
-// drainBlocker returns why no server of a plan may drain now, whichever it were; empty: one may, if chooseNext finds one.
+// drainBlocker returns why no server of a plan may drain now, whatever server it is. Empty means that one may drain if chooseNext
+// finds one.
 func (c *Coordinator) drainBlocker(p *Plan, progress *planProgress) string {
 	age := progress.age(c.now)
 	calmSeconds := steadySeconds
@@ -105,8 +106,8 @@
 	return ""
 }
 
-// holdReason returns what of the fleet keeps every server of a plan from draining; empty: nothing does. MinCapacity is not part of it:
-// a server that is unavailable anyway may drain even below it.
+// holdReason returns what in the state of the fleet keeps every server of a plan from draining; empty: nothing does. It does not
+// check MinCapacity: a server that is unavailable anyway may drain even below it.
 func (c *Coordinator) holdReason(p *Plan) string {
 	if reason := c.faultReason(p, drainMargin); reason != "" {
 		return reason
@@ -120,7 +121,7 @@
 	return ""
 }
 
-// giveBackReason returns why servers of a plan that are not being worked on yet should be put back in service; empty: they needn't.
+// giveBackReason returns why the servers of a plan that no agent works on yet should be put back in service; empty: they needn't be.
 func (c *Coordinator) giveBackReason(p *Plan) string {
 	if reason := c.faultReason(p, 1); reason != "" {
 		return reason
@@ -133,8 +134,8 @@
 	return ""
 }
 
-// faultReason returns what is wrong with the fleet for a plan, whichever servers are out: too many rejections, with budgetFraction of
-// the plan's RejectionBudget still tolerated, or a lost site. Empty: nothing is.
+// faultReason returns which fault of the fleet concerns a plan, whichever servers are out: more rejections than the baseline and
+// budgetFraction of the plan's RejectionBudget allow, or a lost site. Empty means that there is none.
 func (c *Coordinator) faultReason(p *Plan, budgetFraction float64) string {
 	f := &c.fleet
 	if rejected, limit := f.rejectionFraction(), c.maxRejection(p, budgetFraction); rejected > limit {
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -7,34 +7,34 @@
 
 // Settings configure a Coordinator.
 type Settings struct {
-	WarmUpSeconds float64 // slow start of a server, where a plan sets none; 5 at least
-	Order         Order   // which pending server drains next
+	WarmUpSeconds float64 // duration of a server's slow start if the plan sets none; at least 5
+	Order         Order   // by which the next server to drain is chosen
 }
 
 // Times of a Coordinator, in seconds of its clock.
 const (
-	snapshotMaxAgeSeconds = 3.0   // after which a snapshot proves nothing
-	submitTimeoutSeconds  = 10.0  // for which SubmitPlan waits for a fresh snapshot to be checked against
-	steadySeconds         = 2.0   // without a fault before a server drains,
-	cautiousSeconds       = 10.0  // and after a server was put back in service
-	faultGraceSeconds     = 2.5   // a fault must last before servers are put back in service
-	lostSeconds           = 600.0 // for which a site counts as lost, and a server that no list has any more as unavailable
-	leftMemberSeconds     = 60.0  // after which a sidecar that left need not report any more
+	snapshotMaxAgeSeconds = 3.0   // older snapshots are not used for decisions
+	submitTimeoutSeconds  = 10.0  // how long SubmitPlan waits for a fresh snapshot to be checked against
+	steadySeconds         = 2.0   // how long the fleet must be without a fault before a server drains
+	cautiousSeconds       = 10.0  // the same after a server was put back in service
+	faultGraceSeconds     = 2.5   // how long a fault must last before servers are put back in service
+	lostSeconds           = 600.0 // how long a site counts as lost, and a server that is on no list any more as unavailable
+	leftMemberSeconds     = 60.0  // after this time a sidecar that left need not report any more
 )
 
 const (
-	maxQueued        = 256 // commands that wait
-	maxRecentReplies = 64  // replies that are kept for repeated commands
+	maxQueued        = 256 // commands in the queue
+	maxRecentReplies = 64  // replies that are kept for commands that are submitted again
 )
 
-// Coordinator carries out the plans of a fleet at the lease holder. It is not safe for concurrent use; all calls pass the current
-// time in seconds, and a time that goes back is ignored. Beside the committed State it holds only what it has observed since Start:
-// losing that delays plans and has no other effect.
+// Coordinator carries out the plans of a fleet at the lease holder. It is not safe for concurrent use. All calls pass the current
+// time in seconds; a time before that of an earlier call counts as the latter. Beside the committed State it holds only what it has
+// observed since Start: losing that delays plans and has no other effect.
 type Coordinator struct {
 	settings      Settings
 	now           float64
 	committed     Committed
-	proposed      *State            // what is being committed in place of committed; nil: nothing is
+	proposed      *State            // the successor of committed that is being committed; nil: none
 	unconfirmed   []executedCommand // commands whose effects are in proposed
 	queue         []queuedCommand
 	replies       []Reply // not returned by Replies yet
@@ -48,31 +48,31 @@
 	lastDrainAt float64 // when a server last became Draining
 }
 
-// queuedCommand is a command that waits for Step. After its deadline it is executed even if what it waits for is missing.
+// queuedCommand is a command that waits for Step. After its deadline it is executed even if mustWait still holds.
 type queuedCommand struct {
 	Command
 	deadline float64
 }
 
-// executedCommand is a command with its reply, which holds once the proposed State is committed.
+// executedCommand is a command with its reply, which is valid once the proposed State is committed.
 type executedCommand struct {
 	queued queuedCommand
 	reply  Reply
 }
 
-// New returns a Coordinator that coordinates nothing until Start.
+// New returns a Coordinator that does nothing until Start.
 func New(settings Settings) *Coordinator { return &Coordinator{settings: settings} }
 
-// Start begins a new lease: committed is what a quorum has confirmed since the lease was granted. Everything of an earlier lease is
-// discarded, commands that wait included.
+// Start begins a new lease: committed is the State that a quorum has confirmed since the lease was granted. Everything of an earlier
+// lease is discarded, including queued commands.
 func (c *Coordinator) Start(now float64, committed Committed) {
 	*c = Coordinator{settings: c.settings, now: now, lastDrainAt: math.Inf(-1)}
 	c.committed = committed
 	c.updateProgress()
 }
 
-// Version returns the version that the State returned by Step replaces. Danger: the caller may know of a newer version before
-// ApplyCommitted; a State written in that one's place would undo what this Coordinator does not know.
+// Version returns the version that the State returned by Step replaces. Danger: the caller may know of a newer version before it calls
+// ApplyCommitted. It must not replace that one: the State would undo changes that this Coordinator does not know of.
 func (c *Coordinator) Version() uint64 { return c.committed.Version }
 
 // nextVersion is the version that the proposed State will have.
@@ -80,8 +80,8 @@
 
 func (c *Coordinator) advanceClock(now float64) { c.now = max(c.now, now) }
 
-// ApplyCommitted takes a newer committed State: the proposed one, or one of an earlier lease holder that was committed late. Older
-// ones are ignored.
+// ApplyCommitted replaces the committed State by a newer one: the proposed one, or one of an earlier lease holder that was committed
+// late. Older ones are ignored.
 func (c *Coordinator) ApplyCommitted(now float64, committed Committed) {
 	c.advanceClock(now)
 	if committed.Epoch < c.committed.Epoch || committed.Epoch == c.committed.Epoch && committed.Version <= c.committed.Version {
@@ -98,17 +98,17 @@
 	c.updateProgress()
 }
 
-// confirm releases the replies whose effects are committed, or that had none.
+// confirm makes the replies to the unconfirmed commands final, whose effects are committed or which had none.
 func (c *Coordinator) confirm() {
 	for _, executed := range c.unconfirmed {
 		c.reply(executed.reply)
 	}
 }
 
-// requeueUnconfirmed has the commands of the proposed State executed again on the committed one, before all others. Danger: their
-// effects were not committed, or it is not known that they were; a command that finds its effect in the State replies so.
+// requeueUnconfirmed queues the commands of the proposed State again, before all others, to be executed on the committed one. Their
+// effects may or may not have been committed; a command that finds its effect in the State replies so.
 func (c *Coordinator) requeueUnconfirmed() {
-	c.fleet.baseline = rejectionBaseline{} // servers may have been out of service without being known here
+	c.fleet.baseline = rejectionBaseline{} // servers may have been out of service without this Coordinator knowing
 	var again []queuedCommand
 	for _, executed := range c.unconfirmed {
 		again = append(again, executed.queued)
@@ -116,7 +116,7 @@
 	c.queue = append(again, c.queue...)
 }
 
-// Observe takes a snapshot of the fleet in place of the one before.
+// Observe replaces the snapshot of the fleet by a newer one.
 func (c *Coordinator) Observe(now float64, snapshot FleetSnapshot) {
 	c.advanceClock(now)
 	elapsed := c.now - c.snapshotAt
@@ -132,7 +132,7 @@
 	}
 }
 
-// assessPlan records since when a fault of the fleet has lasted for a plan, and since when there has been none.
+// assessPlan records for a plan since when there has been a giveBackReason, and since when there has been no holdReason.
 func (c *Coordinator) assessPlan(p *Plan) {
 	progress := c.planProgress(p.Number)
 	if c.giveBackReason(p) != "" {
@@ -149,7 +149,7 @@
 	}
 }
 
-// freshSnapshot returns the last snapshot, or nil if it is too old to prove anything.
+// freshSnapshot returns the last snapshot, or nil if it is older than snapshotMaxAgeSeconds.
 func (c *Coordinator) freshSnapshot() *FleetSnapshot {
 	if c.snapshot == nil || c.now-c.snapshotAt > snapshotMaxAgeSeconds {
 		return nil
@@ -157,14 +157,15 @@
 	return c.snapshot
 }
 
-// NeedsSnapshot reports whether the caller should query the fleet and call Observe: a plan goes on, or one waits to be checked.
+// NeedsSnapshot reports whether the caller should query the fleet and call Observe: a plan has not ended, or a submitted one waits to
+// be checked.
 func (c *Coordinator) NeedsSnapshot() bool {
 	return slices.ContainsFunc(c.committed.State.Plans, func(p Plan) bool { return !p.Ended }) ||
 		slices.ContainsFunc(c.queue, func(q queuedCommand) bool { return q.Kind == SubmitPlan })
 }
 
-// Step executes waiting commands, advances all plans and returns the State to commit in place of Version; nil if there is none. The
-// same State is returned until ApplyCommitted replaces it. The caller must not change it.
+// Step executes queued commands, advances all plans and returns the State to commit as the successor of Version, or nil if nothing
+// changed. The same State is returned until ApplyCommitted is called with a newer one. The caller must not change it.
 func (c *Coordinator) Step(now float64) *State {
 	c.advanceClock(now)
 	if c.proposed != nil {
@@ -179,7 +180,7 @@
 		return nil
 	}
 	c.updateAges(next)
-	if _, err := next.Encode(); err != nil && !next.trimToSize() { // names and reasons exceed the bounds
+	if _, err := next.Encode(); err != nil && !next.trimToSize() { // names and reasons made the State too large
 		for _, executed := range c.unconfirmed {
 			c.reply(Reply{Nonce: executed.reply.Nonce, Err: err.Error()})
 		}
@@ -190,8 +191,8 @@
 	return next
 }
 
-// executeQueue executes the waiting commands that can be, at most one AcquireServer with an effect, and reports whether any changed
-// the State.
+// executeQueue executes the queued commands that need not wait, among them at most one AcquireServer that changes the State. It
+// reports whether any command changed the State.
 func (c *Coordinator) executeQueue(next *State) (changed bool) {
 	acquired := false
 	var later []queuedCommand
@@ -209,8 +210,8 @@
 	return changed
 }
 
-// advancePlans advances all plans that go on. At most one server of the fleet becomes Draining, so that its effect is observed before
-// the next one.
+// advancePlans advances all plans that have not ended. At most one server of the fleet becomes Draining in a step, so that its effect
+// is observed before the next one drains.
 func (c *Coordinator) advancePlans(next *State) (changed bool) {
 	mayDrain := true
 	for i := range next.Plans {
@@ -222,7 +223,7 @@
 	return changed
 }
 
-// updateAges brings the ages of plans that go on up to now, to a tenth of a second. They never go back.
+// updateAges updates the ages of plans that have not ended, rounded to a tenth of a second. Ages never decrease.
 func (c *Coordinator) updateAges(next *State) {
 	for i := range next.Plans {
 		if p := &next.Plans[i]; !p.Ended {
@@ -233,9 +234,9 @@
 	}
 }
 
-// mustWait reports whether a command can't be decided yet: a plan without a fresh snapshot, or a token of a later version than the
-// committed one. Danger: a lease holder that does not know what a later one has handed out must not reply that nobody works on the
-// server.
+// mustWait reports whether a command can't be executed yet: SubmitPlan without a fresh snapshot, or a token that contains a later
+// version than the committed one. A lease holder that does not know what a later one has handed out must not reply that nobody works
+// on the server.
 func (c *Coordinator) mustWait(q *queuedCommand) bool {
 	switch q.Kind {
 	case SubmitPlan:
@@ -246,7 +247,7 @@
 	return false
 }
 
-// StepDeadline returns the time at which Step must be called at the latest, if nothing else happens.
+// StepDeadline returns the time by which Step must be called if nothing else happens before.
 func (c *Coordinator) StepDeadline(now float64) float64 {
 	c.advanceClock(now)
 	if c.proposed != nil {
--- a/internal/decide/maintenance/coordinator_test.go
+++ b/internal/decide/maintenance/coordinator_test.go
@@ -11,14 +11,14 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// driver drives a Coordinator whose proposals are committed at once, with sidecars that apply and report what is committed.
+// driver runs a Coordinator whose proposals are committed at once, with sidecars that apply and report each committed State.
 type driver struct {
 	*Coordinator
 	t         require.TestingT
 	now       float64
 	committed Committed
 	snapshot  FleetSnapshot
-	silent    map[swim.ID]bool // they do not report
+	silent    map[swim.ID]bool // sidecars that do not report
 	replies   map[uint64]Reply
 	nonce     uint64
 }
@@ -36,7 +36,7 @@
 	return d
 }
 
-// advance lets time pass with a snapshot each half second; each proposal is committed before the next.
+// advance moves the clock forward, with a snapshot each half second. Each proposal is committed before the next snapshot.
 func (d *driver) advance(forS float64) {
 	for end := d.now + forS; d.now < end; d.now += 0.5 {
 		r := d.snapshot
@@ -53,7 +53,7 @@
 
 func (d *driver) commitSteps() {
 	for n := 0; ; n++ {
-		require.Less(d.t, n, 1000, "no more proposals")
+		require.Less(d.t, n, 1000, "too many proposals")
 		next := d.Step(d.now)
 		for _, r := range d.Replies() {
 			d.replies[r.Nonce] = r
@@ -120,11 +120,11 @@
 			require.EqualValues(t, 3, r.Token>>40)
 			require.False(t, worked[r.Server])
 			token, worked[r.Server] = r.Token, true
-			require.Equal(t, r.Token, d.submit(Command{Kind: AcquireServer, Agent: "m"}).Token, "the same hand-out again")
+			require.Equal(t, r.Token, d.submit(Command{Kind: AcquireServer, Agent: "m"}).Token, "the agent is handed the same server again")
 			require.Empty(t, d.submit(Command{Kind: AcquireServer, Agent: "other"}).Server)
 			d.advance(20)
 			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err)
-			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "done twice is done")
+			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "a repeated command has no further effect")
 			require.NotEmpty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token - 1}).Err)
 		}
 	}
@@ -133,8 +133,9 @@
 	assert.False(t, d.NeedsSnapshot())
 }
 
-// A hand-out may be committed after everybody has given up on it: its lease holder lost the quorum, an operator put the server back in
-// service, and the quorum came back with the proposal. The server is then seen to be in use, and its agent is not sent to it.
+// A hand-out may be committed late: the lease holder lost its quorum with the proposal, an operator put the server back in service,
+// and then the quorum came back and committed the proposal. The snapshot shows that the server is in use, so the agent is not handed
+// the server again.
 func TestHandOutCommittedLate(t *testing.T) {
 	d := newDriver(t, 3, 2, 3)
 	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
@@ -153,7 +154,7 @@
 	}
 	require.NotEmpty(t, taken)
 
-	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next lease holder, whose voters hold the proposal
+	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next lease holder, whose voters have committed the proposal
 	d.committed.Version++
 	d.committed.State = *underWay
 	d.Start(d.now, d.committed)
@@ -173,8 +174,8 @@
 	assert.Equal(t, taken, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is cordoned again")
 }
 
-// The reply to a hand-out may be lost, as where the lease holder stands still once it is committed: its agent asks again, and has to learn from the
-// repeated reply as well that the server was forced past a sidecar that may still use it.
+// The reply to a hand-out may be lost, for example if the lease holder stalls right after the commit. When the agent asks again, the
+// repeated reply, too, states that the server was forced past a sidecar that may still use it.
 func TestRepeatedHandOutSaysThatItWasForced(t *testing.T) {
 	d := newDriver(t, 3, 2, 3)
 	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
--- a/internal/decide/maintenance/drained.go
+++ b/internal/decide/maintenance/drained.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Reasons that operators read; others are beside the checks that return them.
+// Reasons that several checks return. Operators read them.
 const (
 	reasonNoReports  = "the sidecars have not been heard"
 	reasonUncordoned = "in use there by hand"
@@ -14,9 +14,9 @@
 // maxNamedMembers bounds how many sidecars a reason names.
 const maxNamedMembers = 10
 
-// whyNotDrained returns why a cordoned server is not known to be empty, and which sidecars are the cause; an empty reason: it is
-// empty. Danger: a sidecar that may still send and has not reported is never taken to agree, and a report of its previous process
-// says nothing about the current one.
+// whyNotDrained returns why a cordoned server is not known to be empty, and which sidecars are the cause. An empty reason means that
+// it is empty. Danger: a sidecar that may still send requests and has not reported counts as using the server, and a report of its
+// previous process says nothing about the current one.
 func (c *Coordinator) whyNotDrained(p *Plan, server *Server) (members []string, reason string) {
 	snapshot := c.freshSnapshot()
 	if snapshot == nil || len(snapshot.Members) == 0 {
@@ -45,7 +45,7 @@
 	return slices.Compact(members), strings.Join(reasons, "; ")
 }
 
-// usersOf returns the names of sidecars that do not consider a server empty, and whether an operator uncordoned it at one of them.
+// usersOf returns the names of the sidecars that do not consider a server empty, and whether an operator uncordoned it at any of them.
 func (s *FleetSnapshot) usersOf(server string) (names []string, uncordoned bool) {
 	for i := range s.Report.InUse {
 		if use := &s.Report.InUse[i]; use.Server == server {
@@ -57,8 +57,8 @@
 }
 
 // whyNotHandedOut returns why the agent of a server that is InMaintenance is not handed the same server again; empty: it is. Danger:
-// the first hand-out may have been committed after everybody had given up on it (its lease holder lost the quorum, which came back
-// with the proposal), so that the agent never learned of it and an operator has put the server back in service since.
+// the first hand-out may have been committed late: the lease holder lost its quorum with the proposal, the agent got no reply, an
+// operator put the server back in service, and then the quorum came back and committed the proposal.
 func (c *Coordinator) whyNotHandedOut(server *Server) string {
 	if c.freshSnapshot() == nil {
 		return reasonNoReports
@@ -69,7 +69,7 @@
 	return ""
 }
 
-// uncordonedBy returns the names of sidecars at which an operator put a cordoned server back in service, by the fresh snapshot.
+// uncordonedBy returns the names of the sidecars at which, by the fresh snapshot, an operator put a cordoned server back in service.
 func (c *Coordinator) uncordonedBy(server string) (names []string) {
 	snapshot := c.freshSnapshot()
 	if snapshot == nil {
--- a/internal/decide/maintenance/execute.go
+++ b/internal/decide/maintenance/execute.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Submit takes a command. If it is decided at once, answered is true and reply is its answer; else the answer comes with Replies,
-// after the command's effect is committed.
+// Submit accepts a command. If its reply is known at once, answered is true; otherwise Replies returns the reply, after the command's
+// effect is committed.
 func (c *Coordinator) Submit(now float64, command Command) (reply Reply, answered bool) {
 	c.advanceClock(now)
 	reply.Nonce = command.Nonce
@@ -33,7 +33,7 @@
 	return reply, false
 }
 
-// isWaiting reports whether a command with this nonce is queued, or its effect is being committed.
+// isWaiting reports whether a command with this nonce is queued or its effect is being committed.
 func (c *Coordinator) isWaiting(nonce uint64) bool {
 	return slices.ContainsFunc(c.queue, func(q queuedCommand) bool { return q.Nonce == nonce }) ||
 		slices.ContainsFunc(c.unconfirmed, func(executed executedCommand) bool { return executed.queued.Nonce == nonce })
@@ -46,8 +46,8 @@
 	return replies
 }
 
-// reply makes a reply final, and keeps it for a repeated command. Danger: the reply to AcquireServer is never repeated from memory,
-// since the work may have ended meanwhile.
+// reply makes a reply final, and keeps it in case the command is submitted again. Danger: a reply that hands out a server is not
+// kept, since the work may have ended by the time of the repeated command.
 func (c *Coordinator) reply(r Reply) {
 	c.replies = append(c.replies, r)
 	if r.Nonce == 0 || r.Token != 0 {
@@ -59,7 +59,7 @@
 	c.recentReplies = append(c.recentReplies, r)
 }
 
-// execute applies a command to the next State. It reports whether the reply holds only once that State is committed.
+// execute applies a command to the next State. If changed is true, the reply is valid only once that State is committed.
 func (c *Coordinator) execute(next *State, command *Command) (reply Reply, changed bool) {
 	reply.Nonce = command.Nonce
 	var err error
@@ -87,7 +87,7 @@
 	maxUnavailableLen = 300
 )
 
-// submitPlan adds a plan. The same nonce again is the same plan.
+// submitPlan adds a plan. For a nonce that a plan already has, it returns that plan.
 func (c *Coordinator) submitPlan(next *State, command *Command, reply *Reply) (changed bool, err error) {
 	for i := range next.Plans {
 		if p := &next.Plans[i]; command.Nonce != 0 && p.Nonce == command.Nonce {
@@ -122,8 +122,8 @@
 	return true, nil
 }
 
-// checkDisjoint returns an error if a server of a new plan belongs to a plan that goes on, or if all these plans together have too
-// many servers.
+// checkDisjoint returns an error if a server of a new plan belongs to a plan that has not ended, or if these plans and the new one
+// together have too many servers.
 func (s *State) checkDisjoint(servers []Server) error {
 	total := len(servers)
 	for i := range s.Plans {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// findPlan returns the plan with a number; for 0 the only plan that goes on.
+// findPlan returns the plan with a number; for 0 the only plan that has not ended.
 func (s *State) findPlan(number uint64) (*Plan, error) {
 	var found []*Plan
 	for i := range s.Plans {
@@ -167,7 +167,7 @@
 	return nil, fmt.Errorf("plan: one of %s is meant", strings.Join(choices, ", "))
 }
 
-// issuer returns who issues a command, for the record.
+// issuer returns who issues a command, for status texts.
 func (c *Command) issuer() string { return cmp.Or(c.Agent, "an operator") }
 
 // changePlan pauses, resumes or aborts a plan.
@@ -187,7 +187,7 @@
 	case p.Aborted:
 		return false, fmt.Errorf("plan: %d is aborted", p.Number)
 	case command.Kind == ResumePlan:
-		p.PausedBy, p.BaselineRejection = "", 0 // the operator has seen the fleet: the baseline is measured anew
+		p.PausedBy, p.BaselineRejection = "", 0 // the operator accepts the present state of the fleet: the baseline is measured again
 		return true, nil
 	case command.Kind == PausePlan:
 		p.PausedBy = command.issuer()
@@ -198,8 +198,8 @@
 	return true, nil
 }
 
-// stopServers puts the servers of a paused or aborted plan that are not being worked on yet back in service; of an aborted plan all
-// that no work was done on are skipped.
+// stopServers puts the servers of a paused or aborted plan that no agent works on yet back in service. In a paused plan they become
+// Pending; in an aborted one they and the pending servers become Skipped.
 func (c *Coordinator) stopServers(p *Plan, command *Command) {
 	for i := range p.Servers {
 		server := &p.Servers[i]
@@ -213,7 +213,7 @@
 	}
 }
 
-// changeServer skips a server, or forces it to be Drained.
+// changeServer executes SkipServer or ForceDrained.
 func (c *Coordinator) changeServer(next *State, command *Command, reply *Reply) (changed bool, err error) {
 	p, server := next.findServerToChange(command)
 	if server == nil {
@@ -240,8 +240,8 @@
 	return true, nil
 }
 
-// findServerToChange returns the server that a command names. Danger: it may belong to an ended plan, which lost it, and to one that
-// goes on, in which it waits; the plan that goes on comes first, then one that lost it.
+// findServerToChange returns the server that a command names. A server may belong to several plans: to one that has not ended, which
+// takes precedence, then to one in which it is Lost, then to any other.
 func (s *State) findServerToChange(command *Command) (*Plan, *Server) {
 	for _, accept := range []func(*Plan, *Server) bool{
 		func(p *Plan, _ *Server) bool { return !p.Ended },
@@ -255,8 +255,8 @@
 	return nil, nil
 }
 
-// findServer returns the server that a command names, of the latest plan for which accept is true. A Command.Plan limits it to that
-// plan.
+// findServer returns the server that a command names, from the latest plan for which accept returns true. If Command.Plan is set, only
+// that plan is searched.
 func (s *State) findServer(command *Command, accept func(*Plan, *Server) bool) (*Plan, *Server) {
 	for i := len(s.Plans) - 1; i >= 0; i-- {
 		p := &s.Plans[i]
@@ -272,7 +272,7 @@
 	return nil, nil
 }
 
-// forceDrained makes a server Drained without the reports that are missing, and records whose they are.
+// forceDrained makes a server Drained although reports are missing or sidecars still use it, and records which sidecars these are.
 func (c *Coordinator) forceDrained(p *Plan, server *Server, issuer string, reply *Reply) (changed bool, err error) {
 	if server.Stage != Draining && server.Stage != Drained {
 		return false, fmt.Errorf("box: %s is not being emptied", server.Name)
@@ -301,16 +301,16 @@
 	return true, nil
 }
 
-// acquireServer hands a Drained server to an agent, or again the one that it has. It reports whether the reply must be committed.
-// Danger: a lease holder that was replaced without noticing would hand out a server that is back in service; so a repeated hand-out
-// is committed too.
+// acquireServer hands a Drained server to an agent, or hands out again the one that the agent works on. It reports whether the State
+// must be committed before the reply is valid. That includes a repeated hand-out: a lease holder that was replaced without noticing
+// could otherwise hand out a server that is back in service.
 func (c *Coordinator) acquireServer(next *State, command *Command, reply *Reply) (changed bool) {
 	if p, server := next.findAcquired(command.Agent); server != nil {
 		if reason := c.whyNotHandedOut(server); reason != "" {
 			reply.Text = server.Name + ": " + reason
 			return false
 		}
-		// The first reply may have been lost: this one has to say as well that the server was forced, and may still be in use.
+		// The first reply may have been lost, so this one, too, states who forced the server: it may still be in use.
 		reply.Plan, reply.Server, reply.Token, reply.Text = p.Number, server.Name, server.Token, server.Reason
 		return true
 	}
@@ -358,7 +358,7 @@
 	return nil, nil
 }
 
-// endWork completes the work on a server, or records its failure. Repeated with the same token it has no further effect.
+// endWork executes CompleteServer and FailServer. A command that is repeated with the same token has no further effect.
 func (c *Coordinator) endWork(next *State, command *Command, reply *Reply) (changed bool, err error) {
 	p, server := next.findServer(command, func(_ *Plan, server *Server) bool { return server.Token == command.Token })
 	if server == nil {
--- a/internal/decide/maintenance/fleet.go
+++ b/internal/decide/maintenance/fleet.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// fleetModel is what the snapshots so far say about servers and load.
+// fleetModel holds the state of servers and load, as observed by the snapshots so far.
 type fleetModel struct {
 	now          float64 // of the last snapshot
 	servers      []*observedServer
-	completed    movingAverage // requests a second, over rateWindowSeconds
-	rejected     movingAverage // the same of rejected ones
-	shortLoad    movingAverage // requests a second, over shortWindowSeconds
-	longLoad     movingAverage // over longWindowSeconds
-	usualLoad    movingAverage // over usualWindowSeconds
-	staleMembers int           // of the last report
-	reporters    int
+	completed    movingAverage // requests per second, over rateWindowSeconds
+	rejected     movingAverage // rejected requests per second, over rateWindowSeconds
+	shortLoad    movingAverage // requests per second, over shortWindowSeconds
+	longLoad     movingAverage // requests per second, over longWindowSeconds
+	usualLoad    movingAverage // requests per second, over usualWindowSeconds
+	staleMembers int           // Report.StaleMembers of the last report
+	reporters    int           // number of reporters of the last report
 	baseline     rejectionBaseline
 }
 
@@ -26,7 +26,7 @@
 	ServerStatus
 	lastListedAt      float64
 	unresponsiveSince float64 // 0: it is responsive
-	warmingUpSince    float64 // since when most have it in slow start; 0: they haven't
+	warmingUpSince    float64 // since when most sidecars have had it in slow start; 0: they haven't
 }
 
 const (
@@ -34,17 +34,18 @@
 	shortWindowSeconds = 8.0
 	longWindowSeconds  = 60.0
 	usualWindowSeconds = 400.0
-	trendSeconds       = 60.0 // for which a rising load is extrapolated
-	drainLoadRatio     = 1.15 // of the expected to the usual load that is no rise yet: when a server is to drain,
-	giveBackLoadRatio  = 1.3  // and when servers are out
-	minRatePerSecond   = 1.0  // below which no fraction is taken of a rate
-	capacityTolerance  = 1e-9 // of rounding, where capacities are compared
+	trendSeconds       = 60.0 // how far ahead a rising load is extrapolated
+	drainLoadRatio     = 1.15 // ratio of expected to usual load above which a server needs more capacity in service to drain
+	giveBackLoadRatio  = 1.3  // ratio of expected to usual load above which servers that are out need more capacity in service
+	minRatePerSecond   = 1.0  // minimum divisor of fractions of a rate, so that few requests don't yield large fractions
+	capacityTolerance  = 1e-9 // rounding tolerance for comparisons of capacities
 )
 
-// observe takes a snapshot elapsed seconds after the one before (0: it is the first), and whether any plan has a server out.
+// observe handles a snapshot that was taken elapsed seconds after the one before (0: it is the first). hasServerOut is whether any
+// plan has a server out.
 func (f *fleetModel) observe(now, elapsed float64, snapshot *FleetSnapshot, hasServerOut bool) {
 	f.now = now
-	if elapsed <= 0 || elapsed > longWindowSeconds { // the first snapshot, or none was needed for long
+	if elapsed <= 0 || elapsed > longWindowSeconds { // the first snapshot, or the first after a long time without any
 		f.resetAverages()
 		elapsed = 1
 	}
@@ -66,7 +67,8 @@
 	f.baseline = rejectionBaseline{}
 }
 
-// observeServers takes the reported statuses. Servers that no report lists any more are kept as unavailable for lostSeconds.
+// observeServers updates the servers by the reported statuses. Servers that are on no list any more are kept as unavailable for
+// lostSeconds.
 func (f *fleetModel) observeServers(statuses []ServerStatus) {
 	for _, server := range f.servers {
 		server.ListedBy = 0
@@ -88,7 +90,7 @@
 	f.servers = slices.DeleteFunc(f.servers, func(server *observedServer) bool { return f.now-server.lastListedAt > lostSeconds })
 }
 
-// since returns since when a condition holds, given since when it did before; 0: it doesn't hold.
+// since returns since when a condition has held, or 0 if it doesn't hold. before is the result of the previous call.
 func since(holds bool, before, now float64) float64 {
 	if !holds {
 		return 0
@@ -96,7 +98,7 @@
 	return cmp.Or(before, now)
 }
 
-// serverIndex returns the position of a server in f.servers, which are in the order of names.
+// serverIndex returns the position of a server in f.servers, which are sorted by name, and whether it is there.
 func (f *fleetModel) serverIndex(name string) (int, bool) {
 	return slices.BinarySearchFunc(f.servers, name, func(server *observedServer, name string) int { return cmp.Compare(server.Server, name) })
 }
@@ -110,12 +112,12 @@
 	return f.servers[i]
 }
 
-// isResponsive reports whether a server is listed, and at least half of those that list it get answers.
+// isResponsive reports whether a server is listed, and at least half of the sidecars that list it get responses from it.
 func (s *observedServer) isResponsive() bool {
 	return s.ListedBy > 0 && 2*s.UnresponsiveBy <= s.ListedBy
 }
 
-// isUnavailable reports whether a server does not serve, for reasons other than a plan.
+// isUnavailable reports whether a server does not serve, for other reasons than a plan.
 func (s *observedServer) isUnavailable() bool {
 	return !s.isResponsive() || 2*s.DrainingBy > s.ListedBy || 2*s.CordonedBy > s.ListedBy
 }
@@ -126,14 +128,14 @@
 	return server == nil || server.isUnavailable()
 }
 
-// isUnresponsive reports whether a server is listed and most that list it get no answer. Danger: after a server came back dead from
-// the work on it, the next one must not drain.
+// isUnresponsive reports whether a server is listed and most sidecars that list it get no response. A server that does not respond
+// after the work on it stays in WarmingUp and so counts against MaxConcurrent.
 func (f *fleetModel) isUnresponsive(name string) bool {
 	server := f.server(name)
 	return server != nil && server.ListedBy > 0 && 2*server.UnresponsiveBy > server.ListedBy
 }
 
-// capacity returns a server's capacity; all count alike if that of any is unknown.
+// capacity returns a server's capacity. If that of any server is unknown, all have capacity 1.
 func (f *fleetModel) capacity(server *observedServer) float64 {
 	if slices.ContainsFunc(f.servers, func(s *observedServer) bool { return s.Capacity <= 0 }) {
 		return 1
@@ -141,7 +143,8 @@
 	return server.Capacity
 }
 
-// checkMinCapacity returns an error if a server of a new plan could never drain, because it alone has too much of the capacity.
+// checkMinCapacity returns an error if a server of a new plan could never drain, because less than minCapacity would be left without
+// it.
 func (f *fleetModel) checkMinCapacity(servers []Server, minCapacity float64) error {
 	total := 0.0
 	for _, server := range f.servers {
@@ -159,8 +162,8 @@
 	return nil
 }
 
-// remainingCapacity returns the fraction of the capacity in service, given the servers that plans have out, and without one more if
-// without is not empty.
+// remainingCapacity returns the fraction of the capacity that is in service: without the servers that plans have out, and without one
+// more if without is not empty.
 func (f *fleetModel) remainingCapacity(out map[string]Stage, without string) float64 {
 	total, remaining := 0.0, 0.0
 	for _, server := range f.servers {
@@ -176,8 +179,8 @@
 	return remaining / total
 }
 
-// requiredCapacity returns the fraction of the capacity that must stay in service. Danger: the plan's MinCapacity is meant for the
-// usual load; when the expected load exceeds it by more than a tolerated ratio, more capacity is required.
+// requiredCapacity returns the fraction of the capacity that must stay in service. A plan's MinCapacity is meant for the usual load:
+// when the expected load exceeds that by more than toleratedRatio, proportionally more capacity is required.
 func (f *fleetModel) requiredCapacity(minCapacity, toleratedRatio float64) float64 {
 	if ratio := f.loadRatio(); ratio > toleratedRatio {
 		return min(minCapacity*ratio, 1)
@@ -197,7 +200,7 @@
 	return expected / f.usualLoad.value()
 }
 
-// lostSite returns the name of a site most of whose servers became unresponsive within lostSeconds without a plan having them out;
+// lostSite returns the name of a site most of whose servers became unresponsive in the last lostSeconds and are not out by a plan;
 // empty: there is none.
 func (f *fleetModel) lostSite(out map[string]Stage) string {
 	all, lost := map[string]int{}, map[string]int{}
@@ -207,7 +210,7 @@
 			lost[server.Site]++
 		}
 	}
-	for _, server := range f.servers { // in the order of names, so that the answer does not depend on the map
+	for _, server := range f.servers { // in the order of names, so that the result does not depend on the map's order
 		if n := lost[server.Site]; 2*n > all[server.Site] {
 			return server.Site
 		}
@@ -215,7 +218,7 @@
 	return ""
 }
 
-// rejectionFraction returns the fraction of the requests that is rejected or fails now.
+// rejectionFraction returns the present fraction of requests that are rejected or fail.
 func (f *fleetModel) rejectionFraction() float64 {
 	return f.rejected.value() / max(f.completed.value(), minRatePerSecond)
 }
@@ -225,7 +228,7 @@
 	windowSeconds, sum, weight float64
 }
 
-// add takes a value that held for some seconds.
+// add adds a value that lasted for some seconds.
 func (a *movingAverage) add(x, seconds float64) {
 	part := 1 - math.Exp(-seconds/a.windowSeconds)
 	a.sum += part * (x - a.sum)
--- a/internal/decide/maintenance/progress.go
+++ b/internal/decide/maintenance/progress.go
@@ -1,30 +1,31 @@
 package maintenance
 
-// serverProgress is since when this Coordinator has known the stage of a server of a plan.
+// serverProgress is the stage of a server of a plan, and when this Coordinator learned of it.
 type serverProgress struct {
 	plan            uint64
 	server          string
 	stage           Stage
 	sinceVersion    uint64
-	cordonedVersion uint64 // since which the server has been cordoned without a break, as far as is known here
+	cordonedVersion uint64 // version of the State since which the server has been cordoned without a break, as far as is known here
 	reachedAt       float64
 }
 
 // planProgress is what this Coordinator has observed about a plan.
 type planProgress struct {
 	number         uint64
-	ageSeconds     float64 // of the plan, when it was learned
-	learnedAt      float64
+	ageSeconds     float64 // of the plan, at learnedAt
+	learnedAt      float64 // when this Coordinator learned of the plan
 	unhealthySince float64 // since when there has been a giveBackReason; 0: there is none
 	calmSince      float64 // since when there has been no holdReason; 0: there is one
-	isCautious     bool    // a server was put back in service since the last one drained
-	holdReason     string  // why no server of it may drain
+	isCautious     bool    // a server was put back in service since the last one started to drain
+	holdReason     string  // result of Coordinator.holdReason at the last snapshot
 }
 
-// age returns for how many seconds a plan has been going on, by the clocks of all lease holders so far.
+// age returns how many seconds ago a plan was submitted, by the clocks of all lease holders since.
 func (p *planProgress) age(now float64) float64 { return p.ageSeconds + now - p.learnedAt }
 
-// updateProgress follows a change of the committed State. What was observed of servers whose stage did not change is kept.
+// updateProgress updates the progress of plans and servers after a change of the committed State. For servers whose stage did not
+// change it is kept.
 func (c *Coordinator) updateProgress() {
 	var servers []serverProgress
 	var plans []planProgress
@@ -47,7 +48,7 @@
 	c.servers, c.plans = servers, plans
 }
 
-// nextProgress returns the progress of a server by the committed State and by what was known before.
+// nextProgress returns the progress of a server by the committed State and its previous progress.
 func (c *Coordinator) nextProgress(plan uint64, server *Server) serverProgress {
 	next := serverProgress{plan: plan, server: server.Name, stage: server.Stage, sinceVersion: server.SinceVersion, cordonedVersion: server.SinceVersion, reachedAt: c.now}
 	known := c.serverProgress(plan, server.Name)
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -13,15 +13,15 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// history checks the sequence of committed states against the rules that hold for every plan.
+// history checks that the sequence of committed states keeps the invariants of every plan.
 type history struct {
 	*driver
 	t      *rapid.T
-	tokens uint64
-	stages map[string]Stage // by plan and server
+	tokens uint64           // the highest token so far
+	stages map[string]Stage // in the state before, by plan and server
 }
 
-// check compares the committed state with the one before.
+// check checks the invariants of the committed state, compared with the one before.
 func (h *history) check(was State) {
 	planOf := map[string]uint64{}
 	for i := range h.committed.State.Plans {
@@ -31,8 +31,8 @@
 			key := fmt.Sprint(p.Number, " ", b.Name)
 			before := h.stages[key]
 			h.stages[key] = b.Stage
-			require.False(h.t, before >= Done && b.Stage != before && !(before == Lost && b.Stage == Skipped), "%s had ended as %d and is %d", key, before, b.Stage)
-			require.False(h.t, before == InMaintenance && b.Stage != InMaintenance && b.Stage != WarmingUp && b.Stage != Lost, "%s was taken from its agent: %d", key, b.Stage)
+			require.False(h.t, before >= Done && b.Stage != before && !(before == Lost && b.Stage == Skipped), "%s had ended in stage %d and is in %d", key, before, b.Stage)
+			require.False(h.t, before == InMaintenance && b.Stage != InMaintenance && b.Stage != WarmingUp && b.Stage != Lost, "%s was taken from its agent: it is in stage %d", key, b.Stage)
 			if b.Stage >= Draining && b.Stage <= WarmingUp {
 				out++
 				sites[b.Site]++
@@ -60,13 +60,13 @@
 	}
 	for i := range was.Plans {
 		if p := &was.Plans[i]; !p.Ended {
-			require.True(h.t, slices.ContainsFunc(h.committed.State.Plans, func(q Plan) bool { return q.Number == p.Number }), "plan %d is forgotten", p.Number)
+			require.True(h.t, slices.ContainsFunc(h.committed.State.Plans, func(q Plan) bool { return q.Number == p.Number }), "plan %d, which has not ended, is missing", p.Number)
 		}
 	}
 }
 
-// requireEmpty requires that all members that may send reported, in the last snapshot, that they send nothing to a server and have
-// nothing in flight there.
+// requireEmpty requires that in the last snapshot all members that may send requests have reported that they send none to a server and
+// have none in flight there.
 func (h *history) requireEmpty(p *Plan, server string) {
 	for _, m := range h.snapshot.Members {
 		if m.State == swim.Dead && m.StateAgeSeconds >= p.Spec.deadMemberSeconds() || m.State == swim.Left && m.StateAgeSeconds >= min(p.Spec.deadMemberSeconds(), leftMemberSeconds) {
@@ -79,10 +79,10 @@
 	}
 }
 
-// commit commits each proposal, or loses it, or lets it reach a lease holder that is new by then.
+// commit draws for each proposal whether it is committed, is lost, or is committed after the lease holder was replaced.
 func (h *history) commit() {
 	for n := 0; ; n++ {
-		require.Less(h.t, n, 100, "no more proposals")
+		require.Less(h.t, n, 100, "too many proposals")
 		next := h.Step(h.now)
 		for _, r := range h.Replies() {
 			h.replies[r.Nonce] = r
@@ -97,20 +97,20 @@
 		require.NoError(h.t, err)
 		again, err := state.Encode()
 		require.NoError(h.t, err)
-		require.Equal(h.t, body, again, "encoded again it is the same")
+		require.Equal(h.t, body, again, "a decoded state is encoded to the same bytes")
 		was, before := h.committed.State, h.committed
 		lost := rapid.IntRange(0, 19).Draw(h.t, "fate of the proposal")
-		if lost == 0 { // it is lost, and another holds the lease
+		if lost == 0 { // the proposal is lost, and the lease holder is replaced
 			h.Start(h.now, h.committed)
 			return
 		}
 		h.committed = Committed{h.committed.Epoch, h.committed.Version + 1, state}
 		h.check(was)
 		switch lost {
-		case 1: // it is committed, and the lease holder died
+		case 1: // the proposal is committed, and the lease holder is replaced before it learns so
 			h.Start(h.now, h.committed)
 			return
-		case 2: // the next lease holder learns of it late
+		case 2: // the proposal is committed, and the next lease holder learns of it late
 			h.Start(h.now, before)
 			h.report()
 			h.Step(h.now)
@@ -131,7 +131,7 @@
 	h.Observe(h.now, r)
 }
 
-// Whatever faults and commands are drawn, committed states keep the rules; and when the faults are over all plans end.
+// Whatever faults and commands are drawn, committed states keep the invariants, and all plans end once there are no more faults.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{driver: newDriver(t, rapid.IntRange(1, 4).Draw(t, "sidecars"), rapid.IntRange(1, 3).Draw(t, "sites"), 3), t: t, stages: map[string]Stage{}}
@@ -151,7 +151,7 @@
 		}
 		h.endFaults()
 		for n := 0; slices.ContainsFunc(h.committed.State.Plans, func(p Plan) bool { return !p.Ended }); n++ {
-			require.Less(t, n, 3000, "the plans end: %+v", h.Blockers())
+			require.Less(t, n, 3000, "plans have not ended: %+v", h.Blockers())
 			h.now += 1
 			h.report()
 			h.resolvePlans()
@@ -160,7 +160,7 @@
 	})
 }
 
-// drawFaults draws what happens to the fleet before a snapshot. Danger: all of it may happen between any two snapshots.
+// drawFaults draws what happens to the fleet before a snapshot. Any combination of faults may happen between two snapshots.
 func (h *history) drawFaults(servers []string) {
 	t, tenth := h.t, rapid.IntRange(0, 9)
 	h.snapshot.Report.InUse, h.snapshot.Report.RejectedPerSecond = nil, 0
@@ -194,7 +194,8 @@
 	clear(h.silent)
 }
 
-// resolvePlans does what plans wait for: an operator resumes them and puts lost servers back in service, an agent does the work.
+// resolvePlans submits the commands that plans wait for: an operator resumes plans and puts lost servers back in service, and an agent
+// does the work.
 func (h *history) resolvePlans() {
 	for _, p := range h.committed.State.Plans {
 		for _, b := range p.Servers {
@@ -221,7 +222,7 @@
 	}
 }
 
-// submitRandom submits a command that may make sense.
+// submitRandom submits a random command, which may be valid in the present state.
 func (h *history) submitRandom(servers []string) {
 	c := Command{Kind: rapid.SampledFrom([]Kind{SubmitPlan, SubmitPlan, AcquireServer, AcquireServer, AcquireServer, CompleteServer, CompleteServer, FailServer, PausePlan, ResumePlan, SkipServer, ForceDrained, AbortPlan}).Draw(h.t, "kind"),
 		Server: rapid.SampledFrom(servers).Draw(h.t, "server"), Agent: rapid.SampledFrom([]string{"m", "n"}).Draw(h.t, "agent"), Token: 1}
@@ -241,7 +242,8 @@
 	h.submitOnly(c)
 }
 
-// Whatever the bytes, Decode returns an error that wraps ErrInvalidState or a state that is encoded to the same again.
+// For any bytes, Decode returns an error that wraps ErrInvalidState, or a state that keeps its encoded form when it is decoded and
+// encoded again.
 func FuzzDecode(f *testing.F) {
 	s := State{LastNumber: 2, Plans: []Plan{{Number: 2, Spec: *spec(), Servers: []Server{{Name: "b", Site: "s", Stage: InMaintenance, SinceVersion: 4, Token: 5, ForcedPast: []string{"n"}}}}}}
 	body, err := s.Encode()
@@ -255,7 +257,7 @@
 			return
 		}
 		body, err := s.Encode()
-		if err != nil { // encoded in full it exceeds the bound
+		if err != nil { // the complete encoded form exceeds the bound
 			assert.ErrorIs(t, err, ErrInvalidState)
 			return
 		}
@@ -298,7 +300,7 @@
 	assert.Contains(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err, "plan 1 (calibrate), which has not ended")
 }
 
-// When the load doubles, servers that are not being worked on yet are put back in service; the plan continues after that.
+// When the load doubles, servers that no agent works on yet are put back in service. The plan continues once the load is normal again.
 func TestGivesBackServersOnFault(t *testing.T) {
 	d := newDriver(t, 3, 3, 4)
 	s := spec()
--- a/internal/decide/maintenance/report.go
+++ b/internal/decide/maintenance/report.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Reporter identifies one sidecar that contributed to a Report, and the State that it applies.
+// Reporter identifies a sidecar that contributed to a Report, and the version of the State that it applies.
 type Reporter struct {
 	ID      swim.ID `msgpack:"d"`
 	BootID  uint64  `msgpack:"l"` // of its process, as in swim.Version
@@ -21,36 +21,37 @@
 	Server     string  `msgpack:"b"`
 	Member     swim.ID `msgpack:"d"`
 	Uncordoned bool    `msgpack:"h,omitempty"` // an operator put it back in service at that sidecar
-	InFlight   int     `msgpack:"n,omitempty"` // requests in flight from there; 0: the last one ended less than the quiet period ago
+	InFlight   int     `msgpack:"n,omitempty"` // requests in flight from that sidecar; 0: it was cordoned less than the quiet period ago, or uncordoned
 }
 
-// ServerStatus is what the reporting sidecars know of a server; counts are of sidecars where nothing else is stated.
+// ServerStatus is what the reporting sidecars know of a server. Counts are numbers of sidecars unless a comment says otherwise.
 type ServerStatus struct {
 	Server             string  `msgpack:"b"`
 	Site               string  `msgpack:"s,omitempty"`
 	Type               string  `msgpack:"y,omitempty"`
-	Capacity           float64 `msgpack:"z,omitempty"` // as listed, the greatest of all reports; 0: unknown
-	ListedBy           int     `msgpack:"l,omitempty"` // that have it on their endpoint list
-	DrainingBy         int     `msgpack:"d,omitempty"` // whose list marks it as draining
-	CordonedBy         int     `msgpack:"h,omitempty"` // where an operator has cordoned it
-	WarmingUpBy        int     `msgpack:"c,omitempty"` // that have it in slow start
-	UnresponsiveBy     int     `msgpack:"q,omitempty"` // that consider it silent, suspect or failing
-	CompletedPerSecond float64 `msgpack:"p,omitempty"` // attempts
-	InFlight           int     `msgpack:"o,omitempty"` // attempts
+	Capacity           float64 `msgpack:"z,omitempty"` // from the endpoint lists, the highest of all reports; 0: unknown
+	ListedBy           int     `msgpack:"l,omitempty"` // sidecars that have it on their endpoint list
+	DrainingBy         int     `msgpack:"d,omitempty"` // sidecars whose list marks it as draining
+	CordonedBy         int     `msgpack:"h,omitempty"` // sidecars at which an operator has cordoned it
+	WarmingUpBy        int     `msgpack:"c,omitempty"` // sidecars that have it in slow start
+	UnresponsiveBy     int     `msgpack:"q,omitempty"` // sidecars that consider it silent, suspect or failing
+	CompletedPerSecond float64 `msgpack:"p,omitempty"` // attempts completed per second, at all sidecars
+	InFlight           int     `msgpack:"o,omitempty"` // attempts in flight, at all sidecars
 	Busy               bool    `msgpack:"u,omitempty"` // its own load report shows work in progress or a queue
 }
 
-// Report is what a set of sidecars know, merged on the way back to the lease holder that asked.
+// Report is what a set of sidecars know. The reports of several sidecars are merged on the way to the lease holder that requested
+// them.
 type Report struct {
 	Reporters          []Reporter     `msgpack:"f,omitempty"` // by ID
 	InUse              []InUse        `msgpack:"o,omitempty"` // by server and member
 	Servers            []ServerStatus `msgpack:"s,omitempty"` // by name
-	CompletedPerSecond float64        `msgpack:"p,omitempty"` // requests, rejected ones included
-	RejectedPerSecond  float64        `msgpack:"r,omitempty"` // requests that were rejected or failed
+	CompletedPerSecond float64        `msgpack:"p,omitempty"` // requests per second, including rejected ones
+	RejectedPerSecond  float64        `msgpack:"r,omitempty"` // requests per second that were rejected or failed
 	StaleMembers       int            `msgpack:"l,omitempty"` // sidecars whose endpoint list is stale
 }
 
-// Bounds of a report. Danger: reports come from peers and are merged again and again.
+// Bounds of a report that is merged, since reports come from peers.
 const (
 	maxReporters      = 3000
 	maxServerStatuses = 2000
@@ -59,8 +60,8 @@
 
 var errInvalidReport = errors.New("works: a sum makes no sense")
 
-// Merge adds another report. A report with a reporter that is already counted, or with values out of bounds, is an error and changes
-// nothing: a sidecar that is reached by two paths is not counted twice.
+// Merge adds another report. It returns an error and changes nothing if a reporter of the other report is already included, so that a
+// sidecar that is reached by two paths is not counted twice, or if values are out of bounds.
 func (r *Report) Merge(other *Report) error {
 	if !other.isValid() {
 		return errInvalidReport
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// HasReporter reports whether a sidecar has contributed to the report; only its ID counts.
+// HasReporter reports whether a sidecar has contributed to the report. Only Reporter.ID is compared.
 func (r *Report) HasReporter(reporter Reporter) bool {
 	_, known := r.reporterIndex(&reporter)
 	return known
@@ -125,7 +126,7 @@
 		min(b.ListedBy, b.DrainingBy, b.CordonedBy, b.WarmingUpBy, b.UnresponsiveBy, b.InFlight) >= 0
 }
 
-// merge adds what other sidecars know of the same server.
+// merge adds what other sidecars report of the same server.
 func (b *ServerStatus) merge(other *ServerStatus) {
 	b.Site = cmp.Or(b.Site, other.Site)
 	b.Type = cmp.Or(b.Type, other.Type)
--- a/internal/decide/maintenance/selection.go
+++ b/internal/decide/maintenance/selection.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// Order is the order in which the pending servers of a plan drain. docs/design/works.md has the cost of each.
+// Order is the order in which the pending servers of a plan drain. docs/design/works.md states the cost of each.
 type Order uint8
 
 // The orders. A server that is unavailable anyway comes first in all but AsListed.
 const (
-	LookAhead   Order = iota // least impact first, but before them the servers of sites that take as long as all the rest
-	LeastImpact              // least impact on the fleet now first
+	LookAhead   Order = iota // servers of critical sites first (see candidate.isCriticalSite), then least impact first
+	LeastImpact              // least present impact on the fleet first
 	LeastLoad                // least loaded first
 	SitesInTurn              // a server of the site with the most pending servers first
 	AsListed                 // in the order of the plan
 )
 
-// maxWarmUpWaitSeconds bounds how long a server that warms up without a plan counts as away. Danger: one that gets no requests may
-// stay in slow start for ever.
+// maxWarmUpWaitSeconds bounds how long countAway counts a server that warms up without a plan: one that gets no requests may stay in
+// slow start for ever.
 const maxWarmUpWaitSeconds = 120.0
 
 // unavailableImpact is the impact of draining a server that does not serve anyway.
@@ -31,10 +31,10 @@
 	pendingAtSite  int
 	impact         float64
 	load           float64
-	isCriticalSite bool // its site alone takes at least as long as all that is pending
+	isCriticalSite bool // the pending servers of its site alone, limited by MaxPerSite, take at least as long as all pending ones
 }
 
-// countAway counts the servers that are out of service or warming up, by any plan or by themselves. Lost ones are not waited for.
+// countAway counts the servers that are out of service by any plan, except Lost ones, and those that warm up, by a plan or otherwise.
 func (c *Coordinator) countAway(state *State) (n int) {
 	out := state.outOfService()
 	for _, stage := range out {
@@ -50,7 +50,7 @@
 	return n
 }
 
-// chooseNext returns the server of a plan that drains next; nil: none can now.
+// chooseNext returns the server of a plan that drains next, nil if none can drain now.
 func (c *Coordinator) chooseNext(state *State, p *Plan) *Server {
 	if n := c.countAway(state); n >= p.Spec.MaxConcurrent || n > 0 && c.isDegraded(p) {
 		return nil
@@ -81,7 +81,7 @@
 			next.impact = unavailableImpact
 		} else if observed != nil {
 			next.impact, next.load = c.fleet.impact(out, observed), observed.CompletedPerSecond
-			// The servers of a critical site wait for each other, so it goes first.
+			// The servers of one site drain one after the other, so a critical site is started first.
 			next.isCriticalSite = float64(next.pendingAtSite)/float64(p.Spec.maxPerSite()) >= float64(pending)/float64(p.Spec.MaxConcurrent)
 		}
 		if best == nil || c.drainsBefore(next, best) {
@@ -115,10 +115,10 @@
 	return cmp.Or(byAvailability, byCriticalSite, byImpact, byPendingAtSite, byLoad, byPosition) < 0
 }
 
-// roundedImpact returns the impact in steps of a fiftieth, so that small differences leave the choice to the other criteria.
+// roundedImpact returns the impact rounded to fiftieths, so that small differences leave the choice to the other criteria.
 func (k *candidate) roundedImpact() int { return int(math.Round(50 * k.impact)) }
 
-// trueFirst compares two conditions: below 0 if a alone holds, above 0 if b alone does.
+// trueFirst compares two conditions for sorting: -1 if only a holds, 1 if only b holds, 0 otherwise.
 func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -129,8 +129,8 @@
 	return 1
 }
 
-// impact returns what the fleet loses if a server drains now: the greater fraction, of its site or of its type, that is then out of
-// service, plus its fraction of the load.
+// impact returns how much the fleet loses if a server drains now. It is the sum of two fractions: of the capacity of its site or of
+// its type that is then out of service, whichever is higher, and of the load that the server has now.
 func (f *fleetModel) impact(out map[string]Stage, server *observedServer) float64 {
 	var site, siteOut, kind, kindOut, load float64
 	for _, other := range f.servers {
--- a/internal/decide/maintenance/snapshot.go
+++ b/internal/decide/maintenance/snapshot.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Member is a sidecar, as the membership of the lease holder knows it.
+// Member is a sidecar in the membership, as the lease holder knows it.
 type Member struct {
 	ID              swim.ID
 	Name            string
@@ -16,7 +16,7 @@
 	StateAgeSeconds float64
 }
 
-// FleetSnapshot is the answer of the fleet to one query of the lease holder.
+// FleetSnapshot is the result of one query of the whole fleet by the lease holder.
 type FleetSnapshot struct {
 	Members  []Member // all that are alive, or were within the last ten minutes, by ID
 	Report   Report
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%016x", uint64(id))
 }
 
-// mustReport reports whether a member may still send requests, so that its report is required: it is not known to have been dead, or
-// to have left, for long enough. The snapshot is snapshotAgeSeconds old.
+// mustReport reports whether a member's report is required because it may still send requests: it has not been dead, or has not left,
+// for long enough. The snapshot is snapshotAgeSeconds old.
 func (p *Plan) mustReport(m *Member, snapshotAgeSeconds float64) bool {
 	switch m.State {
 	case swim.Dead:
@@ -45,8 +45,8 @@
 	return true
 }
 
-// unreportedMembers returns the names of members that must report, and have not reported that they apply a State of at least this
-// version. A report of an earlier process of the member doesn't count.
+// unreportedMembers returns the names of the members that must report and have not reported to apply this version of the State or a
+// later one. A report of an earlier process of the member doesn't count.
 func (c *Coordinator) unreportedMembers(p *Plan, snapshot *FleetSnapshot, version uint64) (names []string) {
 	for i := range snapshot.Members {
 		m := &snapshot.Members[i]
@@ -59,8 +59,8 @@
 	return names
 }
 
-// unreachableMembers returns the names of members that must report and have not, or are not alive; at most maxNamedMembers, sorted.
-// While there are any, nothing drains.
+// unreachableMembers returns the names of the members that must report and have not, or are not alive: at most maxNamedMembers,
+// sorted. While there are any, no server starts to drain.
 func (c *Coordinator) unreachableMembers(p *Plan) []string {
 	snapshot := c.freshSnapshot()
 	if snapshot == nil {
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -8,45 +8,46 @@
 	"slices"
 )
 
-// Spec is a plan as an operator submits it: which servers, and how much disruption at most. Fractions are from 0 to 1. Errors name
+// Spec is a plan as an operator submits it: which servers, and how much disruption is allowed. Fractions are from 0 to 1. Errors name
 // fields by their JSON keys.
 type Spec struct {
 	Name string `msgpack:"n" json:"name"`
 
-	// The servers: by name, and all of these sites, of these types alone if there are any. At least one of the three is set.
+	// The servers: those named in Servers, and all that match both Sites and Types; an empty Sites or Types matches every server if the
+	// other one is set. At least one of the three must be set.
 	Servers []string `msgpack:"b,omitempty" json:"boxes,omitempty"`
 	Sites   []string `msgpack:"s,omitempty" json:"sites,omitempty"`
 	Types   []string `msgpack:"y,omitempty" json:"types,omitempty"`
 
 	// The work on one server.
 	WorkSeconds    float64 `msgpack:"t" json:"takes_s"`
-	OverdueSeconds float64 `msgpack:"l,omitempty" json:"late_s,omitempty"`  // after which it is overdue; 0: twice WorkSeconds
-	AbandonOverdue bool    `msgpack:"g,omitempty" json:"give_up,omitempty"` // an overdue server is Lost and the plan goes on; else the plan waits for it
+	OverdueSeconds float64 `msgpack:"l,omitempty" json:"late_s,omitempty"`  // how long the work may take before the server is overdue; 0: twice WorkSeconds
+	AbandonOverdue bool    `msgpack:"g,omitempty" json:"give_up,omitempty"` // an overdue server becomes Lost and the plan continues; otherwise the plan waits for it
 
 	// The disruption budget.
-	MaxConcurrent   int     `msgpack:"a" json:"at_once"`                           // servers out of service or warming up
-	MaxPerSite      int     `msgpack:"i,omitempty" json:"by_site,omitempty"`       // the same of one site; 0: 1
-	MinCapacity     float64 `msgpack:"k" json:"keep"`                              // fraction of the capacity that stays in service; below 1
+	MaxConcurrent   int     `msgpack:"a" json:"at_once"`                           // how many servers may be out of service or warming up
+	MaxPerSite      int     `msgpack:"i,omitempty" json:"by_site,omitempty"`       // how many servers of one site may be; 0: 1
+	MinCapacity     float64 `msgpack:"k" json:"keep"`                              // fraction of the capacity that must stay in service; below 1
 	RejectionBudget float64 `msgpack:"r,omitempty" json:"refusing,omitempty"`      // fraction of requests that may be rejected beyond the baseline; 0: 0.02
-	MaxRejection    float64 `msgpack:"m,omitempty" json:"refusing_most,omitempty"` // fraction that may be rejected, baseline included; 0: 0.25, or RejectionBudget if greater
+	MaxRejection    float64 `msgpack:"m,omitempty" json:"refusing_most,omitempty"` // fraction of requests that may be rejected, including the baseline; 0: 0.25 or RejectionBudget, whichever is higher
 
 	// Times.
-	QuietSeconds      float64 `msgpack:"e,omitempty" json:"settle_s,omitempty"`   // without a new request before a server counts as empty; 0: 1
-	WarmUpSeconds     float64 `msgpack:"c,omitempty" json:"cold_s,omitempty"`     // slow start of a server; 0: Settings.WarmUpSeconds, 5 at least
-	DeadMemberSeconds float64 `msgpack:"o,omitempty" json:"gone_s,omitempty"`     // after which a dead sidecar need not report any more; 0: 300
-	StartAfterSeconds float64 `msgpack:"f,omitempty" json:"start_in_s,omitempty"` // from the submission; nothing drains before
-	EndAfterSeconds   float64 `msgpack:"u,omitempty" json:"end_in_s,omitempty"`   // from the submission; nothing drains after; 0: no end
+	QuietSeconds      float64 `msgpack:"e,omitempty" json:"settle_s,omitempty"`   // how long a server must have got no new request before it counts as empty; 0: 1
+	WarmUpSeconds     float64 `msgpack:"c,omitempty" json:"cold_s,omitempty"`     // duration of a server's slow start; 0: Settings.WarmUpSeconds, at least 5
+	DeadMemberSeconds float64 `msgpack:"o,omitempty" json:"gone_s,omitempty"`     // after this time a dead sidecar need not report any more; 0: 300
+	StartAfterSeconds float64 `msgpack:"f,omitempty" json:"start_in_s,omitempty"` // time from the submission before which nothing drains
+	EndAfterSeconds   float64 `msgpack:"u,omitempty" json:"end_in_s,omitempty"`   // time from the submission after which nothing drains; 0: no end
 }
 
 // Bounds of a submitted plan.
 const (
 	maxNameLen         = 64         // bytes of the name of a plan, a server or an agent
 	maxTextLen         = 80         // bytes of a reason
-	maxWorkSeconds     = 7 * 86400  // for WorkSeconds, OverdueSeconds and DeadMemberSeconds
-	maxScheduleSeconds = 31 * 86400 // until a plan starts or ends
+	maxWorkSeconds     = 7 * 86400  // of WorkSeconds, OverdueSeconds and DeadMemberSeconds
+	maxScheduleSeconds = 31 * 86400 // of StartAfterSeconds and EndAfterSeconds
 )
 
-// Validate checks the plan by itself, without the fleet. Its error is one line that begins with the JSON key of the field.
+// Validate checks what can be checked without knowing the fleet. Its error is one line that begins with the JSON key of the field.
 func (s *Spec) Validate() error {
 	if err := s.validateBudget(); err != nil {
 		return err
@@ -117,11 +118,11 @@
 
 // nameFields calls yield for each field that holds names, with its JSON key.
 func (s *Spec) nameFields(yield func(key string, names []string) bool) {
-	_ = yield("boxes", s.Servers) && yield("sites", s.Sites) && yield("types", s.Types) // what the last call returns is not needed
+	_ = yield("boxes", s.Servers) && yield("sites", s.Sites) && yield("types", s.Types) // the result of the last call is not needed
 }
 
-// resolveServers returns the servers of the plan: in the order of Spec.Servers those named there, then the others by name. It is an
-// error if a name, a site or a type is on no sidecar's endpoint list.
+// resolveServers returns the servers of the plan: first those named in Spec.Servers, in that order, then the others by name. It
+// returns an error if a name, a site or a type is on no sidecar's endpoint list.
 func (s *Spec) resolveServers(statuses []ServerStatus) ([]Server, error) {
 	for key, names := range s.nameFields {
 		for _, name := range names {
@@ -140,19 +141,19 @@
 		return nil, errors.New("sites: no box is of these sites and of these types")
 	}
 	slices.SortFunc(servers, func(a, b Server) int { return cmp.Compare(a.Name, b.Name) })
-	// Danger: AsListed goes by the order in which servers are named; a plan by names keeps it.
+	// AsListed drains servers in the order in which the operator named them, so that order is kept.
 	if len(s.Servers) > 0 {
 		slices.SortStableFunc(servers, func(a, b Server) int { return cmp.Compare(s.listPosition(a.Name), s.listPosition(b.Name)) })
 	}
 	return servers, nil
 }
 
-// matches reports whether a name given under a JSON key is this server's, its site's or its type's.
+// matches reports whether a name that Spec gives under a JSON key is the name of this server, of its site or of its type.
 func (b *ServerStatus) matches(key, name string) bool {
 	return key == "boxes" && b.Server == name || key == "sites" && b.Site == name || key == "types" && b.Type == name
 }
 
-// selects reports whether a server is of the plan's sites and types.
+// selects reports whether a server matches the plan's sites and types.
 func (s *Spec) selects(status *ServerStatus) bool {
 	return len(s.Sites)+len(s.Types) > 0 && (len(s.Sites) == 0 || slices.Contains(s.Sites, status.Site)) &&
 		(len(s.Types) == 0 || slices.Contains(s.Types, status.Type))
@@ -166,7 +167,7 @@
 	return math.MaxInt
 }
 
-// QuietPeriodSeconds returns for how long a server must have got no new request before it counts as empty, with the default applied.
+// QuietPeriodSeconds returns QuietSeconds with the default applied.
 func (s *Spec) QuietPeriodSeconds() float64 { return cmp.Or(s.QuietSeconds, 1) }
 
 // The other optional fields, with their defaults applied.
--- a/internal/decide/maintenance/state.go
+++ b/internal/decide/maintenance/state.go
@@ -11,31 +11,32 @@
 	"hazelwheel/internal/msgpacklimit"
 )
 
-// State is what is committed: all plans that have not ended, and ended ones as far as there is room. Its version is that of the
+// State is what the voters commit: all plans that have not ended, and ended ones as long as there is room. Its version is that of the
 // record that holds it.
 type State struct {
 	LastNumber uint64 `msgpack:"l"` // number of the last plan
 	Plans      []Plan `msgpack:"p,omitempty"`
 }
 
-// Committed is a State with its place in the history of the voters.
+// Committed is a committed State with its epoch and version, which order all committed States.
 type Committed struct {
 	Epoch   uint64 // of the founding of the voters' group
 	Version uint64 // grows with each State; 0: none was committed yet
 	State   State
 }
 
-// Bounds of a State. Danger: it is one entry of the voters' log and is sent over peer connections in one frame.
+// Bounds of a State, which must fit into one entry of the voters' log and into one frame between peers.
 const (
 	MaxServers    = 250 // of all plans that have not ended
 	MaxPlans      = 16  // including ended ones
 	MaxStateBytes = 40 << 10
 )
 
-// serverGrowthBytes bounds by how much the encoded form of a server can grow: token, version, agent and reason.
+// serverGrowthBytes bounds by how much the encoded form of a server can grow while its plan advances: by token, version, agent and
+// reason.
 const serverGrowthBytes = 110
 
-// ErrInvalidState is wrapped by the errors of Encode and Decode: a State that can't be read, or that exceeds its bounds.
+// ErrInvalidState is wrapped by the errors of Encode and Decode for a State that can't be decoded or exceeds its bounds.
 var ErrInvalidState = errors.New("works: the state can't be used")
 
 // Encode returns the State as the body of a record.
@@ -50,8 +51,8 @@
 	return body, nil
 }
 
-// Decode reads the body of a record; an empty body is the empty State. The bytes may come from a disk or from a peer and are not
-// trusted: every fault, a panic of the decoder included, is an error that wraps ErrInvalidState.
+// Decode decodes the body of a record; an empty body is the empty State. The bytes may come from disk or from a peer and are not
+// trusted: every fault, including a panic of the decoder, is returned as an error that wraps ErrInvalidState.
 func Decode(body []byte) (s State, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -78,7 +79,7 @@
 	return s, nil
 }
 
-// Cordoned calls yield with each server that gets no new requests, and the version of the State since which.
+// Cordoned calls yield with each cordoned server and the version of the State in which its present stage began.
 func (s *State) Cordoned(yield func(server string, sinceVersion uint64) bool) {
 	for i := range s.Plans {
 		for _, server := range s.Plans[i].Servers {
@@ -114,8 +115,8 @@
 	return n
 }
 
-// hasServerOut reports whether any plan has a server between Draining and WarmingUp. Lost servers don't count: the fleet has to do
-// without them anyway.
+// hasServerOut reports whether any plan has a server between Draining and WarmingUp. Lost servers don't count, since the fleet has to
+// do without them in any case.
 func (s *State) hasServerOut() bool {
 	for i := range s.Plans {
 		for j := range s.Plans[i].Servers {
@@ -136,7 +137,7 @@
 	return c
 }
 
-// sameState reports whether two states are equal but for the ages of plans, which depend on clocks.
+// sameState reports whether two states are equal except for the ages of plans, which depend on clocks.
 func sameState(a, b *State) bool {
 	bodyA, errA := a.withoutAges().Encode()
 	bodyB, errB := b.withoutAges().Encode()
@@ -151,8 +152,9 @@
 	return s
 }
 
-// trimToSize drops ended plans, oldest first, until the State is within its bounds with room for the growth of plans that go on. It
-// reports whether it is. Danger: a plan with a Lost server is what keeps that server cordoned, and is never dropped.
+// trimToSize drops ended plans, oldest first, until the State is within its bounds and has room for the growth of plans that have not
+// ended. It reports whether it succeeded. Danger: a plan with a Lost server must not be dropped, since only the plan keeps that server
+// cordoned.
 func (s *State) trimToSize() bool {
 	for {
 		room := MaxStateBytes
--- a/internal/decide/maintenance/stored_form_test.go
+++ b/internal/decide/maintenance/stored_form_test.go
@@ -12,7 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The values whose encoded form is kept. Every field is set, so that a field that is added without a golden file is noticed.
+// The following functions return the values whose encoded form is in golden files. Every field is set; requireComplete notices a field
+// that is added later and is not.
 func storedSpec() Spec {
 	return Spec{Name: "firmware-7", Servers: []string{"s-1", "s-2"}, Sites: []string{"site-a"}, Types: []string{"big"}, WorkSeconds: 1200.5, OverdueSeconds: 2400, AbandonOverdue: true, MaxConcurrent: 3,
 		MaxPerSite: 2, MinCapacity: 0.75, RejectionBudget: 0.05, MaxRejection: 0.4, QuietSeconds: 2, WarmUpSeconds: 30, DeadMemberSeconds: 600, StartAfterSeconds: 3600, EndAfterSeconds: 7200}
@@ -41,7 +42,7 @@
 		CompletedPerSecond: 10.5, RejectedPerSecond: 0.5, StaleMembers: 1}
 }
 
-// requireComplete fails where a field of a value, at any depth, is zero.
+// requireComplete fails if any field of a value, at any depth, is zero.
 func requireComplete(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	require.False(t, v.IsZero(), "%s is not set", path)
@@ -59,7 +60,7 @@
 	}
 }
 
-// What is stored and sent keeps its form: processes of the version before read it and write it.
+// The stored and sent forms must not change: processes of earlier versions read and write them.
 func TestStoredForm(t *testing.T) {
 	for name, value := range map[string]any{
 		"state":   State{LastNumber: 9, Plans: []Plan{storedPlan()}},
@@ -82,7 +83,7 @@
 	}
 }
 
-// What the admin endpoint accepts and answers keeps its form.
+// The JSON that the admin endpoint accepts and answers must not change.
 func TestAdminForm(t *testing.T) {
 	plan := storedPlan()
 	plan.Nonce = 0 // not part of the answer
@@ -114,7 +115,7 @@
 	assert.Equal(t, []int{250, 16, 40 << 10}, []int{MaxServers, MaxPlans, MaxStateBytes})
 }
 
-// A State as the version before has stored it is read, and stored as the same again.
+// A State that an earlier version has stored is decoded, and encoded to the same bytes again.
 func TestStoredStateIsRead(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "stored", "state.msgpack"))
 	require.NoError(t, err)
