--- a/internal/decide/lease/founding.go
+++ b/internal/decide/lease/founding.go
@@ -147,11 +147,11 @@
 		}
 		value := &Founding{Ballot: p.ballot, Voters: ids, Step: StepAccept}
 		best := uint64(0)
-		for _, promise := range p.promises {
-			if promise.Accepted > best {
-				best, value.Epoch, value.Voters = promise.Accepted, promise.Epoch, promise.Voters
+		for _, a := range p.promises {
+			if a.Accepted > best {
+				best, value.Epoch, value.Voters = a.Accepted, a.Epoch, a.Voters
 			} else if best == 0 {
-				value.Epoch = max(value.Epoch, promise.Epoch+1)
+				value.Epoch = max(value.Epoch, a.Epoch+1)
 			}
 		}
 		p.value = value
@@ -163,10 +163,10 @@
 		if slices.Contains(p.accepted, false) {
 			return
 		}
-		chosen := *p.value
-		chosen.Step = StepChosen
+		c := *p.value
+		c.Step = StepChosen
 		for _, id := range ids {
-			n.send(id, &Message{Founding: &chosen})
+			n.send(id, &Message{Founding: &c})
 		}
 	}
 }
--- a/internal/decide/lease/persist.go
+++ b/internal/decide/lease/persist.go
@@ -54,7 +54,7 @@
 		if !n.persistFailed {
 			n.actions.Log("lease state not persisted: this member does not vote", "error", err)
 		}
-		// Danger: messages that depend on the state must not be sent yet. A vote that was sent but not stored could be given twice.
+		// Danger: messages that depend on the state must go on waiting. A vote that was sent and not stored can be given twice.
 		n.persistFailed, n.dirty, n.persistRetryAt = true, true, n.now+persistRetrySeconds
 		return
 	}
--- a/internal/decide/lease/voters.go
+++ b/internal/decide/lease/voters.go
@@ -60,7 +60,7 @@
 	case gone != 0:
 		n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, gone))
 	default:
-		// All are alive and there are more than needed. One voter more than an odd number tolerates no further failure.
+		// All are alive and their number is even: one more than an odd number tolerates no further failure.
 		for _, id := range slices.Backward(g.confState.GetVoters()) {
 			if id != uint64(n.self) {
 				n.proposeConfChange(singleChange(raftpb.ConfChangeRemoveNode, id))
--- a/internal/decide/maintenance/drained.go
+++ b/internal/decide/maintenance/drained.go
@@ -45,7 +45,7 @@
 	return slices.Compact(members), strings.Join(reasons, "; ")
 }
 
-// usersOf returns the names of the sidecars that do not consider a server empty, and whether an operator uncordoned it at any of them.
+// usersOf returns the names of sidecars that do not consider a server empty, and whether an operator uncordoned it at one of them.
 func (s *FleetSnapshot) usersOf(server string) (names []string, uncordoned bool) {
 	for i := range s.Report.InUse {
 		if use := &s.Report.InUse[i]; use.Server == server {
--- a/internal/decide/maintenance/execute.go
+++ b/internal/decide/maintenance/execute.go
@@ -187,7 +187,7 @@
 	case p.Aborted:
 		return false, fmt.Errorf("plan: %d is aborted", p.Number)
 	case command.Kind == ResumePlan:
-		p.PausedBy, p.BaselineRejection = "", 0 // the operator accepts the present state of the fleet: the baseline is measured again
+		p.PausedBy, p.BaselineRejection = "", 0 // the operator has seen the fleet: the baseline is measured anew
 		return true, nil
 	case command.Kind == PausePlan:
 		p.PausedBy = command.issuer()
--- a/internal/decide/maintenance/selection.go
+++ b/internal/decide/maintenance/selection.go
@@ -34,7 +34,7 @@
 	isCriticalSite bool // the pending servers of its site alone, limited by MaxPerSite, take at least as long as all pending ones
 }
 
-// countAway counts the servers that are out of service by any plan, except Lost ones, and those that warm up, by a plan or otherwise.
+// countAway counts the servers that are out of service or warming up, by any plan or by themselves. Lost ones are not waited for.
 func (c *Coordinator) countAway(state *State) (n int) {
 	out := state.outOfService()
 	for _, stage := range out {
--- a/internal/decide/maintenance/snapshot.go
+++ b/internal/decide/maintenance/snapshot.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%016x", uint64(id))
 }
 
-// mustReport reports whether a member's report is required because it may still send requests: it has not been dead, or has not left,
-// for long enough. The snapshot is snapshotAgeSeconds old.
+// mustReport reports whether a member may still send requests, so that its report is required: it is not known to have been dead, or
+// to have left, for long enough. The snapshot is snapshotAgeSeconds old.
 func (p *Plan) mustReport(m *Member, snapshotAgeSeconds float64) bool {
 	switch m.State {
 	case swim.Dead:
@@ -45,8 +45,8 @@
 	return true
 }
 
-// unreportedMembers returns the names of the members that must report and have not reported to apply this version of the State or a
-// later one. A report of an earlier process of the member doesn't count.
+// unreportedMembers returns the names of members that must report, and have not reported that they apply a State of at least this
+// version. A report of an earlier process of the member doesn't count.
 func (c *Coordinator) unreportedMembers(p *Plan, snapshot *FleetSnapshot, version uint64) (names []string) {
 	for i := range snapshot.Members {
 		m := &snapshot.Members[i]
