--- a/internal/decide/maintenance/advance.go
+++ b/internal/decide/maintenance/advance.go
@@ -34,7 +34,7 @@
 		stage, wasOverdue := server.Stage, server.Overdue
 		c.advanceServer(p, server, giveBack)
 		if stage != Pending && server.Stage == Pending {
-			progress.isCautious, progress.calmSince = true, 0
+			progress.isCautious, progress.steadySince = true, 0
 		}
 		changed = changed || server.Stage != stage || server.Overdue != wasOverdue
 		hasServerOut = hasServerOut || server.Stage.isOut()
--- a/internal/decide/maintenance/baseline_test.go
+++ b/internal/decide/maintenance/baseline_test.go
@@ -118,7 +118,7 @@
 		s.MaxRejection = rapid.Float64Range(0.1, 1).Draw(t, "max rejection")
 		s.WorkSeconds, s.WarmUpSeconds = 1, rapid.Float64Range(1, 15).Draw(t, "warm up")
 		require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
-		own, greatest := 0.0, 0.0
+		own, highest := 0.0, 0.0
 		effect := rapid.Float64Range(0, 0.1).Draw(t, "effect while a server is out")
 		lastingEffect := rapid.Float64Range(0, 0.05).Draw(t, "effect that stays")
 		drained := 0
@@ -131,14 +131,14 @@
 			}
 			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "steps"), func() float64 {
 				if drained == 0 {
-					greatest = max(greatest, own)
+					highest = max(highest, own)
 				}
 				n := d.countStages()
 				out := n[Draining] + n[Drained] + n[InMaintenance] + n[WarmingUp]
 				return min(own+effect*float64(out)+lastingEffect*float64(drained), 1)
 			}, func() {
 				drained++
-				limit := min(greatest+(1+drainMargin)*s.RejectionBudget, s.MaxRejection)
+				limit := min(highest+(1+drainMargin)*s.RejectionBudget, s.MaxRejection)
 				require.LessOrEqual(t, d.fleet.rejectionFraction(), limit+1e-3, "server %d drained", drained)
 			})
 		}
@@ -153,14 +153,14 @@
 		s := spec()
 		s.MaxConcurrent, s.RejectionBudget, s.WorkSeconds, s.WarmUpSeconds = 2, rapid.Float64Range(0.01, 0.2).Draw(t, "rejection budget"), 1, 3
 		require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: s}).Err)
-		own, greatest, outAt := 0.0, 0.0, -100.0
+		own, highest, outAt := 0.0, 0.0, -100.0
 		effect, lasts := rapid.Float64Range(0, 0.3).Draw(t, "effect"), rapid.Float64Range(0, aftermathSeconds-1).Draw(t, "lasts")
 		for range rapid.IntRange(5, 40).Draw(t, "phases") {
 			if rapid.IntRange(0, 2).Draw(t, "change") == 0 {
 				own = rapid.Float64Range(0, 0.2).Draw(t, "own")
 			}
 			d.runWithAgent(rapid.IntRange(1, 60).Draw(t, "steps"), func() float64 {
-				if greatest = max(greatest, own); d.committed.State.hasServerOut() {
+				if highest = max(highest, own); d.committed.State.hasServerOut() {
 					outAt = d.now
 				}
 				if d.now-outAt <= lasts {
@@ -168,8 +168,8 @@
 				}
 				return own
 			}, nil)
-			part, _ := d.fleet.baseline.fraction()
-			require.LessOrEqual(t, part, greatest+1e-9)
+			fraction, _ := d.fleet.baseline.fraction()
+			require.LessOrEqual(t, fraction, highest+1e-9)
 		}
 	})
 }
--- a/internal/decide/maintenance/blockers.go
+++ b/internal/decide/maintenance/blockers.go
@@ -67,7 +67,7 @@
 	progress := c.planProgress(p.Number)
 	b := Blocker{Plan: p.Number, Reason: c.drainBlocker(p, progress)}
 	if b.Reason == "" && c.chooseNext(&c.committed.State, p) == nil {
-		b.Reason = c.noRoomReason(&c.committed.State, p)
+		b.Reason = c.limitReason(&c.committed.State, p)
 	}
 	if b.Reason != "" && progress.holdReason == b.Reason {
 		b.Members = c.unreachableMembers(p)
@@ -79,9 +79,9 @@
 // finds one.
 func (c *Coordinator) drainBlocker(p *Plan, progress *planProgress) string {
 	age := progress.age(c.now)
-	calmSeconds := steadySeconds
+	requiredSteadySeconds := steadySeconds
 	if progress.isCautious {
-		calmSeconds = cautiousSeconds
+		requiredSteadySeconds = cautiousSeconds
 	}
 	switch {
 	case p.Aborted:
@@ -100,7 +100,7 @@
 		return fmt.Sprintf("one box alone may be out or cold while the fleet refuses %.3f by itself", c.baselineRejection(p))
 	case c.needsBaseline(p), c.isDegraded(p) && !c.fleet.baseline.isMeasured():
 		return "it is measured what the fleet refuses by itself"
-	case progress.calmSince == 0 || c.now-progress.calmSince < calmSeconds || c.snapshotAt-c.lastDrainAt < steadySeconds:
+	case progress.steadySince == 0 || c.now-progress.steadySince < requiredSteadySeconds || c.snapshotAt-c.lastDrainAt < steadySeconds:
 		return "it is seen how the fleet does"
 	}
 	return ""
@@ -147,8 +147,8 @@
 	return ""
 }
 
-// noRoomReason returns which limit keeps chooseNext from finding a server.
-func (c *Coordinator) noRoomReason(state *State, p *Plan) string {
+// limitReason returns which limit keeps chooseNext from finding a server.
+func (c *Coordinator) limitReason(state *State, p *Plan) string {
 	if n := c.countAway(state); n >= p.Spec.MaxConcurrent {
 		return fmt.Sprintf("%d boxes are out or cold, at most %d may", n, p.Spec.MaxConcurrent)
 	} else if n > 0 && c.isDegraded(p) {
--- a/internal/decide/maintenance/coordinator.go
+++ b/internal/decide/maintenance/coordinator.go
@@ -109,11 +109,11 @@
 // effects may or may not have been committed; a command that finds its effect in the State replies so.
 func (c *Coordinator) requeueUnconfirmed() {
 	c.fleet.baseline = rejectionBaseline{} // servers may have been out of service without this Coordinator knowing
-	var again []queuedCommand
+	var requeued []queuedCommand
 	for _, executed := range c.unconfirmed {
-		again = append(again, executed.queued)
+		requeued = append(requeued, executed.queued)
 	}
-	c.queue = append(again, c.queue...)
+	c.queue = append(requeued, c.queue...)
 }
 
 // Observe replaces the snapshot of the fleet by a newer one.
@@ -143,9 +143,9 @@
 		progress.unhealthySince = 0
 	}
 	if progress.holdReason = c.holdReason(p); progress.holdReason != "" {
-		progress.calmSince = 0
-	} else if progress.calmSince == 0 {
-		progress.calmSince = c.now
+		progress.steadySince = 0
+	} else if progress.steadySince == 0 {
+		progress.steadySince = c.now
 	}
 }
 
@@ -195,10 +195,10 @@
 // reports whether any command changed the State.
 func (c *Coordinator) executeQueue(next *State) (changed bool) {
 	acquired := false
-	var later []queuedCommand
+	var waiting []queuedCommand
 	for _, q := range c.queue {
 		if q.Kind == AcquireServer && acquired || c.mustWait(&q) && c.now < q.deadline {
-			later = append(later, q)
+			waiting = append(waiting, q)
 			continue
 		}
 		reply, hadEffect := c.execute(next, &q.Command)
@@ -206,7 +206,7 @@
 		acquired = acquired || q.Kind == AcquireServer && hadEffect
 		c.unconfirmed = append(c.unconfirmed, executedCommand{q, reply})
 	}
-	c.queue = later
+	c.queue = waiting
 	return changed
 }
 
--- a/internal/decide/maintenance/coordinator_test.go
+++ b/internal/decide/maintenance/coordinator_test.go
@@ -37,8 +37,8 @@
 }
 
 // advance moves the clock forward, with a snapshot each half second. Each proposal is committed before the next snapshot.
-func (d *driver) advance(forS float64) {
-	for end := d.now + forS; d.now < end; d.now += 0.5 {
+func (d *driver) advance(seconds float64) {
+	for end := d.now + seconds; d.now < end; d.now += 0.5 {
 		r := d.snapshot
 		r.Report.Reporters = nil
 		for _, m := range r.Members {
@@ -144,34 +144,34 @@
 	}
 	d.nonce++
 	d.Submit(d.now, Command{Kind: AcquireServer, Agent: "bob", Nonce: d.nonce})
-	underWay := d.Step(d.now)
-	require.NotNil(t, underWay)
-	var taken string
-	for _, b := range underWay.Plans[0].Servers {
+	proposed := d.Step(d.now)
+	require.NotNil(t, proposed)
+	var handedOut string
+	for _, b := range proposed.Plans[0].Servers {
 		if b.Stage == InMaintenance {
-			taken = b.Name
+			handedOut = b.Name
 		}
 	}
-	require.NotEmpty(t, taken)
+	require.NotEmpty(t, handedOut)
 
 	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next lease holder, whose voters have committed the proposal
 	d.committed.Version++
-	d.committed.State = *underWay
+	d.committed.State = *proposed
 	d.Start(d.now, d.committed)
 	assert.Empty(t, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "no snapshot yet")
-	d.snapshot.Report.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
+	d.snapshot.Report.InUse = []InUse{{Server: handedOut, Member: 2, Uncordoned: true}}
 	d.advance(1)
 	again := d.submit(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
-	waits := d.Blockers()
-	require.NotEmpty(t, waits)
-	assert.Equal(t, taken, waits[0].Server)
-	assert.Contains(t, waits[0].Reason, "in use there by hand")
-	assert.Equal(t, []string{"n1"}, waits[0].Members)
+	blockers := d.Blockers()
+	require.NotEmpty(t, blockers)
+	assert.Equal(t, handedOut, blockers[0].Server)
+	assert.Contains(t, blockers[0].Reason, "in use there by hand")
+	assert.Equal(t, []string{"n1"}, blockers[0].Members)
 	d.snapshot.Report.InUse = nil
 	d.advance(1)
-	assert.Equal(t, taken, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is cordoned again")
+	assert.Equal(t, handedOut, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is cordoned again")
 }
 
 // The reply to a hand-out may be lost, for example if the lease holder stalls right after the commit. When the agent asks again, the
--- a/internal/decide/maintenance/drained.go
+++ b/internal/decide/maintenance/drained.go
@@ -56,10 +56,10 @@
 	return names, uncordoned
 }
 
-// whyNotHandedOut returns why the agent of a server that is InMaintenance is not handed the same server again; empty: it is. Danger:
+// notHandedOutReason returns why the agent of a server that is InMaintenance is not handed the same server again; empty: it is. Danger:
 // the first hand-out may have been committed late: the lease holder lost its quorum with the proposal, the agent got no reply, an
 // operator put the server back in service, and then the quorum came back and committed the proposal.
-func (c *Coordinator) whyNotHandedOut(server *Server) string {
+func (c *Coordinator) notHandedOutReason(server *Server) string {
 	if c.freshSnapshot() == nil {
 		return reasonNoReports
 	}
--- a/internal/decide/maintenance/execute.go
+++ b/internal/decide/maintenance/execute.go
@@ -306,7 +306,7 @@
 // could otherwise hand out a server that is back in service.
 func (c *Coordinator) acquireServer(next *State, command *Command, reply *Reply) (changed bool) {
 	if p, server := next.findAcquired(command.Agent); server != nil {
-		if reason := c.whyNotHandedOut(server); reason != "" {
+		if reason := c.notHandedOutReason(server); reason != "" {
 			reply.Text = server.Name + ": " + reason
 			return false
 		}
--- a/internal/decide/maintenance/fleet.go
+++ b/internal/decide/maintenance/fleet.go
@@ -230,9 +230,9 @@
 
 // add adds a value that lasted for some seconds.
 func (a *movingAverage) add(x, seconds float64) {
-	part := 1 - math.Exp(-seconds/a.windowSeconds)
-	a.sum += part * (x - a.sum)
-	a.weight += part * (1 - a.weight)
+	share := 1 - math.Exp(-seconds/a.windowSeconds)
+	a.sum += share * (x - a.sum)
+	a.weight += share * (1 - a.weight)
 }
 
 // value returns the mean; 0 before the first add.
--- a/internal/decide/maintenance/progress.go
+++ b/internal/decide/maintenance/progress.go
@@ -16,7 +16,7 @@
 	ageSeconds     float64 // of the plan, at learnedAt
 	learnedAt      float64 // when this Coordinator learned of the plan
 	unhealthySince float64 // since when there has been a giveBackReason; 0: there is none
-	calmSince      float64 // since when there has been no holdReason; 0: there is one
+	steadySince    float64 // since when there has been no holdReason; 0: there is one
 	isCautious     bool    // a server was put back in service since the last one started to drain
 	holdReason     string  // result of Coordinator.holdReason at the last snapshot
 }
--- a/internal/decide/maintenance/property_test.go
+++ b/internal/decide/maintenance/property_test.go
@@ -16,13 +16,13 @@
 // history checks that the sequence of committed states keeps the invariants of every plan.
 type history struct {
 	*driver
-	t      *rapid.T
-	tokens uint64           // the highest token so far
-	stages map[string]Stage // in the state before, by plan and server
+	t        *rapid.T
+	maxToken uint64           // the highest token so far
+	stages   map[string]Stage // in the state before, by plan and server
 }
 
 // check checks the invariants of the committed state, compared with the one before.
-func (h *history) check(was State) {
+func (h *history) check(previous State) {
 	planOf := map[string]uint64{}
 	for i := range h.committed.State.Plans {
 		p := &h.committed.State.Plans[i]
@@ -38,8 +38,8 @@
 				sites[b.Site]++
 			}
 			if b.Stage == InMaintenance && before != InMaintenance {
-				require.Greater(h.t, b.Token, h.tokens, "tokens grow")
-				h.tokens = b.Token
+				require.Greater(h.t, b.Token, h.maxToken, "tokens grow")
+				h.maxToken = b.Token
 				if len(b.ForcedPast) == 0 {
 					h.requireEmpty(p, b.Name)
 				}
@@ -58,8 +58,8 @@
 		}
 		require.Equal(h.t, p.Ended, !slices.ContainsFunc(p.Servers, func(b Server) bool { return b.Stage < Done }), "a plan has ended when all its servers have")
 	}
-	for i := range was.Plans {
-		if p := &was.Plans[i]; !p.Ended {
+	for i := range previous.Plans {
+		if p := &previous.Plans[i]; !p.Ended {
 			require.True(h.t, slices.ContainsFunc(h.committed.State.Plans, func(q Plan) bool { return q.Number == p.Number }), "plan %d, which has not ended, is missing", p.Number)
 		}
 	}
@@ -99,14 +99,14 @@
 		require.NoError(h.t, err)
 		require.Equal(h.t, body, again, "a decoded state is encoded to the same bytes")
 		was, before := h.committed.State, h.committed
-		lost := rapid.IntRange(0, 19).Draw(h.t, "fate of the proposal")
-		if lost == 0 { // the proposal is lost, and the lease holder is replaced
+		fate := rapid.IntRange(0, 19).Draw(h.t, "fate of the proposal")
+		if fate == 0 { // the proposal is lost, and the lease holder is replaced
 			h.Start(h.now, h.committed)
 			return
 		}
 		h.committed = Committed{h.committed.Epoch, h.committed.Version + 1, state}
 		h.check(was)
-		switch lost {
+		switch fate {
 		case 1: // the proposal is committed, and the lease holder is replaced before it learns so
 			h.Start(h.now, h.committed)
 			return
--- a/internal/decide/maintenance/report.go
+++ b/internal/decide/maintenance/report.go
@@ -72,23 +72,23 @@
 		}
 	}
 	for i := range other.Reporters {
-		at, _ := r.reporterIndex(&other.Reporters[i])
-		r.Reporters = slices.Insert(r.Reporters, at, other.Reporters[i])
+		index, _ := r.reporterIndex(&other.Reporters[i])
+		r.Reporters = slices.Insert(r.Reporters, index, other.Reporters[i])
 	}
 	for _, use := range other.InUse {
-		at, known := slices.BinarySearchFunc(r.InUse, use, func(a, b InUse) int {
+		index, known := slices.BinarySearchFunc(r.InUse, use, func(a, b InUse) int {
 			return cmp.Or(cmp.Compare(a.Server, b.Server), cmp.Compare(a.Member, b.Member))
 		})
 		if !known {
-			r.InUse = slices.Insert(r.InUse, at, use)
+			r.InUse = slices.Insert(r.InUse, index, use)
 		}
 	}
 	for _, status := range other.Servers {
-		at, known := slices.BinarySearchFunc(r.Servers, status, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
+		index, known := slices.BinarySearchFunc(r.Servers, status, func(a, b ServerStatus) int { return cmp.Compare(a.Server, b.Server) })
 		if known {
-			r.Servers[at].merge(&status)
+			r.Servers[index].merge(&status)
 		} else {
-			r.Servers = slices.Insert(r.Servers, at, status)
+			r.Servers = slices.Insert(r.Servers, index, status)
 		}
 	}
 	r.CompletedPerSecond += other.CompletedPerSecond
@@ -103,7 +103,7 @@
 	return known
 }
 
-func (r *Report) reporterIndex(reporter *Reporter) (at int, known bool) {
+func (r *Report) reporterIndex(reporter *Reporter) (index int, known bool) {
 	return slices.BinarySearchFunc(r.Reporters, *reporter, func(a, b Reporter) int { return cmp.Compare(a.ID, b.ID) })
 }
 
@@ -120,25 +120,25 @@
 	return true
 }
 
-func (b *ServerStatus) isValid() bool {
-	return len(b.Server) <= maxNameLen && len(b.Site) <= maxNameLen && len(b.Type) <= maxNameLen &&
-		isValidRate(b.CompletedPerSecond) && isValidRate(b.Capacity) &&
-		min(b.ListedBy, b.DrainingBy, b.CordonedBy, b.WarmingUpBy, b.UnresponsiveBy, b.InFlight) >= 0
+func (s *ServerStatus) isValid() bool {
+	return len(s.Server) <= maxNameLen && len(s.Site) <= maxNameLen && len(s.Type) <= maxNameLen &&
+		isValidRate(s.CompletedPerSecond) && isValidRate(s.Capacity) &&
+		min(s.ListedBy, s.DrainingBy, s.CordonedBy, s.WarmingUpBy, s.UnresponsiveBy, s.InFlight) >= 0
 }
 
 // merge adds what other sidecars report of the same server.
-func (b *ServerStatus) merge(other *ServerStatus) {
-	b.Site = cmp.Or(b.Site, other.Site)
-	b.Type = cmp.Or(b.Type, other.Type)
-	b.Capacity = max(b.Capacity, other.Capacity)
-	b.ListedBy += other.ListedBy
-	b.DrainingBy += other.DrainingBy
-	b.CordonedBy += other.CordonedBy
-	b.WarmingUpBy += other.WarmingUpBy
-	b.UnresponsiveBy += other.UnresponsiveBy
-	b.CompletedPerSecond += other.CompletedPerSecond
-	b.InFlight += other.InFlight
-	b.Busy = b.Busy || other.Busy
+func (s *ServerStatus) merge(other *ServerStatus) {
+	s.Site = cmp.Or(s.Site, other.Site)
+	s.Type = cmp.Or(s.Type, other.Type)
+	s.Capacity = max(s.Capacity, other.Capacity)
+	s.ListedBy += other.ListedBy
+	s.DrainingBy += other.DrainingBy
+	s.CordonedBy += other.CordonedBy
+	s.WarmingUpBy += other.WarmingUpBy
+	s.UnresponsiveBy += other.UnresponsiveBy
+	s.CompletedPerSecond += other.CompletedPerSecond
+	s.InFlight += other.InFlight
+	s.Busy = s.Busy || other.Busy
 }
 
 // isValidRate reports whether a number is finite and not negative. NaN is neither.
--- a/internal/decide/maintenance/selection.go
+++ b/internal/decide/maintenance/selection.go
@@ -116,7 +116,7 @@
 }
 
 // roundedImpact returns the impact rounded to fiftieths, so that small differences leave the choice to the other criteria.
-func (k *candidate) roundedImpact() int { return int(math.Round(50 * k.impact)) }
+func (c *candidate) roundedImpact() int { return int(math.Round(50 * c.impact)) }
 
 // trueFirst compares two conditions for sorting: -1 if only a holds, 1 if only b holds, 0 otherwise.
 func trueFirst(a, b bool) int {
@@ -132,24 +132,24 @@
 // impact returns how much the fleet loses if a server drains now. It is the sum of two fractions: of the capacity of its site or of
 // its type that is then out of service, whichever is higher, and of the load that the server has now.
 func (f *fleetModel) impact(out map[string]Stage, server *observedServer) float64 {
-	var site, siteOut, kind, kindOut, load float64
+	var siteCapacity, siteCapacityOut, typeCapacity, typeCapacityOut, load float64
 	for _, other := range f.servers {
 		capacity := f.capacity(other)
 		_, isOut := out[other.Server]
 		isOut = isOut || other.isUnavailable() || other == server
 		load += other.CompletedPerSecond
 		if other.Site == server.Site {
-			if site += capacity; isOut {
-				siteOut += capacity
+			if siteCapacity += capacity; isOut {
+				siteCapacityOut += capacity
 			}
 		}
 		if other.Type == server.Type {
-			if kind += capacity; isOut {
-				kindOut += capacity
+			if typeCapacity += capacity; isOut {
+				typeCapacityOut += capacity
 			}
 		}
 	}
-	impact := max(siteOut/site, kindOut/kind)
+	impact := max(siteCapacityOut/siteCapacity, typeCapacityOut/typeCapacity)
 	if load > 0 {
 		impact += server.CompletedPerSecond / load
 	}
--- a/internal/decide/maintenance/spec.go
+++ b/internal/decide/maintenance/spec.go
@@ -149,8 +149,8 @@
 }
 
 // matches reports whether a name that Spec gives under a JSON key is the name of this server, of its site or of its type.
-func (b *ServerStatus) matches(key, name string) bool {
-	return key == "boxes" && b.Server == name || key == "sites" && b.Site == name || key == "types" && b.Type == name
+func (s *ServerStatus) matches(key, name string) bool {
+	return key == "boxes" && s.Server == name || key == "sites" && s.Site == name || key == "types" && s.Type == name
 }
 
 // selects reports whether a server matches the plan's sites and types.
