--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -16,22 +16,22 @@
 const (
 	// faultListIntervalSeconds is the time between two lists of the holder while a fault runs.
 	faultListIntervalSeconds = 2.0
-	// faultOrderRetrySeconds is the time between two orders of a sidecar whose fault the holder has not announced.
+	// faultOrderRetrySeconds is how often a sidecar sends the order of a fault again until the holder has announced it.
 	faultOrderRetrySeconds = 0.5
-	// An ended fault is remembered for retentionSeconds, and for retentionFraction of its duration since clocks run at rates that
-	// differ by up to 5 %.
+	// An ended fault is remembered for retentionSeconds plus retentionFraction of its duration, since the rates of clocks differ by up
+	// to 5 %.
 	retentionSeconds, retentionFraction = 600.0, 0.2
-	// forwardSlack is the part of a retry interval after which a message that comes again is forwarded again.
+	// forwardSlack is the fraction of a retry interval that must have passed before a message that is received again is forwarded again.
 	forwardSlack = 0.9
 )
 
-// faultRole is the role "drill": a fault that operators start at one sidecar runs at all. The sidecar that has checked the secret
-// starts it and sends an order towards the holder, which announces it to all. Each sidecar starts a fault once, by its ID, and ends it
-// by its own clock, so a change of the holder has no effect on running faults. A new holder learns them from those that run them, and
-// announces them to sidecars that join late with the time that is left.
+// faultRole is the role "drill": a fault that an operator starts at one sidecar runs at all sidecars. The sidecar that has checked the
+// operator's secret starts the fault and sends an order towards the holder, which announces it to all. Each sidecar starts a fault
+// with a given ID once and ends it by its own clock, so a change of the holder has no effect on running faults. A new holder learns of
+// them from the sidecars that run them, and announces them with the remaining time, also to sidecars that join later.
 type faultRole struct {
 	roles      *roleManager
-	runs       []*faultRun // sorted by ID; also ended ones, until forgetAt
+	runs       []*faultRun // sorted by ID; ended ones are kept until forgetAt
 	heldToken  uint64      // 0: this sidecar is not the holder
 	announceAt float64     // when the holder sends the next list
 }
@@ -43,16 +43,16 @@
 	forgetAt    float64
 	announced   bool    // it is in the holder's last list
 	forwardedAt float64 // when it was last sent towards the holder; -Inf: never
-	rejection   string  // why it does not run here; empty: it does or did
+	rejection   string  // why it was not started here; empty: it was
 }
 
-// FaultStatus is the status of a fault that runs or ran at the whole fleet.
+// FaultStatus is the status of a fault that runs or ran at all sidecars of the fleet.
 type FaultStatus struct {
 	ID               uint64  `json:"id"`
 	Fault            string  `json:"drill"`
 	RemainingSeconds float64 `json:"left_s"`            // here; 0: it has ended
 	Announced        bool    `json:"told,omitempty"`    // it is in the holder's last list
-	Rejection        string  `json:"refused,omitempty"` // why it does not run here
+	Rejection        string  `json:"refused,omitempty"` // why it was not started here
 }
 
 var _ singletonRole = (*faultRole)(nil)
@@ -68,8 +68,8 @@
 // Stop implements singletonRole.
 func (r *faultRole) Stop() { r.heldToken = 0 }
 
-// FaultStarted implements sidecar.FaultObserver: it announces a fault that an operator has started at this sidecar to the fleet. sign returns
-// the signature for the ID that is drawn here.
+// FaultStarted implements sidecar.FaultObserver: it makes a fault that an operator has started at this sidecar known to the fleet. sign
+// returns the signature for the fault's ID, which is drawn here.
 func (n *Node) FaultStarted(name string, durationSeconds float64, sign func(id uint64) []byte) {
 	n.run(func() {
 		if n.roles == nil || n.roles.faults == nil {
@@ -81,7 +81,7 @@
 	})
 }
 
-// addRun adds a fault that is not known yet, and starts it here unless it runs already. It returns nil if there are too many.
+// addRun adds a fault that is not known yet, and starts it unless runsHere is true. It returns nil if there are too many faults.
 func (r *faultRole) addRun(now float64, order *faultOrder, runsHere bool) *faultRun {
 	if len(r.runs) >= maxFaultRuns {
 		return nil
@@ -99,13 +99,14 @@
 	return run
 }
 
-// findRun returns where a fault is in runs, or belongs.
+// findRun returns the index of a fault in runs, or the index at which to insert it.
 func (r *faultRole) findRun(id uint64) (i int, found bool) {
 	return slices.BinarySearchFunc(r.runs, id, func(run *faultRun, id uint64) int { return cmp.Compare(run.ID, id) })
 }
 
-// trackRun returns what is known of a received fault; one that is not known is started. Danger: one that has been started or has
-// ended here must not be started again, whoever sends it. It returns nil if the order contradicts what is known or there are too many.
+// trackRun returns the run of a received order, and starts the fault if it is not known. Danger: a fault that has been started or has
+// ended here must not be started again, whichever sidecar sends it. trackRun returns nil if the order contradicts the known one or
+// there are too many faults.
 func (r *faultRole) trackRun(now float64, order *faultOrder) *faultRun {
 	i, found := r.findRun(order.ID)
 	if !found {
@@ -140,7 +141,7 @@
 	}
 }
 
-// handleOrder handles an order on its way to the holder: the holder announces it, others forward it.
+// handleOrder handles an order on its way to the holder: the holder announces it, other sidecars forward it.
 func (r *faultRole) handleOrder(now float64, order *faultOrder, token uint64, from *peers.Link) {
 	run := r.trackRun(now, order)
 	if run == nil || now < run.forwardedAt+forwardSlack*faultOrderRetrySeconds || now >= run.endsAt {
@@ -155,7 +156,7 @@
 	r.forward(now, run, token, from)
 }
 
-// handleList handles the holder's list. Faults that are not in it are sent towards the holder again.
+// handleList handles the holder's list. Faults that are not in it are sent towards the holder again by retryOrders.
 func (r *faultRole) handleList(now float64, list *faultList) {
 	for _, run := range r.runs {
 		run.announced = false
@@ -184,7 +185,7 @@
 			list.Orders = append(list.Orders, run.orderAt(now))
 		}
 	}
-	// The first list is sent even if it is empty, so that sidecars which know a fault send it here.
+	// The first list under a lease is sent even if it is empty, so that sidecars that run a fault send its order to the new holder.
 	if len(list.Orders) == 0 && r.roles.state(faultRoleName).sequence > 0 {
 		return next
 	}
@@ -216,14 +217,14 @@
 	return next
 }
 
-// orderAt returns the order with the time that is left.
+// orderAt returns the order with the remaining time.
 func (run *faultRun) orderAt(now float64) faultOrder {
 	order := run.faultOrder
 	order.RemainingSeconds = max(run.endsAt-now, 0)
 	return order
 }
 
-// forward sends a fault towards the holder, over all links but one.
+// forward sends the order of a fault towards the holder, over all links except the link except, which may be nil.
 func (r *faultRole) forward(now float64, run *faultRun, token uint64, except *peers.Link) {
 	r.roles.sendTowardsHolder(faultRoleName, token, kindFaultOrder, mustMarshal(run.orderAt(now)), except)
 }
--- a/internal/coordination/fault_role_test.go
+++ b/internal/coordination/fault_role_test.go
@@ -17,7 +17,8 @@
 	return nil
 }
 
-// A fault starts once and its end is not postponed, whoever sends it, in whatever order and how often, also after it has ended.
+// A fault starts once and its end is not postponed, whichever sidecars send it, in any order and any number of times, also after it
+// has ended.
 func TestFaultsStartOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		starts := countingFaults{}
--- a/internal/coordination/helpers_test.go
+++ b/internal/coordination/helpers_test.go
@@ -8,11 +8,11 @@
 	"hazelwheel/internal/peers"
 )
 
-// clockLoop is an event loop on which nothing happens but that time passes. A dial stays under way for ever.
+// clockLoop is an event loop with a clock that tests set. A dial never finishes.
 type clockLoop struct {
 	netio.EventLoop
 	now  float64
-	link *peers.Link // that was dialed last
+	link *peers.Link // of the last dial
 }
 
 func (l *clockLoop) Now() float64 { return l.now }
@@ -22,7 +22,7 @@
 	return func() {}
 }
 
-// newTestNode returns a node with roles, without membership and lease, with one link over which nothing is sent.
+// newTestNode returns a node that has roles and one link, over which nothing is sent, but neither membership nor lease node.
 func newTestNode(o Options) (*Node, *clockLoop) {
 	loop := &clockLoop{now: 100}
 	o.Rand = rand.New(rand.NewPCG(1, 2))
--- a/internal/coordination/lease_actions.go
+++ b/internal/coordination/lease_actions.go
@@ -8,8 +8,8 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// leaseActions implements lease.Actions for a roleManager. What would call back into the lease node is postponed to the end of the
-// present call, and skipped if the identity has been replaced by then.
+// leaseActions implements lease.Actions for a roleManager. Work that would call back into the lease node is postponed to the end of
+// the present call, and skipped if the identity has been replaced by then.
 type leaseActions struct{ roles *roleManager }
 
 var _ lease.Actions = leaseActions{}
@@ -58,7 +58,7 @@
 	})
 }
 
-// LeaseStarted implements lease.Actions: it starts the role unless a message of a later holder has come.
+// LeaseStarted implements lease.Actions: it starts the role unless a message of a later holder was received.
 func (a leaseActions) LeaseStarted(name string, token uint64) {
 	m, node := a.roles, a.roles.lease
 	m.node.runAfterCall(func() {
@@ -66,9 +66,9 @@
 		if m.lease != node || s == nil {
 			return
 		}
-		m.stopRole(s, "it is granted anew")
+		m.stopRole(s, "lease granted again")
 		if ok, _ := m.fence.Admit(name, token); !ok {
-			return // a message under a greater token has come: there is a later holder
+			return // a message under a higher token was received: there is a later holder
 		}
 		s.heldToken, s.sequence = token, 0
 		m.logInfo("owner of a job", "job", name, "token", token)
@@ -104,7 +104,7 @@
 	})
 }
 
-// ReplaceIdentity implements lease.Actions: the membership ends for the old identity and starts for a new one.
+// ReplaceIdentity implements lease.Actions: this sidecar leaves the fleet under the old identity and joins it under a new one.
 func (a leaseActions) ReplaceIdentity(reason string) {
 	n := a.roles.node
 	n.runAfterCall(func() {
@@ -113,5 +113,5 @@
 	})
 }
 
-// Log implements lease.Actions, within the limit on log lines.
+// Log implements lease.Actions, within the rate limit of log lines.
 func (a leaseActions) Log(text string, args ...any) { a.roles.logInfo(text, args...) }
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -9,17 +9,17 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// LeaseStatus is the answer of the admin commands OWNERS and ELECTORS. JSON keys are read by operators' tools.
+// LeaseStatus is the response to the admin commands OWNERS and ELECTORS. Operators' tools read the JSON keys.
 type LeaseStatus struct {
 	Epoch            uint64        `json:"epoch"` // of the voters' founding; 0: none is known
-	Index            uint64        `json:"index"` // of the voters' log as of which this holds
+	Index            uint64        `json:"index"` // of the last entry of the voters' log that is included
 	Term             uint64        `json:"term"`
 	Leader           *VoterStatus  `json:"leader,omitempty"`
 	Voters           []VoterStatus `json:"electors,omitempty"`
 	Roles            []RoleStatus  `json:"jobs,omitempty"`      // sorted by name
-	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar takes no role at the moment
+	IneligibleReason string        `json:"unwilling,omitempty"` // why this sidecar accepts no role at the moment
 	Lists            *ListStats    `json:"lists,omitempty"`
-	Faults           []FaultStatus `json:"drills,omitempty"` // of the whole fleet, also ended ones
+	Faults           []FaultStatus `json:"drills,omitempty"` // of the whole fleet, including ended ones
 	Local            lease.Stats   `json:"here"`             // of this sidecar's lease node
 }
 
@@ -31,26 +31,26 @@
 	State   string `json:"state"` // swim.State, or "unknown"
 }
 
-// RoleStatus is the status of a role that was granted, that this sidecar can hold, or of which a message came.
+// RoleStatus is the status of a role that was granted, that this sidecar can hold, or of which it received a message.
 type RoleStatus struct {
 	Role             string   `json:"job"`
-	Token            uint64   `json:"token"`               // of the last grant that is known
+	Token            uint64   `json:"token"`               // of the last known grant
 	Holder           string   `json:"owner,omitempty"`     // ID of the holder; empty: there is none
 	HolderName       string   `json:"name,omitempty"`      // of the holder
 	HeldToken        uint64   `json:"held,omitempty"`      // token under which this sidecar may act
-	MaxToken         uint64   `json:"seen,omitempty"`      // greatest token of a message
-	Accepted         uint64   `json:"taken,omitempty"`     // messages
+	MaxToken         uint64   `json:"seen,omitempty"`      // highest token of a message
+	Accepted         uint64   `json:"taken,omitempty"`     // accepted messages
 	Rejected         uint64   `json:"refused,omitempty"`   // messages whose token was too low
 	Malformed        uint64   `json:"senseless,omitempty"` // messages whose body could not be used
-	AcceptedTokens   []uint64 `json:"taken_of,omitempty"`  // of the last accepted messages, one entry for each change, the oldest first
-	Capable          bool     `json:"can"`                 // this sidecar can hold it
-	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // of the last report; role "report" alone
+	AcceptedTokens   []uint64 `json:"taken_of,omitempty"`  // of the last accepted messages, with an entry for each change, oldest first
+	Capable          bool     `json:"can"`                 // this sidecar can hold the role
+	ReportAgeSeconds float64  `json:"report_s,omitempty"`  // age of the last report; only of the role "report"
 }
 
-// ErrNoVoters is returned where the fleet has no singleton roles.
+// ErrNoVoters is returned if the fleet has no voters and so no singleton roles.
 var ErrNoVoters = errors.New("this sidecar's fleet has no electors")
 
-// LeaseStatus returns the status of leases and voters, or ErrNoVoters. It is for the loop.
+// LeaseStatus returns the status of leases and voters, or ErrNoVoters. It must be called on the event loop.
 func (n *Node) LeaseStatus() (*LeaseStatus, error) {
 	if n.roles == nil || n.view == nil {
 		return nil, ErrNoVoters
@@ -58,8 +58,8 @@
 	return n.roles.status(), nil
 }
 
-// StepDown asks the voters to move a role to another holder. It returns ErrNoVoters, or an error if the role has no holder. It is for
-// the loop.
+// StepDown asks the voters to move a role to another holder. It returns ErrNoVoters, or an error if the role has no holder. It must be
+// called on the event loop.
 func (n *Node) StepDown(role string) (err error) {
 	n.run(func() {
 		if n.roles == nil || n.roles.lease == nil {
@@ -77,8 +77,8 @@
 	return err
 }
 
-// leaseView returns the table of leases and this sidecar's lease statistics. A sidecar whose state could not be written counts as no
-// leader, since it votes no more.
+// leaseView returns the table of leases and this sidecar's lease statistics. A sidecar whose state could not be written does not count
+// as the leader, since it does not vote.
 func (m *roleManager) leaseView() (table lease.Table, local lease.Stats) {
 	if m.lease != nil {
 		table, local = m.lease.Table(), m.lease.Stats()
@@ -104,7 +104,7 @@
 		s.Voters = append(s.Voters, m.voterStatus(id))
 	}
 	for _, g := range table.Grants {
-		m.state(g.Role) // added if it is not there
+		m.state(g.Role) // adds the role if it is new
 	}
 	for _, role := range m.states {
 		s.Roles = append(s.Roles, m.roleStatus(role, &table))
@@ -145,7 +145,7 @@
 	return s
 }
 
-// appendFigures appends the figures of leases and roles for the admin command DUMP.
+// appendFigures appends the metrics of leases and roles for the admin command DUMP.
 func (m *roleManager) appendFigures(all []sidecar.Metric) []sidecar.Metric {
 	add := func(name string, value uint64) { all = append(all, sidecar.Metric{Name: name, Value: value}) }
 	table, local := m.leaseView()
@@ -178,7 +178,7 @@
 	return all
 }
 
-// boolToInt returns 1 for true.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/internal/coordination/links.go
+++ b/internal/coordination/links.go
@@ -17,7 +17,7 @@
 	return frames.Hello{Fleet: n.options.Name, Name: n.options.Sidecar, ID: uint64(hello.Self.ID), Address: n.options.Advertise, Body: mustMarshal(hello)}
 }
 
-// LinkUp implements peers.Handler. A peer without an ID is no member yet; it is sent the maintenance record, see QueryMaintenance.
+// LinkUp implements peers.Handler. A peer without an ID is not a member yet; it is sent the maintenance record, see QueryMaintenance.
 func (n *Node) LinkUp(link *peers.Link, h frames.Hello) bool {
 	var hello swim.Hello
 	if h.ID == 0 {
@@ -25,7 +25,7 @@
 		return false
 	}
 	if err := frames.Unmarshal(h.Body, &hello); err != nil || uint64(hello.Self.ID) != h.ID || n.isLeaving || n.view.HasLostIdentity() {
-		if link.Address != "" { // Danger: the membership never dials an address again whose last dial has no result
+		if link.Address != "" { // the membership dials an address again only after its last dial has a result
 			n.view.DialFailed(n.loop.Now(), link.Address)
 		}
 		return false
@@ -33,7 +33,7 @@
 	n.links[link.Number] = link
 	n.view.LinkUp(n.loop.Now(), link.Number, link.Address, hello)
 	if n.links[link.Number] != link {
-		return true // the membership has asked to close it, which happens at the end of this call
+		return true // the membership has asked to close the link, which happens at the end of this call
 	}
 	n.linkByMember[hello.Self.ID] = link
 	n.upLinks = append(n.upLinks, link)
@@ -69,7 +69,7 @@
 	n.run(func() { n.view.DialFailed(n.loop.Now(), address) })
 }
 
-// HandleFrame implements peers.Handler. Unknown topics belong to later versions and are skipped.
+// HandleFrame implements peers.Handler. Unknown topics belong to later versions and are ignored.
 func (n *Node) HandleFrame(link *peers.Link, topic frames.Topic, body []byte) error {
 	switch topic {
 	case frames.TopicMembership:
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// broadcastFrame sends a frame over all links that are up but one; except may be nil.
+// broadcastFrame sends a frame over all links that are up, except over the link except, which may be nil.
 func (n *Node) broadcastFrame(topic frames.Topic, body []byte, except *peers.Link) {
 	for _, link := range slices.Clone(n.upLinks) { // sending may end a link
 		if link != except {
@@ -107,7 +107,7 @@
 	}
 }
 
-// mustMarshal encodes a message, which consists of numbers, names and bytes and so always can be.
+// mustMarshal encodes a message. Messages consist of numbers, strings and bytes, so encoding can't fail.
 func mustMarshal(v any) []byte {
 	body, err := frames.Marshal(v)
 	if err != nil {
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -6,56 +6,57 @@
 )
 
 const (
-	// directWatchDelaySeconds after the last confirmation of the list a sidecar starts a direct watch, at a random time within
-	// directWatchJitterSeconds: discovery sends something every 2 s. staleSeconds after it the list counts as stale, as if
-	// a direct watch had broken.
+	// directWatchDelaySeconds after the last confirmation of the list a sidecar starts a direct watch, with a random delay of up to
+	// directWatchJitterSeconds; discovery sends something every 2 s. staleSeconds after the last confirmation the list counts as stale,
+	// as if a direct watch had broken.
 	directWatchDelaySeconds, directWatchJitterSeconds, staleSeconds = 3.0, 1.0, 5.0
 	// distrustSeconds is how long a sidecar ignores updates after one that contradicted its list.
 	distrustSeconds = 30.0
 	// discoverySilenceSeconds is how long a holder's watch may be silent while other holders send updates, before it gives up the role.
 	discoverySilenceSeconds = 10.0
-	// clockDriftRate is by how much the clock offset may grow a second without a delay of the updates. Clocks run at rates that differ
-	// by up to 5 %.
+	// clockDriftRate is by how much the clock offset may grow per second without the updates being delayed, since the rates of clocks
+	// differ by up to 5 %.
 	clockDriftRate = 0.1
 )
 
-// listRelay lets few sidecars watch discovery: the holders of listRoleNames send each object of discovery, and its signs of life, to
-// all; the others apply them in place of a watch. It is the part of all of these roles that a sidecar has once.
+// listRelay relays the list, so that only a few sidecars watch discovery: the holders of listRoleNames send each object and each
+// keep-alive of discovery to all, and the others apply these in place of a watch of their own. A sidecar has one listRelay for all of
+// these roles.
 type listRelay struct {
 	roles   *roleManager
 	lists   sidecar.ListReceiver
 	sources [len(listRoleNames)]*listRole
 
 	relayed              bool    // updates of others replace this sidecar's watch
-	startedDirectWatch   bool    // a watch was started since updates are missing
-	directWatchAt        float64 // when to start it; 0: not drawn
-	directWatchUpdatedAt float64 // when this sidecar's watch brought something last
+	startedDirectWatch   bool    // a direct watch was started because updates are missing
+	directWatchAt        float64 // when to start a direct watch; 0: not drawn
+	directWatchUpdatedAt float64 // when this sidecar's watch last received something
 	distrustUntil        float64 // updates are ignored until then
-	announcedIndex       uint64  // greatest version whose delta was sent to all, by this sidecar or another
+	announcedIndex       uint64  // highest version whose delta was sent to all, by this sidecar or another
 
 	// The transfer of a list that was requested, see list_transfer.go.
 	request          listRequest
-	requestedAt      float64 // 0: none is wanted
-	requestedFreshAt float64 // when the update was sent that led to the request
-	requestLink      int     // that it was sent over
+	requestedAt      float64 // 0: no list is requested
+	requestedFreshAt float64 // when the update that led to the request was sent
+	requestLink      int     // number of the link over which the request was sent
 	chunks           [][]byte
-	waiters          []listWaiter // sidecars that have requested a list here
+	waiters          []listWaiter // requests of other sidecars
 
 	stats ListStats
 }
 
-// ListStats are statistics of the relay. JSON keys are read by operators' tools.
+// ListStats are statistics of the relay. Operators' tools read the JSON keys.
 type ListStats struct {
 	Relayed            bool    `json:"fed"`             // updates of others replace this sidecar's watch
 	AgeSeconds         float64 `json:"age_s,omitempty"` // since the last confirmation of the list
 	Index              uint64  `json:"index"`           // version of the list here
 	UpdatesReceived    uint64  `json:"words"`
-	Applied            uint64  `json:"taken"`  // lists and deltas
-	UpdatesSent        uint64  `json:"passed"` // as a holder
-	SnapshotsRequested uint64  `json:"asked"`  // whole lists
-	SnapshotsServed    uint64  `json:"answered"`
+	Applied            uint64  `json:"taken"`             // applied lists and deltas
+	UpdatesSent        uint64  `json:"passed"`            // as a holder
+	SnapshotsRequested uint64  `json:"asked"`             // requests for the whole list
+	SnapshotsServed    uint64  `json:"answered"`          // whole lists sent to other sidecars
 	Mismatches         uint64  `json:"disagreed"`         // updates that contradicted the list here
-	Stale              uint64  `json:"starved"`           // times that the list became stale
+	Stale              uint64  `json:"starved"`           // how often the list became stale
 	ForeignUpdates     uint64  `json:"foreign,omitempty"` // of another discovery service
 }
 
@@ -69,7 +70,7 @@
 	return l
 }
 
-// ListRead implements sidecar.ListObserver: it relays an object of discovery.
+// ListRead implements sidecar.ListObserver: it relays an object that this sidecar's watch has received from discovery.
 func (n *Node) ListRead(before uint64, held bool, raw []byte) {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
@@ -89,7 +90,7 @@
 
 func (l *listRelay) now() float64 { return l.roles.node.loop.Now() }
 
-// activeSource returns a role as whose holder this sidecar sends updates, nil if there is none.
+// activeSource returns a role for which this sidecar sends updates as the holder, nil if there is none.
 func (l *listRelay) activeSource() *listRole {
 	for _, r := range l.sources {
 		if r.heldToken != 0 || r.continuesAfterLapse() {
@@ -108,7 +109,7 @@
 
 // --- holder ---
 
-// handleDiscoveryUpdate sends what this sidecar's watch has brought to all, if it is a holder. The arguments are those of
+// handleDiscoveryUpdate sends an update of this sidecar's watch to all if this sidecar is a holder. The arguments are those of
 // sidecar.ListObserver.ListRead.
 func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
 	defer l.serveWaiters()
@@ -119,7 +120,7 @@
 		return
 	}
 	u := listUpdate{Discovery: v.DiscoveryAddress, Index: v.Index, Checksum: v.Checksum}
-	if raw != nil && held && v.Index > l.announcedIndex { // otherwise all have the delta, or will request the list
+	if raw != nil && held && v.Index > l.announcedIndex { // otherwise the others have the delta already, or will request the list
 		if delta := compress(raw); len(delta) <= maxDeltaBytes {
 			u.BaseIndex, u.Delta = before, delta
 		}
@@ -127,7 +128,7 @@
 	l.publish(r, u)
 }
 
-// handleWatchEnd tells all that no updates will come from here for now.
+// handleWatchEnd tells all members that this sidecar sends no updates for now, if it is a holder.
 func (l *listRelay) handleWatchEnd() {
 	if r := l.activeSource(); r != nil {
 		l.publish(r, listUpdate{Discovery: l.lists.DiscoveryAddress(), WatchEnded: true})
@@ -149,7 +150,8 @@
 	}
 }
 
-// stepDownIfPartitioned asks the voters to move roles whose holder here hears nothing of discovery while other holders do.
+// stepDownIfPartitioned asks the voters to move the roles that this sidecar holds if its watch has received nothing for
+// discoverySilenceSeconds. It is called while updates of other holders arrive.
 func (l *listRelay) stepDownIfPartitioned(now float64) {
 	for _, r := range l.sources {
 		if r.heldToken != 0 && now > max(r.startedAt, l.directWatchUpdatedAt, r.stepDownAt)+discoverySilenceSeconds {
@@ -162,8 +164,8 @@
 
 // --- receivers ---
 
-// handleUpdate handles an update of a holder. An error says that it is malformed. Danger: a list must never be replaced by an earlier
-// version, whoever sends that.
+// handleUpdate handles an update of a holder. An error means that the update is malformed. Danger: a list must never be replaced by an
+// earlier version, whichever sidecar sends that.
 func (l *listRelay) handleUpdate(from *peers.Link, r *listRole, token uint64, u *listUpdate) error {
 	now := l.now()
 	l.stats.UpdatesReceived++
@@ -179,7 +181,8 @@
 		l.checkFreshness(now)
 		return nil
 	}
-	// Danger: an update that was delayed in a queue would otherwise confirm the list as of now.
+	// Estimate the age of the update by the clock offset. Otherwise an update that was delayed in a queue would confirm the list as
+	// current.
 	r.clockOffset, r.clockOffsetAt = min(r.clockOffset+clockDriftRate*(now-r.clockOffsetAt), now-u.AtSeconds), now
 	age := max(now-u.AtSeconds-r.clockOffset, 0)
 	if now < l.distrustUntil || age > staleSeconds {
@@ -226,7 +229,7 @@
 	return nil
 }
 
-// confirmRelayed records that the list here is current by an update, so that no watch is needed.
+// confirmRelayed records that an update has confirmed the list here, so that no direct watch is needed.
 func (l *listRelay) confirmRelayed() {
 	l.relayed, l.directWatchAt = true, 0
 	l.startedDirectWatch = false
@@ -234,8 +237,8 @@
 	l.lists.ConfirmList()
 }
 
-// handleMismatch handles an update that contradicts the list here: the sidecar requests the whole list from discovery and ignores
-// updates for a while, since one of the two is not discovery's.
+// handleMismatch handles an update that contradicts the list here. One of the two is not what discovery has sent, so the sidecar
+// requests the whole list from discovery and ignores updates for distrustSeconds.
 func (l *listRelay) handleMismatch(now float64, index uint64) {
 	l.stats.Mismatches++
 	l.roles.logInfo("relayed list mismatch: watching discovery", "index", index)
@@ -244,7 +247,7 @@
 	l.lists.InvalidateList()
 }
 
-// stopRelaying forgets all confirmations, so that the sidecar goes by a direct watch.
+// stopRelaying discards all confirmations, so that the sidecar uses a direct watch.
 func (l *listRelay) stopRelaying() {
 	l.relayed, l.directWatchAt, l.requestedAt, l.chunks = false, 0, 0, nil
 	for _, r := range l.sources {
@@ -262,7 +265,8 @@
 	return at
 }
 
-// checkFreshness starts a watch if confirmations are missing, or stops relaying if the list is stale. It returns when to check again.
+// checkFreshness starts a direct watch if confirmations are missing, and stops relaying if the list is stale. It returns when to check
+// again.
 func (l *listRelay) checkFreshness(now float64) (next float64) {
 	if !l.relayed {
 		return now + staleSeconds
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// fakeLists is the list of a sidecar that follows updates.
+// fakeLists is the endpoint list of a sidecar that receives updates.
 type fakeLists struct {
 	set                        *endpointset.Set
 	discovery                  string
@@ -41,26 +41,26 @@
 func (f *fakeLists) SetDirectWatch(bool) {}
 func (f *fakeLists) InvalidateList()     { f.isConfirmed = false; f.invalidations++; f.set.ForgetIndex() }
 
-// newListNode returns a node that follows updates, and its list.
+// newListNode returns a node that receives updates, and its list.
 func newListNode() (*Node, *clockLoop, *fakeLists) {
 	lists := &fakeLists{set: endpointset.New(nil, nil), discovery: "d:1"}
 	n, loop := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{"list"})}, Lists: lists})
 	return n, loop, lists
 }
 
-// sendUpdate has a role handle an update that was sent at a time since its grant.
+// sendUpdate makes a role handle an update that was sent atSeconds after the grant.
 func sendUpdate(r *listRole, loop *clockLoop, u listUpdate, atSeconds float64) {
 	u.AtSeconds = atSeconds
 	r.HandleMessage(loop.link, &frames.RoleMessage{Role: r.name, Token: 1, Kind: kindListUpdate, Body: mustMarshal(u)})
 }
 
-// Updates of three holders come late, twice and not at all. The list never goes back, is the one of its version whenever it counts as
-// current, and does so no longer than staleSeconds.
+// Updates of three holders arrive late, twice or not at all. The list is never replaced by an earlier version, always has the content
+// of its version, and counts as current for at most staleSeconds after the last update that confirmed it.
 func TestListUpdatesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, loop, lists := newListNode()
 		l := n.roles.listRelay
-		// What discovery has: version i is the first i changes.
+		// The list of discovery: version i consists of the changes up to i.
 		truth := endpointset.New(nil, nil)
 		var sums []uint64
 		var updates []listUpdate
@@ -115,11 +115,11 @@
 		assert.Equal(t, 1, lists.invalidations)
 		assert.False(t, lists.isConfirmed)
 		_, ok := lists.ListVersion()
-		assert.False(t, ok, "the whole list is requested of discovery")
+		assert.False(t, ok, "the whole list is requested from discovery")
 	})
 }
 
-// An update that was delayed in a queue confirms the list as of when it was sent.
+// An update that was delayed in a queue confirms the list only as of the time when it was sent.
 func TestDelayedUpdatesAreOld(t *testing.T) {
 	n, loop, lists := newListNode()
 	l := n.roles.listRelay
--- a/internal/coordination/list_role.go
+++ b/internal/coordination/list_role.go
@@ -5,39 +5,40 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// listRoleName is the name in the settings that stands for all of listRoleNames.
+// listRoleName is the name that stands for all of listRoleNames in the settings.
 const listRoleName = "list"
 
-// listRoleNames are the roles of the relay. Their holders all watch discovery, so that the loss of one does not make the lists old;
-// nothing is lost if two have the same holder or announce the same version.
+// listRoleNames are the roles of the relay. All their holders watch discovery, so that lists do not become stale when one holder is
+// lost. It does no harm if two roles have the same holder or announce the same version.
 var listRoleNames = [...]string{listRoleName, listRoleName + "-2", listRoleName + "-3"}
 
 const (
-	// lapseGraceSeconds limits how long a holder goes on whose lease was not renewed while no later holder is known.
+	// lapseGraceSeconds limits how long a holder whose lease was not renewed continues while no later holder is known.
 	lapseGraceSeconds = 60.0
-	// otherSourceTickSeconds is the time between two ticks of the roles that have nothing to do in them.
+	// otherSourceTickSeconds is the time between two ticks of those list roles whose Tick does nothing: all but the first one.
 	otherSourceTickSeconds = 60.0
 )
 
-// listRole is one of the roles of a listRelay: as the holder a watch on discovery whose updates are sent to all, otherwise a source of
-// updates.
+// listRole is one of the roles of a listRelay. Its holder watches discovery and sends the updates to all; for other members it is a
+// source of updates.
 type listRole struct {
 	relay *listRelay
 	name  string
 
 	// At the holder.
 	heldToken     uint64 // 0: this sidecar is not the holder
-	lapsedToken   uint64 // of a lease that was not renewed and under which this sidecar goes on; 0: none
+	lapsedToken   uint64 // of a lease that was not renewed and under which this sidecar continues; 0: none
 	lapseDeadline float64
-	startedAt     float64 // of the grant
+	startedAt     float64 // when the lease started
 	stepDownAt    float64 // when the voters were last asked to move the role
 
 	// At receivers.
-	sourceToken uint64  // of the updates that come
+	sourceToken uint64  // token of the last update
 	freshAt     float64 // when the last update that confirmed the list here was sent, by this sidecar's clock; 0: none
-	// clockOffset is the least difference seen between this clock and the holder's, which an update shows that was not delayed.
+	// clockOffset is the smallest difference seen between the time of receipt of an update, by this sidecar's clock, and its AtSeconds:
+	// the difference of an update that was not delayed.
 	clockOffset   float64
-	clockOffsetAt float64
+	clockOffsetAt float64 // when clockOffset was last updated
 }
 
 var (
@@ -67,21 +68,22 @@
 	r.relay.lists.SetDirectWatch(true)
 }
 
-// Stop implements singletonRole. The watch stays until the updates of others replace it.
+// Stop implements singletonRole. The direct watch is no longer needed, unless this sidecar holds another list role, but continues until
+// updates of others replace it.
 func (r *listRole) Stop() {
 	r.heldToken = 0
 	r.relay.releaseDirectWatch()
 }
 
-// HandleLapse implements lapseHandler. When the leader of the voters is lost all leases end at once, and without this no updates would
-// be sent until there is a new one. An update of discovery is valid whoever sends it.
+// HandleLapse implements lapseHandler. When the leader of the voters is lost, all leases end at once, and no updates would be sent
+// until there is a new leader. So the holder continues, since an update of discovery is valid whichever sidecar sends it.
 func (r *listRole) HandleLapse(token uint64) {
 	r.lapsedToken, r.lapseDeadline = token, r.relay.now()+lapseGraceSeconds
 	r.relay.lists.SetDirectWatch(true)
 }
 
-// continuesAfterLapse reports whether this sidecar goes on under a lease that was not renewed: for a limited time, unless a later
-// grant is known or this sidecar is not fit.
+// continuesAfterLapse reports whether this sidecar continues under a lease that was not renewed: for a limited time, unless a later
+// grant is known or this sidecar is not fit to hold roles.
 func (r *listRole) continuesAfterLapse() bool {
 	if r.lapsedToken == 0 {
 		return false
@@ -104,7 +106,7 @@
 		}
 	case kindListRequest:
 		var request listRequest
-		l.serveWaiters() // removes those that have waited too long
+		l.serveWaiters() // removes requests that have waited too long
 		if frames.Unmarshal(m.Body, &request) != nil {
 			l.roles.countMalformed(r.name)
 		} else if request.Discovery == l.lists.DiscoveryAddress() && len(l.waiters) < maxWaiters {
--- a/internal/coordination/list_transfer.go
+++ b/internal/coordination/list_transfer.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// listRequestRetrySeconds is the least time between two requests for a list. A request for a version that is not here yet is
-	// remembered as long.
+	// listRequestRetrySeconds is the minimum time between two requests for a list. The receiver of a request for a version that it does
+	// not have yet remembers the request for the same time.
 	listRequestRetrySeconds = 0.5
 	// maxWaiters limits the requests that are remembered.
 	maxWaiters = 64
 )
 
-// listWaiter is a request for a list that is not here yet.
+// listWaiter is a request of another sidecar for a list version that is not here yet.
 type listWaiter struct {
 	link   int
 	token  uint64 // of the request
 	source *listRole
-	index  uint64 // the least version that is wanted
-	until  float64
+	index  uint64  // the minimum version
+	until  float64 // when the request is dropped
 }
 
-// requestList requests the list over the link by which an update of it came.
+// requestList requests the list over the link by which an update for it came.
 func (l *listRelay) requestList(link *peers.Link, r *listRole, token uint64, u *listUpdate, now, freshAt float64) {
 	if l.requestedAt > 0 && now < l.requestedAt+listRequestRetrySeconds {
 		return
@@ -33,7 +33,7 @@
 	l.roles.sendReply(link, r.name, token, kindListRequest, mustMarshal(l.request))
 }
 
-// serveWaiters sends the list to those that wait for a version that is here by now, and removes those that have waited too long.
+// serveWaiters sends the list to waiters whose version is here by now, and removes those that have waited too long.
 func (l *listRelay) serveWaiters() {
 	if len(l.waiters) == 0 {
 		return
@@ -63,8 +63,8 @@
 	l.waiters = waiting
 }
 
-// handleChunk handles a chunk of the list that was requested, and applies the list once it is complete. Chunks that were not requested
-// are ignored; an error says that the chunk is malformed.
+// handleChunk handles a chunk of a requested list, and applies the list once it is complete. Chunks that were not requested are
+// ignored. An error means that a chunk or the list is malformed.
 func (l *listRelay) handleChunk(from *peers.Link, c *listChunk) error {
 	now := l.now()
 	if l.requestedAt == 0 || from.Number != l.requestLink || now < l.distrustUntil || c.Discovery != l.lists.DiscoveryAddress() || c.Index < l.request.Index {
--- a/internal/coordination/list_wire.go
+++ b/internal/coordination/list_wire.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	maxDeltaBytes = 40 << 10 // of a compressed delta in an update; receivers request the list instead of a longer one
-	chunkBytes    = 32 << 10 // of a compressed list in one chunk
-	maxListBytes  = 8 << 20  // of a list or delta, uncompressed
+	maxDeltaBytes = 40 << 10 // maximum size of a compressed delta in an update; a longer one is omitted, and receivers request the list
+	chunkBytes    = 32 << 10 // size of the chunks of a compressed list
+	maxListBytes  = 8 << 20  // maximum size of an uncompressed list or delta
 )
 
-// listUpdate announces the version of the list that a holder has, with the delta that led to it, or that the version is still current.
+// listUpdate announces a new version of the holder's list, with the delta that led to it, or that the version is still current.
 type listUpdate struct {
 	Discovery  string  `msgpack:"d"`           // address of the discovery service; versions of different services can't be compared
 	Index      uint64  `msgpack:"i"`           // version of the holder's list
 	Checksum   uint64  `msgpack:"s"`           // of the list
 	BaseIndex  uint64  `msgpack:"f,omitempty"` // version that Delta applies to
 	Delta      []byte  `msgpack:"r,omitempty"` // compressed object of discovery; nil: receivers without the version request it
-	AtSeconds  float64 `msgpack:"t"`           // since the grant, by the holder's clock
+	AtSeconds  float64 `msgpack:"t"`           // when it was sent: seconds since the grant, by the holder's clock
 	WatchEnded bool    `msgpack:"e,omitempty"` // the holder's watch has ended: no updates will come for now
 }
 
 // listRequest requests the list.
 type listRequest struct {
 	Discovery string `msgpack:"d"`
-	Index     uint64 `msgpack:"i"` // the least version that is wanted
+	Index     uint64 `msgpack:"i"` // the minimum version
 }
 
 // listChunk is a part of a list. Chunks are sent in order.
@@ -47,10 +47,10 @@
 	Body      []byte `msgpack:"b"` // of the compressed list
 }
 
-// errListMismatch is the error for a list or delta that is not the version that it was announced as.
+// errListMismatch is the error for a list or delta that does not match the announced version or exceeds its bounds.
 var errListMismatch = errors.New("relayed list is not the announced version")
 
-// compress returns the deflated form.
+// compress returns the DEFLATE form of a list or delta.
 func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
--- a/internal/coordination/log_limiter.go
+++ b/internal/coordination/log_limiter.go
@@ -12,15 +12,15 @@
 	// logsPerSecond and logBurst limit the lines of one logLimiter.
 	logsPerSecond = 2.0
 	logBurst      = 40.0
-	// suppressedLogSeconds is the least time between two lines about suppressed lines.
+	// suppressedLogSeconds is the minimum time between two lines about suppressed lines.
 	suppressedLogSeconds = 5.0
 )
 
 // logLimiter limits the rate of log lines that peers can cause. Lines above the limit are counted, and the count is logged.
 type logLimiter struct {
 	bucket     tokenbucket.Bucket
-	suppressed int // since the last line about them
-	reportedAt float64
+	suppressed int     // lines since reportedAt
+	reportedAt float64 // when suppressed lines were last logged
 }
 
 // allow reports whether a line may be written now, and counts it as suppressed if not.
--- a/internal/coordination/loop.go
+++ b/internal/coordination/loop.go
@@ -10,8 +10,8 @@
 
 var _ netio.Handler = (*Node)(nil)
 
-// run is the boundary of each call from the loop. It recovers panics, runs what was postponed during the call, and reschedules the
-// tick, since the call may have brought forward what is due.
+// run wraps each call from the event loop. It recovers panics, runs the functions that were postponed during the call, and reschedules
+// the tick, since the call may have changed what is due next.
 func (n *Node) run(call func()) {
 	n.depth++
 	n.runRecovered(call)
@@ -26,7 +26,7 @@
 	n.depth--
 }
 
-// runRecovered reports whether the call panicked; the panic is logged and counted.
+// runRecovered runs a call and reports whether it panicked. The panic is logged and counted.
 func (n *Node) runRecovered(call func()) (failed bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -39,11 +39,11 @@
 	return false
 }
 
-// runAfterCall postpones a function to the end of the present call. Danger: actions of the protocols must not call back into them.
+// runAfterCall postpones a function to the end of the present call, since actions of a protocol must not call back into it.
 func (n *Node) runAfterCall(f func()) { n.afterCall = append(n.afterCall, f) }
 
-// OwnsConn reports whether a connection belongs to this Node rather than to the sidecar on the same loop: a link that was dialed or
-// accepted here, or a new connection to the port of the listener.
+// OwnsConn reports whether a connection belongs to this Node rather than to the sidecar on the same loop: a link that the Node has
+// dialed or accepted, or a new connection to the port of its listener.
 func (n *Node) OwnsConn(c netio.Conn) bool {
 	switch c.Context().(type) {
 	case *peers.Link:
--- a/internal/coordination/maintenance_commands.go
+++ b/internal/coordination/maintenance_commands.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// commandRetrySeconds is the time between two times that a command without a reply is sent.
+	// commandRetrySeconds is how often a command without a reply is sent again.
 	commandRetrySeconds = 0.4
-	// commandInterestSeconds is how long a command is sent again after it was submitted here last.
+	// commandInterestSeconds is for how long a command is sent again after it was last submitted here.
 	commandInterestSeconds = 3.0
-	// replyRetentionSeconds is how long a command and its reply are kept for those that submit it again.
+	// replyRetentionSeconds is how long a command and its reply are kept in case the command is submitted again.
 	replyRetentionSeconds = 60.0
-	maxCommands           = 256 // that are kept
+	maxCommands           = 256 // commands that are kept
 )
 
 // trackedCommand is a command that was submitted here or is on its way to the holder, with its reply.
@@ -23,12 +23,13 @@
 	maintenance.Command
 	reply       maintenance.Reply
 	answered    bool    // reply is set
-	requestedAt float64 // when it was last submitted here; -Inf: it was not
+	requestedAt float64 // when it was last submitted here; -Inf: never
 	forwardedAt float64 // when it was last sent; -Inf: never
-	seenAt      float64 // when it or its reply came last
+	seenAt      float64 // when it or its reply was last received
 }
 
-// submit returns the reply to a command that is submitted at this sidecar, or has it sent to the holder.
+// submit returns the reply to a command that is submitted at this sidecar. Without a reply yet, the command is sent towards the holder
+// in the next tick.
 func (r *maintenanceRole) submit(now float64, c *maintenance.Command) (reply maintenance.Reply, answered bool) {
 	t := r.trackCommand(now, c)
 	if t == nil {
@@ -41,7 +42,7 @@
 	return maintenance.Reply{}, false
 }
 
-// trackCommand returns the entry of a command, which is added if need be; nil if there are too many.
+// trackCommand returns the entry of a command, which is added if it is new; nil if there are too many.
 func (r *maintenanceRole) trackCommand(now float64, c *maintenance.Command) *trackedCommand {
 	for _, t := range r.commands {
 		if t.Nonce == c.Nonce {
@@ -62,7 +63,7 @@
 	r.commands = slices.DeleteFunc(r.commands, func(t *trackedCommand) bool { return now-max(t.seenAt, t.requestedAt) > replyRetentionSeconds })
 }
 
-// handleCommand handles a command on its way to the holder: the holder executes it, others forward it.
+// handleCommand handles a command on its way to the holder: the holder executes it, other sidecars forward it.
 func (r *maintenanceRole) handleCommand(now float64, c *maintenance.Command, from *peers.Link) {
 	t := r.trackCommand(now, c)
 	switch {
@@ -89,7 +90,7 @@
 	return next
 }
 
-// forwardCommand sends a command towards the holder, over all links but one.
+// forwardCommand sends a command towards the holder, over all links except the link except, which may be nil.
 func (r *maintenanceRole) forwardCommand(now float64, t *trackedCommand, except *peers.Link) {
 	token := r.maxToken()
 	if token == 0 {
@@ -99,7 +100,7 @@
 	r.roles.sendTowardsHolder(maintenanceRoleName, token, kindCommand, mustMarshal(&t.Command), except)
 }
 
-// execute executes a command once, as the holder, and sends the reply to all as often as the command comes.
+// execute is called at the holder. It executes a command once, and sends its reply to all whenever the command is received again.
 func (r *maintenanceRole) execute(now float64, t *trackedCommand) {
 	switch {
 	case t.answered:
@@ -113,7 +114,7 @@
 	}
 }
 
-// publishReply sends a reply to all, since any sidecar may have submitted the command.
+// publishReply sends a reply to all members, since the command may have been submitted at any of them.
 func (r *maintenanceRole) publishReply(now float64, reply *maintenance.Reply) {
 	if reply.Token != 0 {
 		reachStep("handed")
@@ -123,7 +124,7 @@
 	}
 }
 
-// recordReply keeps a reply for those that submit the command again.
+// recordReply keeps a reply in case the command is submitted again.
 func (r *maintenanceRole) recordReply(now float64, reply *maintenance.Reply) {
 	for _, t := range r.commands {
 		if t.Nonce == reply.Nonce && !t.answered {
--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// announceIntervalSeconds is the time between two announcements while a plan is active, idleAnnounceIntervalSeconds while none is.
+	// announceIntervalSeconds is the time between two announcements while a plan is active, idleAnnounceIntervalSeconds while none is
+	// active.
 	announceIntervalSeconds, idleAnnounceIntervalSeconds = 1.0, 10.0
 	// writeRetrySeconds is the time between two attempts to commit a version.
 	writeRetrySeconds = 0.3
-	// recordReadSeconds is about how long it takes until a new holder knows the committed record.
+	// recordReadSeconds is approximately how long it takes until a new holder knows the committed record.
 	recordReadSeconds = 0.35
 )
 
 // epochOf returns the epoch of the voters that granted a token.
 func epochOf(token uint64) uint64 { return token >> 40 }
 
-// handleCommitted handles the committed record, as the holder: the first time it starts the coordinator, later it tells it what has
-// been committed.
+// handleCommitted handles a committed record at the holder. The first one starts the coordinator, and later ones are passed to it.
 func (r *maintenanceRole) handleCommitted(record *lease.Record) {
 	if r.heldToken == 0 {
 		return
@@ -31,8 +31,8 @@
 	}
 	switch {
 	case record.Version == 0 && r.version > 0 && r.epoch < epoch:
-		// The voters were founded anew and have no record. Danger: servers that were cordoned may still be taken apart, so the old state is
-		// committed first.
+		// A new group of voters was founded and has no record. Danger: agents may still work on servers that the old record cordons, so the
+		// old state is committed first.
 		r.carriedOver = withInitialVersions(r.state)
 		r.writeRetryAt = 0
 		return
@@ -54,7 +54,7 @@
 	r.roles.requestTick(maintenanceRoleName)
 }
 
-// startCoordinator starts the coordinator from the committed record, and executes the commands that came before that.
+// startCoordinator starts the coordinator from the committed record, and executes the commands that were received before.
 func (r *maintenanceRole) startCoordinator(now float64, committed maintenance.Committed) {
 	r.coordinator = maintenance.New(maintenance.Settings{WarmUpSeconds: r.servers.WarmUpSeconds(), Order: r.roles.node.options.MaintenanceOrder})
 	r.coordinator.Start(now, committed)
@@ -65,7 +65,7 @@
 	}
 }
 
-// planAge returns the age of a plan: the greater of its own and the announced one.
+// planAge returns the age of a plan in seconds: the higher of the age in its state and the age that was announced.
 func (r *maintenanceRole) planAge(now float64, p *maintenance.Plan) float64 {
 	age := p.AgeSeconds
 	for _, a := range r.planAges {
@@ -86,13 +86,14 @@
 		}
 	}
 	body, err := s.Encode()
-	if err != nil { // impossible: it was decoded, and has not become longer
+	if err != nil { // impossible: the state was decoded and has not become longer
 		panic(err)
 	}
 	return body
 }
 
-// tickHolder commits versions, runs surveys, sends replies and announces the record, as the holder. It returns when to call it next.
+// tickHolder is called at the holder. It proposes versions, runs surveys, sends replies and announces the record. It returns when to
+// call it next.
 func (r *maintenanceRole) tickHolder(now float64) (next float64) {
 	if r.carriedOver != nil {
 		if now >= r.writeRetryAt {
@@ -129,7 +130,7 @@
 	return next
 }
 
-// proposeNext has the voters commit the coordinator's next state, one at a time.
+// proposeNext proposes the coordinator's next state to the voters, one state at a time.
 func (r *maintenanceRole) proposeNext(now float64) {
 	state := r.coordinator.Step(now)
 	if state == nil {
@@ -160,7 +161,8 @@
 	return count
 }
 
-// writeRecord proposes a version to the voters at the end of the present call, since the commit may be reported within it.
+// writeRecord proposes a version to the voters. It does so at the end of the present call, since the lease node may report the commit
+// before WriteRecord returns.
 func (r *maintenanceRole) writeRecord(version uint64, body []byte) {
 	m := r.roles
 	m.node.runAfterCall(func() {
@@ -170,13 +172,13 @@
 	})
 }
 
-// announce sends the record's version, the ages of the plans and what they wait for to all. The body is sent once for each version.
+// announce sends all members the record's version, the ages of the plans and what they wait for. The body is sent once per version.
 func (r *maintenanceRole) announce(now float64) {
 	if now < r.announceAt {
 		return
 	}
 	m := &recordMessage{Epoch: r.epoch, Version: r.version, Holder: r.roles.node.options.Sidecar}
-	if epoch := epochOf(r.heldToken); r.epoch != epoch { // nothing has been committed in this epoch
+	if epoch := epochOf(r.heldToken); r.epoch != epoch { // nothing has been committed in the present epoch
 		m.Epoch, m.Version = epoch, 0
 	}
 	if r.coordinator.NeedsSnapshot() {
--- a/internal/coordination/maintenance_query.go
+++ b/internal/coordination/maintenance_query.go
@@ -14,13 +14,13 @@
 )
 
 // A process that starts may not know which servers are cordoned, and the holder does not know of the process yet. So it queries peers
-// before it accepts clients, and no client waits for that. Without an answer it goes by its own disk. Danger: queried later, a request
-// would be sent to a server that is taken apart.
+// before it accepts clients: if it queried them later, it could send a request to a server that an agent works on. Without a response
+// it uses the record on its own disk.
 
 var errNoRecord = errors.New("peer sent no maintenance record")
 
-// QueryMaintenance asks the sidecars at addresses for the maintenance record and returns the newest, nil if none answers. It blocks
-// until all have answered or failed, at most until the deadline, and is for a process whose event loop has not started.
+// QueryMaintenance queries the sidecars at addresses for the maintenance record and returns the newest one, nil if there is none. It
+// blocks until all queries have succeeded or failed, at most until the deadline, so it must be called before the event loop starts.
 func QueryMaintenance(fleet, name string, addresses []string, deadline time.Time) (newest *MaintenanceRecord) {
 	var mu sync.Mutex // guards newest
 	var queries sync.WaitGroup
@@ -28,7 +28,7 @@
 		queries.Go(func() {
 			record, err := queryMaintenance(fleet, name, address, deadline)
 			if err != nil {
-				return // not reachable, or without a record: the others count
+				return // unreachable, or without a record: the records of the others are used
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -41,7 +41,7 @@
 	return newest
 }
 
-// queryMaintenance asks one sidecar: a hello without an ID is answered with the record, see Node.LinkUp.
+// queryMaintenance queries one sidecar. It sends a hello without an ID, to which the sidecar replies with the record, see Node.LinkUp.
 func queryMaintenance(fleet, name, address string, deadline time.Time) (*MaintenanceRecord, error) {
 	c, err := net.DialTimeout("tcp", address, time.Until(deadline))
 	if err != nil {
@@ -63,7 +63,7 @@
 	return readRecord(c)
 }
 
-// readRecord reads frames up to the first role message, which holds the record.
+// readRecord reads frames until the first role message, which contains the record.
 func readRecord(c io.Reader) (*MaintenanceRecord, error) {
 	var received bytes.Buffer
 	chunk := make([]byte, 4096)
@@ -93,7 +93,7 @@
 	}
 }
 
-// decodeRecord decodes the role message that answers a query.
+// decodeRecord decodes the role message that replies to a query.
 func decodeRecord(body []byte) (*MaintenanceRecord, error) {
 	var envelope frames.RoleMessage
 	var m recordMessage
@@ -112,7 +112,7 @@
 	return &MaintenanceRecord{m.Epoch, m.Version, envelope.Token, m.Body}, nil
 }
 
-// answerQuery sends the record to a process that is no member yet. Its link is closed after that.
+// answerQuery sends the record to a process that is not a member yet. Its link is closed after that.
 func (n *Node) answerQuery(link *peers.Link) {
 	if n.roles == nil || n.roles.maintenance == nil {
 		return
--- a/internal/coordination/maintenance_record.go
+++ b/internal/coordination/maintenance_record.go
@@ -11,16 +11,16 @@
 // maxHolderNameBytes limits the holder's name in an announcement.
 const maxHolderNameBytes = 64
 
-// MaintenanceRecord is the maintenance record that a sidecar goes by: which servers are cordoned for which plan. It is persisted, and
-// read from peers by QueryMaintenance.
+// MaintenanceRecord is the maintenance record that a sidecar applies: which servers are cordoned for which plan. It is persisted, and
+// QueryMaintenance gets it from peers.
 type MaintenanceRecord struct {
 	Epoch   uint64 `json:"epoch"` // of the voters' founding
 	Version uint64 `json:"version"`
-	Token   uint64 `json:"token"` // greatest token seen of the role, so that no message under a lower one can undo the record
+	Token   uint64 `json:"token"` // highest token seen of the role, so that no message under a lower one can undo the record
 	Body    []byte `json:"body"`  // a maintenance.State
 }
 
-// isNewer reports whether one version of the record is newer than another: versions count from 1 in each epoch.
+// isNewer reports whether one version of the record is newer than another. Versions start from 1 in each epoch.
 func isNewer(epoch, version, otherEpoch, otherVersion uint64) bool {
 	return epoch > otherEpoch || epoch == otherEpoch && version > otherVersion
 }
@@ -28,7 +28,7 @@
 // LearnMaintenance applies a record that QueryMaintenance has returned. It must be called after UseStore and before Start.
 func (n *Node) LearnMaintenance(record *MaintenanceRecord) { n.adoptMaintenance(record) }
 
-// MaintenanceRecord returns the record that this sidecar goes by, nil if there is none. It is for the loop.
+// MaintenanceRecord returns the record that this sidecar applies, nil if there is none. It must be called on the event loop.
 func (n *Node) MaintenanceRecord() *MaintenanceRecord {
 	if n.roles == nil || n.roles.maintenance == nil || n.roles.maintenance.version == 0 {
 		return nil
@@ -83,7 +83,7 @@
 	}
 }
 
-// handleRecord handles an announcement of the holder, or a record that was requested.
+// handleRecord handles an announcement of the holder, or a record that this sidecar has requested from a neighbor.
 func (r *maintenanceRole) handleRecord(now float64, from *peers.Link, m *recordMessage) {
 	if m.Holder != "" && len(m.Holder) <= maxHolderNameBytes && len(m.Blockers) <= 2*maintenance.MaxServers && len(m.PlanAges) <= maintenance.MaxPlans {
 		r.holderName, r.blockers, r.announcedAt, r.planAges, r.planAgesAt = m.Holder, m.Blockers, now, m.PlanAges, now
@@ -91,13 +91,14 @@
 	switch {
 	case !isNewer(m.Epoch, m.Version, r.epoch, r.version):
 	case m.Body == nil && m.Version > 0:
-		r.sendRecordVersion(from) // requests it
+		r.sendRecordVersion(from) // requests the body
 	default:
 		r.apply(m.Epoch, m.Version, m.Body, true)
 	}
 }
 
-// handleRecordVersion sends a neighbor the record if its version is older, or requests the neighbor's if that is newer.
+// handleRecordVersion handles a neighbor's version: it sends the record if the neighbor's is older, or requests it if the neighbor's
+// is newer.
 func (r *maintenanceRole) handleRecordVersion(from *peers.Link, v recordVersion) {
 	switch {
 	case isNewer(r.epoch, r.version, v.Epoch, v.Version):
@@ -112,15 +113,15 @@
 	return &recordMessage{Epoch: r.epoch, Version: r.version, Body: r.body}
 }
 
-// sendRecordVersion tells a neighbor the version of the record here. A neighbor with a newer one answers with it.
+// sendRecordVersion tells a neighbor the version of the record here. A neighbor with a newer record replies with that.
 func (r *maintenanceRole) sendRecordVersion(link *peers.Link) {
 	if token := r.maxToken(); token != 0 {
 		r.roles.sendReply(link, maintenanceRoleName, token, kindRecordVersion, mustMarshal(recordVersion{r.epoch, r.version}))
 	}
 }
 
-// handleLinkUp has a new neighbor send what this sidecar has missed.
+// handleLinkUp requests a newer record from a new neighbor.
 func (r *maintenanceRole) handleLinkUp(link *peers.Link) { r.sendRecordVersion(link) }
 
-// maxToken returns the greatest token of the role that is known, 0 if none is.
+// maxToken returns the highest known token of the role, 0 if none is known.
 func (r *maintenanceRole) maxToken() uint64 { return r.roles.maxToken(maintenanceRoleName) }
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -12,9 +12,9 @@
 // maintenanceRoleName is the role's name on the wire and in the settings.
 const maintenanceRoleName = "works"
 
-// OnMaintenanceStep is a hook of tests, called by the holder of the role: at "agreed", when a version is committed and before it is
-// announced; "told", when it was announced; "empty", before a drained server is committed to be so; "handed", before a reply that
-// hands a server to a maintenance agent is sent. nil: none.
+// OnMaintenanceStep is a hook for tests, called at the holder of the role with the name of a step; nil: none. The steps are "agreed"
+// (a version was committed and is not announced yet), "told" (it was announced), "empty" (a server was found to be drained, and that is
+// not proposed yet) and "handed" (a reply that hands a server to a maintenance agent is about to be sent).
 var OnMaintenanceStep func(step string)
 
 func reachStep(step string) {
@@ -23,33 +23,33 @@
 	}
 }
 
-// maintenanceRole is the role "works": its holder decides by a maintenance.Coordinator in which order servers are taken down. The
-// decisions are versions of a record that the voters commit; the holder announces each, and a sidecar that lacks one gets it from a
-// neighbor. Every sidecar cordons the servers of the version that it has applied, over restarts, too. While a plan is active the
-// holder surveys all members for what they see of the servers; the request is flooded and answered as in reportRole. Commands of
-// operators and maintenance agents are forwarded over all links until they reach the holder, whose replies are flooded back.
+// maintenanceRole is the role "works": its holder uses a maintenance.Coordinator to decide in which order servers are drained. The
+// decisions are versions of a record that the voters commit. The holder announces each version, and a sidecar that lacks one gets it
+// from a neighbor. Every sidecar cordons the servers that its applied version names, also after a restart. While a plan is active the
+// holder surveys all members for their reports of the servers, in the same way as reportRole. Commands of operators and maintenance
+// agents are forwarded over all links until they reach the holder, whose replies are flooded back.
 type maintenanceRole struct {
 	roles   *roleManager
 	servers sidecar.MaintainedServers
 
 	// The record that is applied here.
-	epoch, version uint64 // 0, 0: none
-	body           []byte // encoded state
+	epoch, version uint64 // both 0: there is no record
+	body           []byte // the encoded state
 	state          maintenance.State
-	outSince       map[string]float64 // when a server was cordoned here by the record
+	outSince       map[string]float64 // when each server was cordoned here by the record
 
 	// The holder's last announcement.
 	holderName  string
 	blockers    []maintenance.Blocker
-	announcedAt float64 // -Inf: none has come
+	announcedAt float64 // -Inf: none was received
 	planAges    []planAge
 	planAgesAt  float64
 
 	// The last survey, as a member that responds.
-	parentLink          int // link by which the request came
+	parentLink          int // link by which the request first arrived
 	surveyToken         uint64
 	round               uint64
-	gathered            *maintenance.Report // to be sent over parentLink; nil: nothing is
+	gathered            *maintenance.Report // to be sent over parentLink at sendAt; nil: none
 	sendAt              float64
 	budget              responseBudget
 	completed, rejected uint64 // requests, as of the last local report
@@ -68,7 +68,7 @@
 	surveyAt       float64
 	surveyDeadline float64
 	surveyed       []maintenance.Member // of the present survey
-	collected      *maintenance.Report  // of the present survey; nil: there is none
+	collected      *maintenance.Report  // sum of the reports of the present survey; nil: no survey is in progress
 	// The version that was last announced with its body.
 	announcedEpoch, announcedVersion uint64
 }
@@ -90,7 +90,7 @@
 	r.announceAt, r.surveyAt, r.announcedVersion, r.announcedEpoch = 0, 0, 0, 0
 }
 
-// Stop implements singletonRole. Commands without a reply are sent to the next holder at once.
+// Stop implements singletonRole. It makes commands without a reply due, so that they are sent to the next holder without delay.
 func (r *maintenanceRole) Stop() {
 	r.heldToken, r.coordinator, r.carriedOver, r.proposed, r.collected = 0, nil, nil, nil, nil
 	for _, c := range r.commands {
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -7,23 +7,23 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// MaintenanceStatus is the answer of the admin command WORKS. JSON keys are read by operators' tools.
+// MaintenanceStatus is the response to the admin command WORKS. Operators' tools read the JSON keys.
 type MaintenanceStatus struct {
 	Version    uint64                `json:"version"` // of the record that is applied here; 0: none is
-	Holder     string                `json:"owner"`   // name of the role's holder; empty: no announcement has come yet
-	AgeSeconds float64               `json:"age_s"`   // since its last announcement
+	Holder     string                `json:"owner"`   // name of the role's holder; empty: no announcement was received yet
+	AgeSeconds float64               `json:"age_s"`   // since the holder's last announcement
 	Plans      []maintenance.Plan    `json:"plans"`
 	Blockers   []maintenance.Blocker `json:"waits"` // what the plans wait for, by the last announcement
 	Cordoned   []string              `json:"out"`   // servers that are cordoned here by the record
-	Reinstated []string              `json:"hand"`  // those of Out that an operator has put back into use here
+	Reinstated []string              `json:"hand"`  // those of Cordoned that an operator has put back in service at this sidecar
 }
 
-// ErrNoMaintenance is returned where this sidecar has no part in the role "works".
+// ErrNoMaintenance is returned if this sidecar can't hold the role "works".
 var ErrNoMaintenance = errors.New("this sidecar's fleet does not settle work on boxes: fleet.jobs has no \"works\"")
 
 var errNoNonce = errors.New("the command has no nonce")
 
-// MaintenanceStatus returns the status of maintenance, or ErrNoMaintenance. It is for the loop.
+// MaintenanceStatus returns the status of maintenance, or ErrNoMaintenance. It must be called on the event loop.
 func (n *Node) MaintenanceStatus() (*MaintenanceStatus, error) {
 	if n.roles == nil || n.roles.maintenance == nil {
 		return nil, ErrNoMaintenance
@@ -52,10 +52,10 @@
 	return s, nil
 }
 
-// SubmitMaintenance sends a command to the holder of the role "works". Without an answer yet answered is false, and the caller calls
-// again with the same command; the nonce tells commands apart, so that each is executed once. Between the calls the command is sent
-// again until it has not been submitted for a while. It returns ErrNoMaintenance, or an error for an invalid command. It is for the
-// loop.
+// SubmitMaintenance sends a command to the holder of the role "works". While there is no reply yet, answered is false, and the caller
+// calls again with the same command; the nonce identifies the command, so that it is executed once. Between the calls the command is
+// sent again, for commandInterestSeconds after the last call. The error is ErrNoMaintenance or states what is invalid in the command.
+// SubmitMaintenance must be called on the event loop.
 func (n *Node) SubmitMaintenance(c maintenance.Command) (reply maintenance.Reply, answered bool, err error) {
 	n.run(func() {
 		switch {
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	surveyIntervalSeconds = 0.5  // between the starts of two surveys
-	surveyTimeoutSeconds  = 1.5  // of a survey
-	surveyGatherSeconds   = 0.06 // for which a member waits for responses from behind it before it sends its own
-	minSurveySpanSeconds  = 0.001
+	surveyIntervalSeconds = 0.5   // time between the starts of two surveys
+	surveyTimeoutSeconds  = 1.5   // maximum duration of a survey
+	surveyGatherSeconds   = 0.06  // how long a member waits for responses of its children before it sends its own
+	minSurveySpanSeconds  = 0.001 // minimum time over which rates are computed
 )
 
-// handleSurveyRequest starts to gather the response to a survey.
+// handleSurveyRequest starts to gather the responses of this sidecar and its children to a survey.
 func (r *maintenanceRole) handleSurveyRequest(now float64, from *peers.Link, token uint64, request *surveyRequest) {
 	r.parentLink, r.surveyToken, r.round = from.Number, token, request.Round
 	r.gathered, r.sendAt = r.localReport(now), now+surveyGatherSeconds
@@ -24,8 +24,8 @@
 	}
 }
 
-// handleSurveyResponse adds a response to what is collected or gathered. One that can't be merged is left out, and its reporters count
-// as silent in the survey.
+// handleSurveyResponse adds a response to the survey's result at the holder, or to what another member gathers. A response that can't
+// be merged is dropped, and its reporters count as silent in the survey.
 func (r *maintenanceRole) handleSurveyResponse(now float64, token uint64, response *surveyResponse) {
 	if response.Round != r.round {
 		return
@@ -33,17 +33,17 @@
 	switch {
 	case r.heldToken != 0 && token == r.heldToken:
 		if r.collected != nil {
-			_ = r.collected.Merge(&response.Report) // left out, see above
+			_ = r.collected.Merge(&response.Report) // dropped on an error, see above
 		}
 	case token == r.surveyToken:
 		if r.gathered == nil {
 			r.gathered, r.sendAt = &maintenance.Report{}, now+surveyGatherSeconds
 		}
-		_ = r.gathered.Merge(&response.Report) // left out, see above
+		_ = r.gathered.Merge(&response.Report) // dropped on an error, see above
 	}
 }
 
-// localReport returns what this sidecar sees of the servers, with rates since the last call.
+// localReport returns this sidecar's report of the servers, with rates since the last call.
 func (r *maintenanceRole) localReport(now float64) *maintenance.Report {
 	n := r.roles.node
 	spanSeconds := max(now-r.reportedAt, minSurveySpanSeconds)
@@ -72,7 +72,7 @@
 	return report
 }
 
-// quietPeriods returns for each cordoned server how long it counts as in use after it was cordoned, in seconds.
+// quietPeriods returns, for each cordoned server, for how many seconds after it was cordoned it counts as in use.
 func (r *maintenanceRole) quietPeriods() map[string]float64 {
 	periods := map[string]float64{}
 	for i := range r.state.Plans {
@@ -86,8 +86,8 @@
 	return periods
 }
 
-// sendSurveyResponse sends what has been gathered over the link by which the request came, or postpones it if the budget is used up. If
-// the link has ended the response is dropped.
+// sendSurveyResponse sends the gathered response over the link by which the request came, or postpones it if the budget is used up. If
+// the link is closed the response is dropped.
 func (r *maintenanceRole) sendSurveyResponse(now float64) {
 	link := r.roles.node.links[r.parentLink]
 	if link == nil {
@@ -104,7 +104,7 @@
 	r.gathered = nil
 }
 
-// runSurveys finishes the present survey and starts the next one, as the holder, while the coordinator needs them.
+// runSurveys is called at the holder. It finishes the present survey and, while the coordinator needs snapshots, starts the next one.
 func (r *maintenanceRole) runSurveys(now float64) {
 	if r.collected != nil && (now >= r.surveyDeadline || r.isSurveyComplete()) {
 		r.coordinator.Observe(now, maintenance.FleetSnapshot{Members: r.surveyed, Report: *r.collected, Complete: r.isSurveyComplete()})
--- a/internal/coordination/maintenance_wire.go
+++ b/internal/coordination/maintenance_wire.go
@@ -6,10 +6,10 @@
 const (
 	kindRecord         = 1 // recordMessage, from the holder to all, or over one link to a sidecar that lacks the version
 	kindSurveyRequest  = 2 // surveyRequest, from the holder to all
-	kindSurveyResponse = 3 // surveyResponse, over one link towards the holder
-	kindCommand        = 4 // maintenance.Command, over one link after the other to the holder
+	kindSurveyResponse = 3 // surveyResponse, over the link to the parent, towards the holder
+	kindCommand        = 4 // maintenance.Command, forwarded from link to link to the holder
 	kindCommandReply   = 5 // maintenance.Reply, from the holder to all
-	kindRecordVersion  = 6 // recordVersion, over one link
+	kindRecordVersion  = 6 // recordVersion, over one link to a neighbor
 )
 
 // recordMessage announces the committed record.
@@ -19,16 +19,16 @@
 	Body     []byte                `msgpack:"b,omitempty"` // a maintenance.State; nil: receivers without the version request it
 	Blockers []maintenance.Blocker `msgpack:"w,omitempty"` // what the plans wait for
 	PlanAges []planAge             `msgpack:"a,omitempty"`
-	Holder   string                `msgpack:"o,omitempty"` // name; empty: not sent by the holder, and Blockers and PlanAges are not set
+	Holder   string                `msgpack:"o,omitempty"` // holder's name; empty: not sent by the holder, and Blockers and PlanAges are not set
 }
 
-// planAge is how long ago a plan was submitted, summed over the clocks of the holders since.
+// planAge is how long ago a plan was submitted, by the clocks of all holders since.
 type planAge struct {
 	Plan       uint64  `msgpack:"p"`
 	AgeSeconds float64 `msgpack:"s"`
 }
 
-// recordVersion says which version of the record a sidecar has applied.
+// recordVersion states which version of the record a sidecar has applied.
 type recordVersion struct {
 	Epoch   uint64 `msgpack:"e"`
 	Version uint64 `msgpack:"v"`
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -13,7 +13,8 @@
 	"hazelwheel/policy"
 )
 
-// Node is one sidecar's part in its fleet. It belongs to the event loop; see the package doc. Times are seconds of netio.EventLoop.Now.
+// Node is one sidecar's part in its fleet. It must be used on the event loop only; see the package doc. Times are seconds of
+// netio.EventLoop.Now.
 type Node struct {
 	options Options
 	loop    netio.EventLoop
@@ -21,27 +22,27 @@
 	port    int // of Settings.Listen
 
 	peers        *peers.Transport
-	view         *swim.View // nil until the identity is persisted, or known not to be
+	view         *swim.View // nil until the identity is persisted or the write has failed
 	rank         swim.StableRank
-	links        map[int]*peers.Link     // of which both ends are known, by Link.Number; never iterated, since the order would be random
+	links        map[int]*peers.Link     // links that are up, by Link.Number; never iterated, since the order would be random
 	linkByMember map[swim.ID]*peers.Link // the latest link to each member; never iterated
 	upLinks      []*peers.Link           // the same links in the order in which they came up
 	roles        *roleManager            // nil: there are no singleton roles
 
 	stopListening func()
-	listenRetryAt float64 // 0: it listens, or has ceased to
-	listenFailed  bool    // the last attempt to listen failed, which was logged
+	listenRetryAt float64 // 0: the listener is open, or was closed for good
+	listenFailed  bool    // the last attempt to listen failed, and that was logged
 
 	depth     int      // of nested calls of run
-	afterCall []func() // to be run at the end of the outermost call
+	afterCall []func() // run at the end of the outermost call
 
 	store          StateSaver // nil: nothing is persisted
-	saved          SavedState // as UseStore was given it
+	saved          SavedState // as passed to UseStore
 	state          persistentState
 	identityStored bool // the identity in state is on disk
 
-	isReplaced bool // another process has this identity: nothing is sent any more
-	isLeaving  bool // the membership has been told that this sidecar leaves
+	isReplaced bool // another process has taken over this identity: nothing is sent any more
+	isLeaving  bool // the other members have been told that this sidecar leaves
 	memberLogs logLimiter
 	panics     uint64 // recovered
 }
@@ -49,13 +50,13 @@
 const (
 	// listenRetrySeconds is the time between two attempts to open the listener.
 	listenRetrySeconds = 0.2
-	// overdueTickSeconds is when tick is called next if the membership is still due after a tick.
+	// overdueTickSeconds is the time until the next tick if the membership is still overdue after a tick.
 	overdueTickSeconds = 0.25
-	// minTickSeconds is the least time between two ticks for the sake of roles.
+	// minTickSeconds is the minimum time between two ticks that roles request.
 	minTickSeconds = 0.005
 )
 
-// New returns a Node that does nothing before Start. An error names the setting at fault.
+// New returns a Node that does nothing before Start. An error names the invalid setting.
 func New(o Options) (*Node, error) {
 	n := &Node{options: o, loop: o.EventLoop, log: o.Log.With("component", "coordination"), links: map[int]*peers.Link{}, linkByMember: map[swim.ID]*peers.Link{},
 		rank: swim.NewStableRank(o.Self, o.Replicas)}
@@ -77,15 +78,15 @@
 	return n, nil
 }
 
-// Start implements netio.Handler: it continues the identity that UseStore was given, or draws a new one, persists it and then joins the
-// fleet. Danger: votes given under an identity must not be forgotten under it, so an identity that can't be written again is not
-// used.
+// Start implements netio.Handler: it continues the identity that was passed to UseStore or draws a new one, persists it and then joins
+// the fleet. Danger: a process must know all votes that were given under its identity, so an identity that can't be written again is
+// not used.
 func (n *Node) Start() {
 	n.run(func() {
 		record := n.state.Maintenance
 		n.state = persistentState{ID: swim.ID(n.randomNonZero()), Generation: 1}
 		if state, err := n.saved.decode(); err != nil {
-			n.log.Warn("what was saved of this sidecar can't be used: it is a new one", "error", err)
+			n.log.Warn("saved state unusable: continuing under a new identity", "error", err)
 		} else if n.saved.Data != nil {
 			n.state = state
 			n.state.Generation++
@@ -104,7 +105,7 @@
 	})
 }
 
-// startMembership starts the protocols. The identity is persisted by then, or known not to be.
+// startMembership starts the protocols, after the identity was persisted or the write has failed.
 func (n *Node) startMembership(version swim.Version) {
 	if n.isReplaced {
 		return
@@ -125,8 +126,8 @@
 	n.tick()
 }
 
-// listen opens the listener, or schedules another attempt: during a hot restart the port may still belong to the old process. Nothing
-// else waits for it.
+// listen opens the listener. If that fails it schedules another attempt, since during a hot restart the port may still belong to the
+// old process. Nothing else waits for the listener.
 func (n *Node) listen() {
 	stop, err := n.loop.Listen(n.options.Listen)
 	if err != nil {
@@ -143,7 +144,7 @@
 	n.listenFailed = false
 }
 
-// closeListener stops accepting peers for good.
+// closeListener closes the listener for good.
 func (n *Node) closeListener() {
 	if n.stopListening != nil {
 		n.stopListening()
@@ -193,8 +194,8 @@
 	n.options.RankReceiver.SetRank(rank, count)
 }
 
-// subsetStart returns the number by which the policy starts its subset of the servers at the arc of a rank. Danger: given the rank
-// itself the policy would start elsewhere whenever the count changes, and one sidecar that joins would move the connections of all.
+// subsetStart returns the number that makes the policy start its subset of the servers at the position of a rank. Given the rank
+// itself, the policy would start elsewhere whenever the count changes, so that a sidecar that joins would move the connections of all.
 func subsetStart(rank, count int) int {
 	step, _ := policy.Subset(count, 1, count, 0)
 	return subset.NumberAt(subset.PositionByRank(rank, count), count, step)
@@ -213,27 +214,27 @@
 	n.loop.SetAlarm(next)
 }
 
-// CheckShutdown starts leaving the fleet if the sidecar has been told to shut down. It is called when that may have changed; tick
-// checks it, too.
+// CheckShutdown starts to leave the fleet if the sidecar is shutting down. It should be called when that may have changed; tick checks
+// it, too.
 func (n *Node) CheckShutdown() { n.run(n.checkShutdown) }
 
 func (n *Node) checkShutdown() {
 	switch ending, succeeded := n.options.RoleHost.ShutdownState(); {
 	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
-	case succeeded: // by a process that continues this identity
+	case succeeded: // another process continues this identity
 		n.handleReplacement()
 		n.view.Silence(n.loop.Now())
 		n.closeListener()
-	case n.roles != nil && n.roles.releaseLeases(n.loop.Now()): // the members learn of it once the roles have other holders
+	case n.roles != nil && n.roles.releaseLeases(n.loop.Now()): // the other members are told once the roles have other holders
 	default:
 		n.isLeaving = true
 		n.view.Leave(n.loop.Now())
 	}
 }
 
-// handleReplacement ends all roles, since another process has this identity. Nothing is sent under it from here any more.
+// handleReplacement ends all roles, since another process has taken over this identity. This process sends nothing under it any more.
 func (n *Node) handleReplacement() {
 	if n.isReplaced = true; n.roles != nil {
-		n.roles.stop("another process has taken this one's place")
+		n.roles.stop("identity taken over by another process")
 	}
 }
--- a/internal/coordination/options.go
+++ b/internal/coordination/options.go
@@ -12,10 +12,10 @@
 // Settings are the operators' settings of the fleet (keys fleet.*).
 type Settings struct {
 	Name      string   // of the fleet; only sidecars of the same fleet are linked. Empty: coordination is off
-	Listen    string   // host:port on which peers are accepted
+	Listen    string   // host:port on which links of peers are accepted
 	Advertise string   // host:port that peers dial; empty: Listen
 	Join      []string // addresses of the first peers to dial
-	Dir       string   // for the state that must survive a restart; empty: each start is a new member
+	Dir       string   // directory of the state that must survive a restart; empty: each start is a new member
 	Voters    []string // addresses of the initial voters; empty: there are no singleton roles
 	Roles     []string // singleton roles that this sidecar can hold
 }
@@ -23,8 +23,8 @@
 // IsEnabled reports whether the sidecar is a member of a fleet.
 func (s *Settings) IsEnabled() bool { return s.Name != "" }
 
-// StateSaver persists the state of a Node. Save returns at once and calls done on the event loop, with nil once the data is synced
-// to disk. Calls of done are in the order of the calls of Save.
+// StateSaver persists the state of a Node. Save returns at once. It calls done on the event loop, with nil once the data is synced to
+// disk or with the error. Calls of done are in the order of the calls of Save.
 type StateSaver interface {
 	Save(data []byte, done func(error))
 }
@@ -33,15 +33,15 @@
 type Options struct {
 	Settings
 	Sidecar          string // name of this sidecar
-	Self, Replicas   int    // rank and count by the configuration, until the membership is known
-	MaxLinks         int    // links to peers at a time
-	Replaceable      bool   // a hot restart may pass this process's identity and address on to another process
+	Self, Replicas   int    // rank and count of the configuration, used until the membership is known
+	MaxLinks         int    // maximum number of links to peers
+	Replaceable      bool   // a hot restart may transfer this process's identity and address to another process
 	RoleHost         sidecar.RoleHost
 	RankReceiver     sidecar.RankReceiver
 	Lists            sidecar.ListReceiver      // needed for the role "list"
 	Faults           sidecar.FaultRunner       // needed for the role "drill"
 	Servers          sidecar.MaintainedServers // needed for the role "works"
-	MaintenanceOrder maintenance.Order         // in which servers are taken down; the zero value is the one in production
+	MaintenanceOrder maintenance.Order         // in which servers are drained; production uses the zero value
 	Rand             *rand.Rand                // the only source of randomness
 	EventLoop        netio.EventLoop
 	Log              *slog.Logger
--- a/internal/coordination/report.go
+++ b/internal/coordination/report.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// Report is how the requests of all sidecars have fared since the report before. It is sent to all, and the answer of the admin
-// command REPORT.
+// Report holds statistics of the requests of all sidecars since the previous report. It is sent to all members and is the response to
+// the admin command REPORT.
 type Report struct {
-	Holder         string        `json:"owner" msgpack:"o"` // name of the holder that made it
+	Holder         string        `json:"owner" msgpack:"o"` // name of the holder that made the report
 	Token          uint64        `json:"token" msgpack:"t"`
 	Round          uint64        `json:"round" msgpack:"r"`
-	Requested      int           `json:"asked" msgpack:"a"` // members that lived at the request, or had died within the minute before
-	Answered       int           `json:"answered" msgpack:"n"`
-	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of members that did not answer in time
+	Requested      int           `json:"asked" msgpack:"a"`                       // members that were alive at the request, or had died less than a minute before
+	Answered       int           `json:"answered" msgpack:"n"`                    // members whose statistics are included
+	Missing        []string      `json:"missing,omitempty" msgpack:"m,omitempty"` // names of members that did not respond in time
 	OmittedMissing int           `json:"more_missing,omitempty" msgpack:"x,omitempty"`
 	Classes        []ClassReport `json:"classes" msgpack:"c"` // sorted by name
 	AgeSeconds     float64       `json:"age_s" msgpack:"-"`   // since this sidecar received it
 }
 
-// ClassReport is how the requests of a class have fared. Latencies are in milliseconds, of served requests.
+// ClassReport holds statistics of the requests of a class. Latencies are in milliseconds, of served requests.
 type ClassReport struct {
 	Class         string  `json:"class" msgpack:"c"`
 	RatePerSecond float64 `json:"per_s" msgpack:"p"` // of ended requests
@@ -37,8 +37,8 @@
 
 var errNoReport = errors.New("nobody makes a report at the moment")
 
-// Report returns the last report that this sidecar received. Where there is none the error says who makes it; without voters it is
-// ErrNoVoters. It is for the loop.
+// Report returns the last report that this sidecar received. If there is none, the error names the holder of the role; without voters
+// it is ErrNoVoters. It must be called on the event loop.
 func (n *Node) Report() (report Report, err error) {
 	status, err := n.LeaseStatus()
 	if err != nil {
--- a/internal/coordination/report_role.go
+++ b/internal/coordination/report_role.go
@@ -15,29 +15,29 @@
 const reportRoleName = "report"
 
 const (
-	reportIntervalSeconds = 5.0  // between two rounds
-	reportTimeoutSeconds  = 2.0  // of a round
-	reportGatherSeconds   = 0.12 // for which a member waits for responses from behind it before it sends its own
-	deadMemberSeconds     = 60.0 // for which a dead member counts as missing in reports
-	maxMissingNames       = 50   // in a report
-	minReportSpanSeconds  = 0.001
+	reportIntervalSeconds = 5.0   // time between the starts of two rounds
+	reportTimeoutSeconds  = 2.0   // maximum duration of a round
+	reportGatherSeconds   = 0.12  // how long a member waits for responses of its children before it sends its own
+	deadMemberSeconds     = 60.0  // how long a dead member counts as missing in reports
+	maxMissingNames       = 50    // names of missing members in a report
+	minReportSpanSeconds  = 0.001 // minimum time over which rates are computed
 )
 
-// reportRole is the role "report": in each round its holder requests statistics of all members and sends their sum to all. A request is
-// flooded; each member responds over the link by which the request came first, with the sum of its own statistics and of the
-// responses that came from behind it.
+// reportRole is the role "report": in each round its holder requests statistics of all members and sends their sum to all. A request
+// is flooded. Each member responds over the link by which the request first arrived, its parent link, with the sum of its own
+// statistics and of the responses that it received from its children.
 type reportRole struct {
 	roles *roleManager
 
 	// At every member.
-	parentLink   int // link by which the last request came
+	parentLink   int // link by which the last request first arrived
 	requestToken uint64
 	round        uint64
-	gathered     *reportResponse // to be sent over parentLink; nil: nothing is
+	gathered     *reportResponse // to be sent over parentLink at sendAt; nil: none
 	sendAt       float64
 	budget       responseBudget
 	measuredAt   float64 // when this sidecar's statistics were last taken
-	lastReport   *Report // nil: none has come
+	lastReport   *Report // nil: none was received
 	lastReportAt float64
 
 	// At the holder.
@@ -45,7 +45,7 @@
 	heldToken     uint64
 	nextRoundAt   float64
 	roundDeadline float64
-	collected     *reportResponse // of the round; nil: there is none
+	collected     *reportResponse // sum of the responses of the present round; nil: no round is in progress
 	requested     []swim.ID       // members whose response the round waits for
 }
 
@@ -67,7 +67,7 @@
 // Stop implements singletonRole.
 func (r *reportRole) Stop() { r.isHolder, r.collected = false, nil }
 
-// HandleMessage implements singletonRole. A response that can't be merged is left out, and its members count as missing.
+// HandleMessage implements singletonRole. A response that can't be merged is dropped, and its members count as missing.
 func (r *reportRole) HandleMessage(from *peers.Link, m *frames.RoleMessage) {
 	now := r.roles.node.loop.Now()
 	switch m.Kind {
@@ -85,13 +85,13 @@
 		switch {
 		case r.isHolder && m.Token == r.heldToken:
 			if r.collected != nil {
-				_ = r.collected.merge(&response) // left out, see above
+				_ = r.collected.merge(&response) // dropped on an error, see above
 			}
 		case m.Token == r.requestToken:
 			if r.gathered == nil {
 				r.gathered, r.sendAt = &reportResponse{Round: response.Round}, now+reportGatherSeconds
 			}
-			_ = r.gathered.merge(&response) // left out, see above
+			_ = r.gathered.merge(&response) // dropped on an error, see above
 		}
 	case kindReport:
 		var report Report
@@ -113,7 +113,7 @@
 		local.Classes = append(local.Classes, classCounts{Class: m.Class, Served: m.Served, Throttled: m.Throttled, Failed: m.Failed, Abandoned: m.Abandoned,
 			RatePerSecond: float64(ended) / spanSeconds, Latencies: encodeCounts(m.LatencyCounts)})
 	}
-	_ = response.merge(local) // classes above the limit are left out
+	_ = response.merge(local) // on an error, classes above the limit are left out
 	return response
 }
 
@@ -142,8 +142,8 @@
 	return next
 }
 
-// sendResponse sends what has been gathered over the link by which the request came, or postpones it if the budget is used up. If the
-// link has ended the response is dropped, and the members in it are missing in the report.
+// sendResponse sends the gathered response over the parent link, or postpones it if the budget is used up. If the link is closed, the
+// response is dropped, and its members are missing in the report.
 func (r *reportRole) sendResponse(now float64) {
 	link := r.roles.node.links[r.parentLink]
 	if link == nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// startRound requests statistics of all members, as the holder.
+// startRound is called at the holder. It requests the statistics of all members.
 func (r *reportRole) startRound(now float64) {
 	r.nextRoundAt = now + reportIntervalSeconds
 	r.round++
@@ -192,7 +192,7 @@
 		!slices.ContainsFunc(r.requested, func(id swim.ID) bool { return !r.collected.hasMember(id) })
 }
 
-// finishRound sends the report of what has been collected to all.
+// finishRound sends all members the report of the statistics that have been collected.
 func (r *reportRole) finishRound(now float64) {
 	report := r.makeReport()
 	r.collected = nil
@@ -220,7 +220,7 @@
 	return report
 }
 
-// report returns the statistics with the quantiles of the latencies.
+// report returns the statistics with the percentiles of the latencies.
 func (c *classCounts) report() ClassReport {
 	snapshot := *emptyHistogram()
 	snapshot.Counts = c.latencyCounts
--- a/internal/coordination/report_role_test.go
+++ b/internal/coordination/report_role_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// However responses are merged on their way, the holder has the counts, the latencies and the members of all, once each.
+// In whatever order responses are merged on the way, the holder gets the counts, latencies and members of all, each once.
 func TestResponsesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "members")
@@ -55,7 +55,7 @@
 	})
 }
 
-// Arbitrary bytes in place of encoded counts are merged or rejected, without a panic.
+// Arbitrary bytes in place of encoded counts are merged or rejected without a panic.
 func TestMergeSurvivesAnyCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sum := &reportResponse{}
--- a/internal/coordination/report_wire.go
+++ b/internal/coordination/report_wire.go
@@ -17,7 +17,7 @@
 // The messages of the role "report". The numbers are the wire form.
 const (
 	kindReportRequest  = 1 // reportRequest, from the holder to all
-	kindReportResponse = 2 // reportResponse, over one link towards the holder
+	kindReportResponse = 2 // reportResponse, over the link to the parent, towards the holder
 	kindReport         = 3 // Report, from the holder to all
 )
 
@@ -25,7 +25,7 @@
 	maxReporters      = 2000 // members in one response
 	maxClasses        = 64   // in a response or report
 	maxClassNameBytes = 64
-	// maxLatencyCount limits a count of a histogram, so that sums of many do not overflow.
+	// maxLatencyCount limits the count of a histogram's bucket, so that sums of many counts do not overflow.
 	maxLatencyCount = 1 << 40
 )
 
@@ -51,16 +51,17 @@
 	RatePerSecond float64 `msgpack:"p,omitempty"` // of ended requests, summed over the members
 	Latencies     []byte  `msgpack:"h,omitempty"` // latencyCounts as encodeCounts encodes them
 
-	latencyCounts []int64 // of a histogram of sidecar.NewTimes; not sent
+	latencyCounts []int64 // of a histogram of sidecar.NewLatencyHistogram; not sent
 }
 
-// errMalformedResponse is the error for a response that is implausible.
+// errMalformedResponse is the error for a response that is malformed or exceeds its bounds.
 var errMalformedResponse = errors.New("malformed report response")
 
-// emptyHistogram is the shape of the histograms of sidecar.NewTimes. It is made on first use, since it is large.
+// emptyHistogram returns an empty histogram of sidecar.NewLatencyHistogram. It is created on first use, since it is large.
 var emptyHistogram = sync.OnceValue(func() *hdrhistogram.Snapshot { return sidecar.NewLatencyHistogram().Export() })
 
-// encodeCounts encodes the counts that are not 0 as pairs of the distance to the one before and the count.
+// encodeCounts encodes the counts that are not 0. Each is a pair of varints: the distance of its index from that of the previous one,
+// and the count.
 func encodeCounts(counts []int64) (b []byte) {
 	last := 0
 	for i, n := range counts {
@@ -72,7 +73,7 @@
 	return b
 }
 
-// addCounts adds encoded counts to others. Counts before a malformed one have been added when it returns the error.
+// addCounts adds encoded counts to others. If it returns an error, the counts before the malformed one have been added.
 func addCounts(b []byte, to []int64) error {
 	for at := uint64(0); len(b) > 0; {
 		distance, n := binary.Uvarint(b)
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// merge adds another response of the same round to this one. After an error the classes before the malformed one have been added, and
-// no members.
+// merge adds another response of the same round to this one. If it returns an error, the classes before the malformed one have been
+// added, but no members.
 func (r *reportResponse) merge(other *reportResponse) error {
 	if len(other.Members) > maxReporters || len(other.Classes) > maxClasses {
 		return errMalformedResponse
--- a/internal/coordination/response_budget.go
+++ b/internal/coordination/response_budget.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/internal/peers/tokenbucket"
 
-// Responses of one role take at most so much of the links' budget, in bytes.
+// The byte rate and burst of one role's responses.
 const (
 	responseBytesPerSecond = 32 << 10
 	responseBurstBytes     = 64 << 10
@@ -15,8 +15,8 @@
 	return responseBudget{tokenbucket.New(responseBurstBytes, now)}
 }
 
-// take takes the bytes of a response out of the budget. If there are too few it returns when to try again, at most maxWaitSeconds
-// later; a response above the burst may be sent once the budget is full.
+// take takes the bytes of a response out of the budget. If the budget is too small now, it returns when to try again, at most
+// maxWaitSeconds later. A response that exceeds the burst may be sent once the budget is full.
 func (b *responseBudget) take(now float64, bytes int, maxWaitSeconds float64) (retryAt float64, ok bool) {
 	need := float64(bytes)
 	if left := b.bucket.Refill(now, responseBytesPerSecond, responseBurstBytes); left < need && left < responseBurstBytes {
--- a/internal/coordination/role_messages.go
+++ b/internal/coordination/role_messages.go
@@ -9,20 +9,20 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// BeforeRoleMessage is a hook of tests, called between the check of a lease and the message that is sent under it; nil: none.
+// BeforeRoleMessage is a hook for tests. It is called after the lease was checked and before the message is sent under it; nil: none.
 var BeforeRoleMessage func()
 
-// replayWindowSize is how many messages behind the last one are told apart from duplicates.
+// replayWindowSize is how many of the last sequence numbers a replayWindow tracks.
 const replayWindowSize = 64
 
-// replayWindow recognizes duplicates among the messages for all of one role. They come over several links and in any order; one that
-// is older than the window counts as a duplicate.
+// replayWindow recognizes duplicates among the broadcasts of one role. They arrive over several links and in any order; one that is
+// older than the window counts as a duplicate.
 type replayWindow struct {
-	token, last uint64 // greatest sequence number under the token
-	bits        uint64 // which of last and those before it have come; bit 0 is last
+	token, last uint64 // last is the highest sequence number received under token
+	bits        uint64 // bit i is set if the message with sequence number last-i was received
 }
 
-// accept reports whether a message has not come before, and records it. Another token than the last one starts a new window.
+// accept reports whether a message was not received before, and records it. A message with another token starts a new window.
 func (w *replayWindow) accept(token, sequence uint64) bool {
 	if token != w.token {
 		*w = replayWindow{token: token}
@@ -43,8 +43,8 @@
 	return true
 }
 
-// activeToken returns the token under which this sidecar may act for a role right now, 0 if it may not. Danger: heldToken alone is
-// not enough, since a process that stood still may be asked before its loop has ended a role whose lease has expired.
+// activeToken returns the token under which this sidecar may act for a role right now, 0 if it may not. Danger: checking heldToken is
+// not enough, since after a pause of the process this may be called before the loop has stopped a role whose lease has expired.
 func (m *roleManager) activeToken(s *roleState) uint64 {
 	if m.lease == nil || s.heldToken == 0 {
 		return 0
@@ -55,7 +55,8 @@
 	return s.heldToken
 }
 
-// broadcast sends a message to all under the lease of a role. It reports whether the lease is valid; otherwise nothing is sent.
+// broadcast sends a message to all members under the lease of a role, and reports whether it did. Without a valid lease nothing is
+// sent.
 func (m *roleManager) broadcast(name string, kind uint8, body []byte) bool {
 	s := m.state(name)
 	if s == nil || m.activeToken(s) == 0 {
@@ -68,9 +69,9 @@
 	return true
 }
 
-// broadcastLapsed sends a message to all under a lease that was not renewed, unless a greater token is known; it reports whether it
-// did. Danger: the role may have another holder meanwhile; who knows of that one rejects the message. It is only for roles that do no
-// harm when two sidecars act at once.
+// broadcastLapsed sends a message to all members under a lease that was not renewed, unless a higher token is known, and reports
+// whether it did. Danger: the role may have another holder by now, and only members that know its token reject the message. So it is
+// only for roles that do no harm when two sidecars act as the holder.
 func (m *roleManager) broadcastLapsed(name string, token uint64, kind uint8, body []byte) bool {
 	s := m.state(name)
 	if m.lease == nil || s == nil || s.heldToken != 0 {
@@ -89,16 +90,16 @@
 	m.flood(&frames.RoleMessage{Role: s.name, Token: token, Origin: uint64(m.node.state.ID), Sequence: s.sequence, Kind: kind, Body: body}, nil)
 }
 
-// sendReply sends a message over one link under the token of the message that it answers. Danger: once a greater token is known it
-// is not sent, since it would count as a message of the earlier holder.
+// sendReply sends a message over one link, under the token of the message that it replies to. Once a higher token is known it is not
+// sent, since it would count as a message of the former holder.
 func (m *roleManager) sendReply(link *peers.Link, name string, token uint64, kind uint8, body []byte) {
 	if ok, _ := m.fence.Admit(name, token); ok {
 		m.send(link, &frames.RoleMessage{Role: name, Token: token, Origin: uint64(m.node.state.ID), Kind: kind, Body: body})
 	}
 }
 
-// sendTowardsHolder sends a message over all links but one, for the holder of a role, which may be several links away; except may be
-// nil. Receivers forward it.
+// sendTowardsHolder sends a message for the holder of a role, which may be several links away, over all links except the link except,
+// which may be nil. Receivers forward it.
 func (m *roleManager) sendTowardsHolder(name string, token uint64, kind uint8, body []byte, except *peers.Link) {
 	for _, link := range slices.Clone(m.node.upLinks) { // sending may end a link
 		if link != except {
@@ -111,13 +112,13 @@
 	link.Send(frames.TopicRole, mustMarshal(msg))
 }
 
-// flood sends a message for all over all links but one; except may be nil.
+// flood sends a broadcast over all links except the link except, which may be nil.
 func (m *roleManager) flood(msg *frames.RoleMessage, except *peers.Link) {
 	m.node.broadcastFrame(frames.TopicRole, mustMarshal(msg), except)
 }
 
-// handleMessage handles each role message that comes. Danger: the sender's lease may have ended while it stood still, or while the
-// bytes were on their way. The token makes that harmless, so it is checked before anything else of the message is used.
+// handleMessage handles each received role message. Danger: the sender's lease may have ended while its process was paused or the
+// message was in transit. The token makes that harmless, so it is checked before anything else in the message is used.
 func (m *roleManager) handleMessage(link *peers.Link, msg *frames.RoleMessage) {
 	s := m.state(msg.Role)
 	if s == nil || msg.Token == 0 {
@@ -129,12 +130,13 @@
 		return
 	}
 	if s.heldToken != 0 && msg.Token > s.heldToken {
-		m.stopRole(s, "another owns it under a greater token")
+		m.stopRole(s, "message under a higher token received")
 	}
 	isNewToken := msg.Token > s.maxToken
 	s.maxToken = max(s.maxToken, msg.Token)
 	if msg.Kind == frames.KindRejected {
-		// It is sent back the way that the rejected message came by. Danger: forwarded more than once it could circulate for ever.
+		// A rejection is sent back over the link by which the rejected message came. It is forwarded only if its token is new here:
+		// forwarded more than once it could circulate for ever.
 		if back := m.node.links[s.lastLink]; back != nil && isNewToken && back != link {
 			m.send(back, msg)
 		}
@@ -157,7 +159,7 @@
 	}
 }
 
-// reject drops a message whose token is too low, and answers with the greatest token and the table of leases.
+// reject drops a message whose token is too low, and replies with the highest token and the table of leases.
 func (m *roleManager) reject(link *peers.Link, s *roleState, msg *frames.RoleMessage, greatest uint64) {
 	s.rejected++
 	if m.rejectionLogs.allow(m.node.loop.Now()) {
--- a/internal/coordination/role_messages_test.go
+++ b/internal/coordination/role_messages_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// In whatever order messages come and how often, each is accepted once, unless it is older than the window.
+// Messages that arrive in any order and any number of times are accepted once each, unless they are older than the window.
 func TestReplayWindowAcceptsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w replayWindow
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -11,34 +11,34 @@
 )
 
 // singletonRole is work that one sidecar, the holder of its lease, does on behalf of all. Start and Stop alternate; between them the
-// role may send to all by roleManager.broadcast. Receivers check the fencing token, so a message that is sent after the lease has
-// ended does no harm.
+// role may send messages to all members by roleManager.broadcast. Receivers check the fencing token, so a message that is sent after
+// the lease has ended does no harm.
 type singletonRole interface {
 	Name() string
-	// Start tells that this sidecar holds the lease, under a token.
+	// Start is called when this sidecar has become the holder of the lease, under a token.
 	Start(token uint64)
-	// Stop tells that it no longer does.
+	// Stop is called when this sidecar no longer holds the lease.
 	Stop()
-	// HandleMessage handles a message of the role whose token is not too low, at the holder and at all others.
+	// HandleMessage handles a message of the role whose token is not too low. It is called at all members, not only at the holder.
 	HandleMessage(from *peers.Link, m *frames.RoleMessage)
-	// Tick does what is due by time, at the holder and at all others, and returns when to call it next. It is also called soon after
-	// Start and after each HandleMessage.
+	// Tick does what is due by time and returns when to call it next. It is called at all members, not only at the holder, and also soon
+	// after Start and after each HandleMessage.
 	Tick(now float64) (next float64)
 }
 
-// lapseHandler is a singletonRole that does no harm when two sidecars act as its holder. It may go on by roleManager.broadcastLapsed
-// after its lease was not renewed.
+// lapseHandler is a singletonRole that does no harm when two sidecars act as its holder. It may continue to send messages by
+// roleManager.broadcastLapsed after its lease was not renewed.
 type lapseHandler interface {
-	// HandleLapse follows Stop if the lease ended since it was not renewed.
+	// HandleLapse is called after Stop if the lease ended because it was not renewed.
 	HandleLapse(token uint64)
 }
 
 const (
 	// fitnessIntervalSeconds is the time between two checks whether this sidecar is fit to hold roles.
 	fitnessIntervalSeconds = 1.0
-	// leaveTimeoutSeconds limits how long a shutdown waits until the leases have other holders. It is shorter than any drain.
+	// leaveTimeoutSeconds limits how long a shutdown waits until the leases have other holders. It is shorter than any drain period.
 	leaveTimeoutSeconds = 0.5
-	// maxRoles and maxRoleNameBytes limit what is kept of roles that peers name.
+	// maxRoles and maxRoleNameBytes limit the state of roles, since peers choose the names.
 	maxRoles         = 64
 	maxRoleNameBytes = 64
 )
@@ -49,36 +49,37 @@
 	role      singletonRole // nil: this sidecar can't hold it
 	nextTick  float64       // when role.Tick is due
 	heldToken uint64        // the token under which this sidecar holds the lease; 0: it does not
-	sequence  uint64        // of the last message for all that was sent under it
-	unfit     bool          // as the lease node was told last
+	sequence  uint64        // of the last broadcast under heldToken
+	unfit     bool          // as last passed to lease.Node.SetWilling
 
 	accepted  uint64 // messages
 	rejected  uint64 // messages whose token was too low
 	malformed uint64 // messages whose body could not be decoded or was implausible
 
 	received         replayWindow
-	maxToken         uint64    // greatest token of an accepted message
-	lastLink         int       // link by which the last message for all came
-	acceptedTokens   [8]uint64 // ring of the tokens of accepted messages, one entry for each change
+	maxToken         uint64    // highest token of an accepted message
+	lastLink         int       // link by which the last broadcast arrived
+	acceptedTokens   [8]uint64 // ring buffer of the tokens of accepted messages, with an entry for each change
 	acceptedTokensAt int
 }
 
-// roleManager starts and stops the singleton roles as their leases come and go, and carries their messages. It belongs to its Node.
+// roleManager starts and stops the singleton roles as their leases start and end, and sends and receives their messages. It belongs to
+// its Node.
 type roleManager struct {
 	node   *Node
-	lease  *lease.Node  // nil: there is no identity at the moment, or another process has it
-	fence  lease.Fence  // greatest token seen of each role
+	lease  *lease.Node  // nil: this process has no identity at the moment, or another process has taken it over
+	fence  lease.Fence  // highest token seen of each role
 	states []*roleState // sorted by name
 
-	// The parts of this sidecar in the roles that it can hold; nil: it can't hold it.
+	// The roles that this sidecar can hold, among those that have methods beyond singletonRole; nil: it can't hold the role.
 	listRelay   *listRelay
 	faults      *faultRole
 	maintenance *maintenanceRole
 
-	membershipChanges uint64 // swim.View.Changes as of the last SetMembers
-	fitnessAt         float64
-	ineligibleReason  string  // why this sidecar is not fit to hold roles; empty: it is
-	leaveDeadline     float64 // 0: it does not leave
+	membershipChanges uint64  // swim.View.Changes as of the last SetMembers
+	fitnessAt         float64 // when updateFitness is due
+	ineligibleReason  string  // why this sidecar is not fit to hold roles; empty: it is fit
+	leaveDeadline     float64 // 0: this sidecar does not leave
 	logs              logLimiter
 	rejectionLogs     logLimiter
 }
@@ -119,7 +120,7 @@
 	return err
 }
 
-// stop ends all roles and the lease protocol, since this process no longer has its identity.
+// stop ends all roles and the lease protocol when this process no longer has its identity.
 func (m *roleManager) stop(reason string) {
 	for _, s := range m.states {
 		m.stopRole(s, reason)
@@ -127,7 +128,7 @@
 	m.lease = nil
 }
 
-// stopRole ends a role if it is held here.
+// stopRole ends a role if this sidecar holds it.
 func (m *roleManager) stopRole(s *roleState, reason string) {
 	if s.heldToken == 0 {
 		return
@@ -138,7 +139,7 @@
 	}
 }
 
-// logInfo writes a line to the log unless there are too many.
+// logInfo logs a line, within the rate limit of m.logs.
 func (m *roleManager) logInfo(message string, args ...any) {
 	if m.logs.allow(m.node.loop.Now()) {
 		m.node.log.Info(message, args...)
@@ -186,7 +187,7 @@
 	return next
 }
 
-// leaseMembers returns the membership as package lease takes it.
+// leaseMembers returns the membership in the form of package lease.
 func (m *roleManager) leaseMembers() []lease.Member {
 	var all []lease.Member
 	for member := range m.node.view.Members {
@@ -211,7 +212,7 @@
 	}
 }
 
-// releaseLeases gives all leases back and reports whether a shutdown should still wait for that.
+// releaseLeases releases all leases and reports whether a shutdown should still wait for that.
 func (m *roleManager) releaseLeases(now float64) (pending bool) {
 	if m.lease == nil {
 		return false
@@ -223,7 +224,8 @@
 	return now < m.leaveDeadline && !m.lease.HasLeft()
 }
 
-// state returns the state of a role, which is added if need be; nil if there are too many. Danger: names come from peers.
+// state returns the state of a role, which is added if it is new. It returns nil if there are too many roles or the name is too long,
+// since names come from peers.
 func (m *roleManager) state(name string) *roleState {
 	i, found := slices.BinarySearchFunc(m.states, name, func(s *roleState, name string) int { return cmp.Compare(s.name, name) })
 	if found {
@@ -236,10 +238,10 @@
 	return m.states[i]
 }
 
-// requestTick has a role's Tick called with the next tick.
+// requestTick makes the next tick call the Tick of a role.
 func (m *roleManager) requestTick(name string) { m.state(name).nextTick = 0 }
 
-// maxToken returns the greatest token of a role that is known from grants or messages, 0 if none is.
+// maxToken returns the highest token of a role that is known from grants or messages, 0 if none is.
 func (m *roleManager) maxToken(name string) (token uint64) {
 	if m.lease != nil {
 		for _, g := range m.lease.Table().Grants {
@@ -251,7 +253,7 @@
 	return max(token, m.fenceToken(name))
 }
 
-// fenceToken returns the greatest token of a role that is known from messages, 0 if none is.
+// fenceToken returns the highest token of a role that is known from messages, 0 if none is.
 func (m *roleManager) fenceToken(name string) uint64 {
 	for _, g := range m.fence.Highest() {
 		if g.Role == name {
@@ -261,7 +263,8 @@
 	return 0
 }
 
-// countMalformed counts a message whose body can't be used. The message is dropped and its link stays: the token was valid.
+// countMalformed counts a message whose body can't be used. The message is dropped, but its link is not closed, since the token was
+// valid.
 func (m *roleManager) countMalformed(name string) {
 	if s := m.state(name); s != nil {
 		s.malformed++
--- a/internal/coordination/roles_test.go
+++ b/internal/coordination/roles_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process that stood still for longer than its lease may be asked before its loop has ended the role. It must not claim to act under
-// that token.
+// After a pause of the process that outlasts its lease, the status may be read before the loop has stopped the role. No token may be
+// active then.
 func TestNoTokenIsActiveWithoutALease(t *testing.T) {
 	n, _ := newTestNode(Options{})
 	m := &roleManager{node: n, states: []*roleState{{name: "report", heldToken: 7}}}
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -10,42 +10,42 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// SavedState is what a StateSaver holds of an earlier process. The zero value is an empty store.
+// SavedState is the state that an earlier process has stored. The zero value stands for an empty store.
 type SavedState struct {
-	Data   []byte // as given to StateSaver.Save; nil: nothing is stored
-	IsCopy bool   // Data was not put there by StateSaver.Save, so it may be out of date
-	Err    error  // reading failed
+	Data   []byte // as passed to StateSaver.Save; nil: nothing is stored
+	IsCopy bool   // the file is a copy that StateSaver.Save did not write, so Data may be out of date
+	Err    error  // of a failed read
 }
 
 // persistentState is what must survive a restart.
 type persistentState struct {
 	ID         swim.ID `json:"id"`
-	Generation uint64  `json:"generation"`       // number of processes of this identity; persisted before any message of a process is sent
+	Generation uint64  `json:"generation"`       // number of processes of this identity; persisted before a process sends any message
 	LeaseState []byte  `json:"tenure,omitempty"` // of lease.Node; belongs to the identity
-	// Maintenance is the record that was applied last. It does not belong to the identity and outlives it.
+	// Maintenance is the record that was last applied. It does not belong to the identity and is kept when the identity is replaced.
 	Maintenance *MaintenanceRecord `json:"works,omitempty"`
 }
 
-// The format of the stored state: a line with magic, version, length and CRC-32C of what follows, and the state as JSON. A program
-// does not read versions that it does not know. Version 1 has no lease state.
+// The format of the stored state: a line with the magic string, the version, and the length and CRC-32C of the rest, which is the
+// state as JSON. Unknown versions are rejected. Version 1 has no lease state.
 const (
 	stateMagic                = "hazelwheel-peer"
 	stateVersion              = 2
 	stateVersionWithoutLeases = 1
 
-	// maxGeneration is so small that the generation fits into the upper half of an incarnation.
+	// maxGeneration ensures that a generation fits into the upper 32 bits of an incarnation.
 	maxGeneration = 1 << 24
 )
 
 var (
 	errCorrupt        = errors.New("it is torn")
 	errUnknownVersion = errors.New("it is of a form that is not known here")
-	errCopied         = errors.New("it is a copy: what was promised after it was made is not known")
+	errCopied         = errors.New("it is a copy: votes given after it was made are missing")
 
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ValidateState returns why a stored state can't be continued, nil if it can or if there is none.
+// ValidateState returns an error that says why a stored state can't be used, nil if it can or if nothing is stored.
 func ValidateState(saved SavedState) error {
 	_, err := saved.decode()
 	return err
@@ -60,8 +60,8 @@
 	return append(fmt.Appendf(nil, "%s %d %d %08x\n", stateMagic, stateVersion, len(body), crc32.Checksum(body, castagnoli)), body...)
 }
 
-// decode returns the stored state, the zero value if there is none. Danger: a member that continues from an old copy has forgotten
-// votes, so a copy with lease state is an error.
+// decode returns the stored state, the zero value if there is none. A copy with lease state is an error, since votes may be missing
+// from an old copy.
 func (saved *SavedState) decode() (s persistentState, err error) {
 	if saved.Err != nil || saved.Data == nil {
 		return s, saved.Err
--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -1,8 +1,8 @@
-// Package statefile stores the state of a coordination.Node in a file on the machine's disk. A write is atomic and synced; the file
-// names the inode and birth time that it was written under, so that a copy of it is recognized.
+// Package statefile stores the state of a coordination.Node in a file on the machine's disk. A write is atomic and synced. The file
+// contains its own inode and birth time, so that a copy of it is recognized.
 //
-// Several processes may use one folder during a hot restart. A lock on the folder excludes that two of them write at once, and a
-// process only overwrites the file that it has read or written last: the later of two processes wins, and the earlier one gets
+// Several processes may use one folder during a hot restart. A lock on the folder prevents that two of them write at once, and a
+// process only overwrites the file that it has last read or written: the later of two processes wins, and the earlier one gets
 // ErrConflict.
 package statefile
 
@@ -25,19 +25,19 @@
 	// fileName is the state's file in the folder; quarantineName is what Quarantine renames it to.
 	fileName       = "peer"
 	quarantineName = fileName + "-unusable"
-	// header is the first line: the format's version, and the file's inode and birth time in nanoseconds. Earlier programs read the
-	// version and leave the file alone.
+	// header is the first line: the format's version, and the file's inode and birth time in nanoseconds. Earlier versions of the program
+	// reject this version and don't overwrite the file.
 	header = "hazelwheel-peer 2 %d %d\n"
 
 	// lockTimeout limits how long another process may hold the lock for its write.
 	lockTimeout       = time.Second
 	lockRetryInterval = lockTimeout / 100
-	maxStateBytes     = 8 << 20 // that are read
+	maxStateBytes     = 8 << 20 // bytes of the file that are read
 	maxPendingSaves   = 16
 )
 
-// ErrConflict is the error of a write after another process has written the file: that process continues the state.
-var ErrConflict = errors.New("another process goes on from this state")
+// ErrConflict is the error of a write after another process has written the file and so continues the state.
+var ErrConflict = errors.New("another process has written the state file")
 
 // Store is the folder of one sidecar. Writes happen on a goroutine of its own, one at a time.
 type Store struct {
@@ -46,8 +46,8 @@
 	saves chan save
 
 	// Used by Load and Quarantine, and after that by the writing goroutine alone.
-	knownMark fileMark // of the file that this process has read or written last
-	lock      *os.File // the locked folder, from Load to the first write; nil: it is not locked
+	knownMark fileMark // of the file that this process has last read or written
+	lock      *os.File // the locked folder, from Load to the first write; nil: the folder is not locked
 }
 
 type save struct {
@@ -63,8 +63,8 @@
 
 var _ coordination.StateSaver = (*Store)(nil)
 
-// Open returns the store in a folder, which the first write makes if need be. post is called from another goroutine to run the done
-// function of Save on the event loop.
+// Open returns the store in a folder, which the first write creates if it does not exist. post is called on another goroutine; it must
+// run the function that it is given on the event loop.
 func Open(dir string, post func(func())) *Store {
 	s := &Store{dir: dir, post: post, saves: make(chan save, maxPendingSaves)}
 	go func() {
@@ -79,8 +79,8 @@
 // Close ends the writing goroutine. Save must not be called after it.
 func (s *Store) Close() { close(s.saves) }
 
-// Load returns the stored state. It must be called before the first Save, and locks the folder until that is written: what another
-// process reports as written in the meantime would be overwritten.
+// Load returns the stored state. It must be called before the first Save, and locks the folder until that is written. Without the lock
+// the first write could overwrite a state that another process has written in between and relies on.
 func (s *Store) Load() coordination.SavedState {
 	state, err := s.load()
 	if err != nil {
@@ -99,7 +99,7 @@
 	} else if err != nil {
 		return state, err
 	}
-	defer func() { _ = file.Close() }() // opened for reading
+	defer func() { _ = file.Close() }() // no error is lost: opened for reading
 	if s.knownMark, err = markOf(file); err != nil {
 		return state, err
 	}
@@ -110,7 +110,7 @@
 	line, data, _ := bytes.Cut(raw, []byte{'\n'})
 	var written fileMark
 	if n, _ := fmt.Sscanf(string(line)+"\n", header, &written.inode, &written.birth); n != 2 {
-		return coordination.SavedState{Data: raw}, nil // of an earlier version without a header, or corrupt
+		return coordination.SavedState{Data: raw}, nil // a file of an earlier version, which has no header, or corrupt
 	}
 	return coordination.SavedState{Data: data, IsCopy: written != s.knownMark}, nil
 }
@@ -128,8 +128,8 @@
 	return m, nil
 }
 
-// lockFolder locks the folder until the returned file is closed or the process ends. Danger: the process that holds the lock may stand
-// still, so it waits for lockTimeout at most.
+// lockFolder locks the folder until the returned file is closed or the process ends. It waits at most lockTimeout, since the process
+// that holds the lock may be paused.
 func (s *Store) lockFolder() (*os.File, error) {
 	dir, err := os.Open(s.dir)
 	if err != nil {
@@ -146,18 +146,18 @@
 	}
 }
 
-// Quarantine renames a state that can't be used, so that the next write does not overwrite it. It must be called between Load and the
-// first Save.
+// Quarantine renames a state file that can't be used, so that the next write does not overwrite it. It must be called between Load and
+// the first Save.
 func (s *Store) Quarantine() error {
 	s.knownMark = fileMark{}
 	return os.Rename(filepath.Join(s.dir, fileName), filepath.Join(s.dir, quarantineName))
 }
 
-// Save implements coordination.StateSaver. It is for one goroutine.
+// Save implements coordination.StateSaver. It must be called from one goroutine only.
 func (s *Store) Save(data []byte, done func(error)) { s.saves <- save{data, done} }
 
-// write replaces the file, so that whatever happens either the old state or the new one is on disk. The error is ErrConflict or names
-// the setting of the folder.
+// write replaces the file atomically: after a crash either the old state or the new one is on disk. The error is ErrConflict or begins
+// with the setting of the folder.
 func (s *Store) write(data []byte) (err error) {
 	defer func() {
 		if err != nil && !errors.Is(err, ErrConflict) {
@@ -173,7 +173,7 @@
 			return err
 		}
 	}
-	defer func() { _ = lock.Close() }() // ends the lock; opened for reading
+	defer func() { _ = lock.Close() }() // releases the lock; no error is lost: opened for reading
 	path := filepath.Join(s.dir, fileName)
 	if err := s.checkUnchanged(path); err != nil {
 		return err
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // fails once it has been renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // fails if the file has been renamed
 	mark, err := markOf(temporary)
 	if err == nil {
 		_, err = temporary.Write(append(fmt.Appendf(nil, header, mark.inode, mark.birth), data...))
@@ -197,13 +197,13 @@
 	return lock.Sync() // the folder, so that the rename is durable
 }
 
-// checkUnchanged returns ErrConflict unless the file is the one that this process knows, or is gone. Danger: two processes that write in
-// turns would each overwrite votes of the other.
+// checkUnchanged returns ErrConflict unless the file is the one that this process has last read or written, or does not exist.
+// Otherwise two processes that write alternately would overwrite each other's votes.
 func (s *Store) checkUnchanged(path string) error {
 	file, err := os.Open(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return nil // removed by somebody: this process knows the latest state
+		return nil // the file was removed: this process knows the latest state
 	case err != nil:
 		return err
 	}
--- a/internal/coordination/statefile/store_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What was written is read as it was; a copy that is put back in any way is recognized; of two processes the later one continues the
-// state.
+// A written state is read back unchanged, a copy is recognized in whatever way it was put in place, and of two processes the later one
+// continues the state.
 func TestStoreRecognizesCopiesAndConflicts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "below")
 	path := filepath.Join(dir, fileName)
--- a/internal/coordination/statefile/stored_form_test.go
+++ b/internal/coordination/statefile/stored_form_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The file of an earlier version is read. The golden file is a copy and recognized as one; with a header that names the file's own inode
-// and birth time it is not.
+// The file of an earlier version is read. The golden file is recognized as a copy, unless its header is replaced by one with the
+// file's own inode and birth time.
 func TestStoredForm(t *testing.T) {
 	raw, err := os.ReadFile("testdata/folder/peer")
 	require.NoError(t, err)
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -8,18 +8,18 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// Status is the answer of the admin command PEERS and the part "fleet" of the sidecar's counters. JSON keys are read by operators'
-// tools.
+// Status is the response to the admin command PEERS and the section "fleet" of the sidecar's counters. Operators' tools read the JSON
+// keys.
 type Status struct {
 	Fleet          string         `json:"fleet"`
 	ID             string         `json:"id"`
 	IdentityStored bool           `json:"stored"`          // the identity survives a restart
-	IsReplaced     bool           `json:"quiet,omitempty"` // another process has this identity
-	Rank           int            `json:"rank"`            // in force, see swim.StableRank
-	Count          int            `json:"count"`
-	Live           int            `json:"live"`   // members
-	HealthScore    int            `json:"doubts"` // of this sidecar's own timeliness, 0 is best
-	Checksum       string         `json:"sum"`    // of the membership; equal at sidecars that hold the same one
+	IsReplaced     bool           `json:"quiet,omitempty"` // another process has taken over this identity
+	Rank           int            `json:"rank"`            // as used by the sidecar, see swim.StableRank
+	Count          int            `json:"count"`           // number of ranks
+	Live           int            `json:"live"`            // number of live members
+	HealthScore    int            `json:"doubts"`          // how late this sidecar itself is in the membership protocol; 0 is best
+	Checksum       string         `json:"sum"`             // of the membership; equal at sidecars that know the same membership
 	View           swim.Stats     `json:"view"`
 	Links          peers.Stats    `json:"peers"`
 	Panics         uint64         `json:"panics,omitempty"` // recovered
@@ -28,7 +28,7 @@
 	OmittedMembers int            `json:"more,omitempty"` // members that are not in Members
 }
 
-// MemberStatus is what this sidecar holds of a member.
+// MemberStatus is the status of a member, as this sidecar knows it.
 type MemberStatus struct {
 	ID           string   `json:"id"`
 	Name         string   `json:"name"`
@@ -36,12 +36,12 @@
 	State        string   `json:"state"` // swim.State
 	Incarnation  uint64   `json:"incarnation"`
 	StateSeconds float64  `json:"for_s"`        // since the state was learned
-	AccusedBy    []string `json:"by,omitempty"` // members that reported the state; none: the member itself
+	AccusedBy    []string `json:"by,omitempty"` // members that reported the state; empty: the member itself did
 	Connected    bool     `json:"linked,omitempty"`
 	Monitored    bool     `json:"watched,omitempty"` // this sidecar detects its silence, see swim.MemberStatus.IsNeighbor
 }
 
-// Status returns the status with at most maxMembers members. It is for the loop.
+// Status returns the status with at most maxMembers members. It must be called on the event loop.
 func (n *Node) Status(maxMembers int) (s Status) {
 	if n.view == nil {
 		return Status{Fleet: n.options.Name}
@@ -69,8 +69,8 @@
 	return s
 }
 
-// Metrics implements sidecar.MetricsSource: the figures that the admin command DUMP adds for the fleet. Their names are read by operators'
-// tools.
+// Metrics implements sidecar.MetricsSource: the metrics that the admin command DUMP adds for the fleet. Operators' tools read their
+// names.
 func (n *Node) Metrics() []sidecar.Metric {
 	if n.view == nil {
 		return nil
@@ -91,5 +91,5 @@
 	return figures
 }
 
-// roundTenths rounds seconds for people.
+// roundTenths rounds seconds to tenths, for display.
 func roundTenths(seconds float64) float64 { return math.Round(10*seconds) / 10 }
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// A sidecar of a new version continues the state that an earlier one has stored: identity, lease state and maintenance record.
+// A sidecar continues from the state that an earlier version has stored: identity, lease state and maintenance record.
 func TestStoredForm(t *testing.T) {
 	s := persistentState{ID: 1 << 40, Generation: 7, LeaseState: []byte{1, 2, 3}, Maintenance: &MaintenanceRecord{Epoch: 3, Version: 9, Token: 3<<40 + 5, Body: []byte{4, 5}}}
 	assert.Equal(t, golden(t, "stored", "state_2"), string(encodeState(s)))
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -18,7 +18,7 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// golden returns a golden file's text without its last line feed.
+// golden returns the text of a golden file without its final newline.
 func golden(t *testing.T, path ...string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(append([]string{"testdata"}, path...)...))
@@ -26,7 +26,8 @@
 	return strings.TrimSuffix(string(raw), "\n")
 }
 
-// Sidecars of two versions are members of one fleet: each message body has the bytes of its golden file, and is decoded from them.
+// Sidecars of different versions may be members of one fleet: each message body is encoded to the bytes of its golden file, and
+// decoded from them.
 func TestWireForm(t *testing.T) {
 	for _, c := range []struct {
 		file  string
@@ -72,7 +73,7 @@
 	assert.Equal(t, []int{1, 2, 3, 4, 5, 6}, []int{kindRecord, kindSurveyRequest, kindSurveyResponse, kindCommand, kindCommandReply, kindRecordVersion})
 }
 
-// Operators' tools read the answers by their JSON keys: each answer, with every field set, is as in its golden file.
+// Operators' tools read the JSON keys of admin responses: each response, with every field set, matches its golden file.
 func TestAnswerForm(t *testing.T) {
 	for _, c := range []struct {
 		file  string
@@ -89,7 +90,7 @@
 	}
 }
 
-// filled returns a value of which every exported field, and one element of every slice, is set and is not zero.
+// filled returns a value in which every exported field is not zero and every slice has one element.
 func filled[T any]() (v T) {
 	fill(reflect.ValueOf(&v).Elem())
 	return v
@@ -132,7 +133,7 @@
 	}
 }
 
-// Operators' tools read the figures by their names.
+// Operators' tools read the metrics by their names.
 func TestFigureNames(t *testing.T) {
 	n, loop := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}})
 	n.peers = peers.New("yard", 1, n, loop, n.log)
