--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -12,7 +12,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// cluster is a number of nodes, three of them initial voters, whose messages arrive at once.
+// cluster is a number of nodes, three of them initial voters, whose messages arrive without delay.
 type cluster struct {
 	t     *testing.T
 	now   float64
@@ -30,7 +30,7 @@
 	diskStalled    bool // writes never finish
 	muted          bool // its messages are lost
 	history        [][]byte
-	replacedReason string // of ReplaceIdentity; empty: not called
+	replacedReason string // passed to ReplaceIdentity; empty: it was not called
 
 	record Record // of the last RecordCommitted
 }
@@ -69,11 +69,11 @@
 		}
 	})
 }
-func (s *testNode) LeaseStarted(role string, token uint64)        {}
-func (s *testNode) LeaseEnded(role string, t uint64, w EndReason) {}
-func (s *testNode) RecordCommitted(r Record)                      { s.record = r }
-func (s *testNode) ReplaceIdentity(why string)                    { s.replacedReason = why }
-func (s *testNode) Log(string, ...any)                            {}
+func (s *testNode) LeaseStarted(role string, token uint64)                 {}
+func (s *testNode) LeaseEnded(role string, token uint64, reason EndReason) {}
+func (s *testNode) RecordCommitted(r Record)                               { s.record = r }
+func (s *testNode) ReplaceIdentity(reason string)                          { s.replacedReason = reason }
+func (s *testNode) Log(string, ...any)                                     {}
 
 func (c *cluster) runUntil(at float64) {
 	for c.now < at {
@@ -130,17 +130,17 @@
 	holder, token := c.holder("list")
 	require.NotNil(t, holder)
 	c.runUntil(130)
-	again, same := c.holder("list")
-	require.Equal(t, holder, again)
-	require.Equal(t, token, same, "renewed, not granted again")
+	later, laterToken := c.holder("list")
+	require.Equal(t, holder, later)
+	require.Equal(t, token, laterToken, "renewed, not granted again")
 	other, _ := c.holder("report")
 	require.NotEqual(t, holder, other, "spread")
 	holder.up = false
 	c.runUntil(136)
-	next, greater := c.holder("list")
+	next, nextToken := c.holder("list")
 	require.NotNil(t, next)
 	require.NotEqual(t, holder, next)
-	require.Greater(t, greater, token)
+	require.Greater(t, nextToken, token)
 }
 
 // leader returns the node that leads, nil if there is none.
@@ -166,10 +166,10 @@
 		require.NotNil(t, holder, name)
 		release(c, holder)
 		c.runUntil(c.now + 0.2)
-		next, greater := c.holder("list")
+		next, nextToken := c.holder("list")
 		require.NotNil(t, next, name)
 		require.NotEqual(t, holder.id, next.id, name)
-		require.Equal(t, token+1, greater, name)
+		require.Equal(t, token+1, nextToken, name)
 		if name == "leaves" {
 			c.runUntil(c.now + 1)
 			require.True(t, holder.node.HasLeft())
@@ -178,7 +178,7 @@
 	}
 }
 
-// A node that restarts on an old copy of its state is told so by peers that know a later one, and retires.
+// A node that restarts on an old copy of its state learns so from peers that know a later one, and replaces its identity.
 func TestNodeWithOldStateReplacesItsIdentity(t *testing.T) {
 	c := newCluster(t, 3, "list")
 	c.runUntil(102)
@@ -202,16 +202,16 @@
 	require.True(t, restarted.HasLeft())
 }
 
-// A node that restarts on an old copy, and writes as often as the copy lacks before its first message, has the serial that it
-// had before the restart, and is detected all the same. Danger: the votes that it gave before count, and it may give them
+// A node that restarts on an old copy of its state, and writes it as often as the copy lacks writes before its first message, has
+// the same serial as before the restart. Peers detect it by the lineage: otherwise it could give the votes of the lost writes
 // again.
 func TestNodeThatWroteOnOldStateReplacesItsIdentity(t *testing.T) {
 	for back := 1; back <= 3; back++ {
 		c := newCluster(t, 3, "list")
 		c.runUntil(110)
 		transfer := func() {
-			was := c.leader()
-			was.node.transferLeadership()
+			former := c.leader()
+			former.node.transferLeadership()
 			c.runUntil(c.now + 0.5)
 		}
 		for c.leader() == c.all[2] || len(c.all[2].history) < 6 {
@@ -313,9 +313,9 @@
 	require.ErrorIs(t, err, ErrInvalidState)
 	restarted, err := New(c.now, s.id, s.node.settings, s.state, s)
 	require.NoError(t, err)
-	was, _ := s.node.group.storage.LastIndex()
-	is, _ := restarted.group.storage.LastIndex()
-	require.Equal(t, was, is)
+	before, _ := s.node.group.storage.LastIndex()
+	after, _ := restarted.group.storage.LastIndex()
+	require.Equal(t, before, after)
 	require.Equal(t, s.node.group.term, restarted.group.term)
 }
 
@@ -326,10 +326,10 @@
 		seen := map[string]uint64{}
 		for range rapid.IntRange(1, 40).Draw(t, "effects") {
 			role, token := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "role"), rapid.Uint64Range(1, 9).Draw(t, "token")
-			ok, greatest := fence.Admit(role, token)
+			ok, highest := fence.Admit(role, token)
 			require.Equal(t, token >= seen[role], ok)
 			seen[role] = max(seen[role], token)
-			require.Equal(t, seen[role], greatest)
+			require.Equal(t, seen[role], highest)
 			if rapid.Bool().Draw(t, "restart") {
 				var next Fence
 				next.Restore(fence.Highest())
@@ -339,7 +339,7 @@
 	})
 }
 
-// A role's record outlives its holders and leaders: a new holder gets the last version before it may act, versions grow by one,
+// A role's record outlives its holders and leaders: a new holder gets the last version when its lease starts, versions grow by one,
 // and writes under an earlier grant or in place of an earlier version are rejected.
 func TestRecordOutlivesHolders(t *testing.T) {
 	c := newCluster(t, 7, "works")
--- a/internal/decide/maintenance/coordinator_test.go
+++ b/internal/decide/maintenance/coordinator_test.go
@@ -11,14 +11,14 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// driver drives a Coordinator whose proposals are committed at once, with sidecars that apply and report what is committed.
+// driver runs a Coordinator whose proposals are committed at once, with sidecars that apply and report each committed State.
 type driver struct {
 	*Coordinator
 	t         require.TestingT
 	now       float64
 	committed Committed
 	snapshot  FleetSnapshot
-	silent    map[swim.ID]bool // they do not report
+	silent    map[swim.ID]bool // sidecars that do not report
 	replies   map[uint64]Reply
 	nonce     uint64
 }
@@ -36,9 +36,9 @@
 	return d
 }
 
-// advance lets time pass with a snapshot each half second; each proposal is committed before the next.
-func (d *driver) advance(forS float64) {
-	for end := d.now + forS; d.now < end; d.now += 0.5 {
+// advance moves the clock forward, with a snapshot each half second. Each proposal is committed before the next snapshot.
+func (d *driver) advance(seconds float64) {
+	for end := d.now + seconds; d.now < end; d.now += 0.5 {
 		r := d.snapshot
 		r.Report.Reporters = nil
 		for _, m := range r.Members {
@@ -53,7 +53,7 @@
 
 func (d *driver) commitSteps() {
 	for n := 0; ; n++ {
-		require.Less(d.t, n, 1000, "no more proposals")
+		require.Less(d.t, n, 1000, "too many proposals")
 		next := d.Step(d.now)
 		for _, r := range d.Replies() {
 			d.replies[r.Nonce] = r
@@ -120,11 +120,11 @@
 			require.EqualValues(t, 3, r.Token>>40)
 			require.False(t, worked[r.Server])
 			token, worked[r.Server] = r.Token, true
-			require.Equal(t, r.Token, d.submit(Command{Kind: AcquireServer, Agent: "m"}).Token, "the same hand-out again")
+			require.Equal(t, r.Token, d.submit(Command{Kind: AcquireServer, Agent: "m"}).Token, "the agent is handed the same server again")
 			require.Empty(t, d.submit(Command{Kind: AcquireServer, Agent: "other"}).Server)
 			d.advance(20)
 			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err)
-			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "done twice is done")
+			require.Empty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token}).Err, "a repeated command has no further effect")
 			require.NotEmpty(t, d.submit(Command{Kind: CompleteServer, Server: r.Server, Token: token - 1}).Err)
 		}
 	}
@@ -133,8 +133,9 @@
 	assert.False(t, d.NeedsSnapshot())
 }
 
-// A hand-out may be committed after everybody has given up on it: its lease holder lost the quorum, an operator put the server back in
-// service, and the quorum came back with the proposal. The server is then seen to be in use, and its agent is not sent to it.
+// A hand-out may be committed late: the lease holder lost its quorum with the proposal, an operator put the server back in service,
+// and then the quorum came back and committed the proposal. The snapshot shows that the server is in use, so the agent is not handed
+// the server again.
 func TestHandOutCommittedLate(t *testing.T) {
 	d := newDriver(t, 3, 2, 3)
 	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
@@ -143,38 +144,38 @@
 	}
 	d.nonce++
 	d.Submit(d.now, Command{Kind: AcquireServer, Agent: "bob", Nonce: d.nonce})
-	underWay := d.Step(d.now)
-	require.NotNil(t, underWay)
-	var taken string
-	for _, b := range underWay.Plans[0].Servers {
+	proposed := d.Step(d.now)
+	require.NotNil(t, proposed)
+	var handedOut string
+	for _, b := range proposed.Plans[0].Servers {
 		if b.Stage == InMaintenance {
-			taken = b.Name
+			handedOut = b.Name
 		}
 	}
-	require.NotEmpty(t, taken)
+	require.NotEmpty(t, handedOut)
 
-	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next lease holder, whose voters hold the proposal
+	d.Coordinator = New(Settings{WarmUpSeconds: 10}) // the next lease holder, whose voters have committed the proposal
 	d.committed.Version++
-	d.committed.State = *underWay
+	d.committed.State = *proposed
 	d.Start(d.now, d.committed)
 	assert.Empty(t, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "no snapshot yet")
-	d.snapshot.Report.InUse = []InUse{{Server: taken, Member: 2, Uncordoned: true}}
+	d.snapshot.Report.InUse = []InUse{{Server: handedOut, Member: 2, Uncordoned: true}}
 	d.advance(1)
 	again := d.submit(Command{Kind: AcquireServer, Agent: "bob"})
 	assert.Empty(t, again.Server, "it is in use")
 	assert.Contains(t, again.Text, "in use there by hand")
-	waits := d.Blockers()
-	require.NotEmpty(t, waits)
-	assert.Equal(t, taken, waits[0].Server)
-	assert.Contains(t, waits[0].Reason, "in use there by hand")
-	assert.Equal(t, []string{"n1"}, waits[0].Members)
+	blockers := d.Blockers()
+	require.NotEmpty(t, blockers)
+	assert.Equal(t, handedOut, blockers[0].Server)
+	assert.Contains(t, blockers[0].Reason, "in use there by hand")
+	assert.Equal(t, []string{"n1"}, blockers[0].Members)
 	d.snapshot.Report.InUse = nil
 	d.advance(1)
-	assert.Equal(t, taken, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is cordoned again")
+	assert.Equal(t, handedOut, d.submit(Command{Kind: AcquireServer, Agent: "bob"}).Server, "it is cordoned again")
 }
 
-// The reply to a hand-out may be lost, as where the lease holder stands still once it is committed: its agent asks again, and has to learn from the
-// repeated reply as well that the server was forced past a sidecar that may still use it.
+// The reply to a hand-out may be lost, for example if the lease holder stalls right after the commit. When the agent asks again, the
+// repeated reply, too, states that the server was forced past a sidecar that may still use it.
 func TestRepeatedHandOutSaysThatItWasForced(t *testing.T) {
 	d := newDriver(t, 3, 2, 3)
 	require.Empty(t, d.submit(Command{Kind: SubmitPlan, Spec: spec()}).Err)
--- a/internal/decide/maintenance/snapshot.go
+++ b/internal/decide/maintenance/snapshot.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/swim"
 )
 
-// Member is a sidecar, as the membership of the lease holder knows it.
+// Member is a sidecar in the membership, as the lease holder knows it.
 type Member struct {
 	ID              swim.ID
 	Name            string
@@ -16,7 +16,7 @@
 	StateAgeSeconds float64
 }
 
-// FleetSnapshot is the answer of the fleet to one query of the lease holder.
+// FleetSnapshot is the result of one query of the whole fleet by the lease holder.
 type FleetSnapshot struct {
 	Members  []Member // all that are alive, or were within the last ten minutes, by ID
 	Report   Report
@@ -59,8 +59,8 @@
 	return names
 }
 
-// unreachableMembers returns the names of members that must report and have not, or are not alive; at most maxNamedMembers, sorted.
-// While there are any, nothing drains.
+// unreachableMembers returns the names of the members that must report and have not, or are not alive: at most maxNamedMembers,
+// sorted. While there are any, no server starts to drain.
 func (c *Coordinator) unreachableMembers(p *Plan) []string {
 	snapshot := c.freshSnapshot()
 	if snapshot == nil {
