--- a/internal/decide/register/acceptor.go
+++ b/internal/decide/register/acceptor.go
@@ -4,14 +4,14 @@
 type State struct {
 	ID       string `msgpack:"i"` // identity of the voter
 	Promised Ballot `msgpack:"p"` // no lower ballot is promised or accepted
-	Accepted Ballot `msgpack:"b"` // the ballot of Value; zero if nothing was accepted
+	Accepted Ballot `msgpack:"b"` // the ballot at which Value was accepted; zero if nothing was accepted
 	Value    Value  `msgpack:"v"`
 }
 
 // Acceptor is the state machine of a voter. A handler that changes the state returns the next one, which the host must
-// persist and confirm by MarkPersisted before it sends the reply; a nil state leaves nothing to persist. Until MarkPersisted
-// the acceptor keeps the state before, so a failed write is forgotten by not confirming it. At most one returned state may
-// be unconfirmed at a time.
+// persist and confirm by MarkPersisted before it sends the reply; a nil state means that there is nothing to persist. Until
+// MarkPersisted is called the acceptor keeps the previous state, so that after a failed write the host just sends no reply.
+// At most one returned state may be unconfirmed at a time.
 type Acceptor struct {
 	state State
 }
@@ -42,8 +42,8 @@
 	return &next, reply
 }
 
-// HandleAccept accepts the request's value unless a higher ballot was promised. hasConfig says that the bytes of the
-// configuration are on disk or come with the request; without them nothing is accepted.
+// HandleAccept accepts the request's value unless a higher ballot was promised. hasConfig says that the bytes of the value's
+// configuration are on disk or come with the request; without them the value is not accepted.
 func (a *Acceptor) HandleAccept(request AcceptRequest, hasConfig bool) (*State, AcceptReply) {
 	if request.To != a.state.ID {
 		return nil, AcceptReply{WrongVoter: true}
@@ -74,8 +74,8 @@
 // HandleLearn adopts a value that is known to be chosen at a ballot, without a proposal. hasConfig is as for HandleAccept.
 // It returns whether the voter holds that value or a later one once the returned state is persisted.
 //
-// The ballot may be below the promised one: the proposer of the promised ballot has prepared at a majority, and so has seen
-// the chosen value at one of the voters that accepted it.
+// The ballot may be below the promised one. That is safe: the proposer of the promised ballot needs promises from a majority, and one
+// of these voters has accepted the chosen value and reports it.
 func (a *Acceptor) HandleLearn(chosenAt Ballot, value Value, hasConfig bool) (*State, bool) {
 	if chosenAt.Compare(a.state.Accepted) <= 0 {
 		return nil, true
--- a/internal/decide/register/backoff_test.go
+++ b/internal/decide/register/backoff_test.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// competingProposer makes proposals of two phases until one is not pre-empted.
+// competingProposer makes proposals of two phases each until one of them is not pre-empted.
 type competingProposer struct {
 	backoff        register.Backoff
 	rng            *rand.Rand
@@ -18,10 +18,10 @@
 	nextEventAt    float64 // end of the phase, or start of the next proposal
 	isBackingOff   bool
 	isDone         bool
-	isPreempted    bool // the other has prepared a ballot since this proposal started
+	isPreempted    bool // the other proposer has prepared a ballot since this proposal started
 }
 
-// step ends a phase or starts a proposal. A phase takes phaseSeconds.
+// step executes the proposer's next event: it ends a phase or starts a proposal. A phase takes phaseSeconds.
 func (d *competingProposer) step(other *competingProposer, phaseSeconds float64) {
 	now := d.nextEventAt
 	switch {
@@ -38,7 +38,7 @@
 	}
 }
 
-// contend returns the time until the first of two proposers succeeds that start within one phase of each other.
+// contend runs two proposers that start within one phase of each other, and returns the time until the first one succeeds.
 func contend(seed uint64, phaseSeconds float64) float64 {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	a := &competingProposer{rng: rng, isBackingOff: true, nextEventAt: 0}
@@ -55,8 +55,8 @@
 	}
 }
 
-var _ = Describe("the delays of proposers that pre-empt each other", func() {
-	DescribeTable("let one of two succeed soon, however long a proposal takes", func(phaseSeconds, limitSeconds float64) {
+var _ = Describe("the backoff of proposers that pre-empt each other", func() {
+	DescribeTable("lets one of two succeed soon, however long a proposal takes", func(phaseSeconds, limitSeconds float64) {
 		const seeds = 5000
 		late := 0
 		for seed := range uint64(seeds) {
@@ -64,15 +64,15 @@
 				late++
 			}
 		}
-		Expect(late).To(BeNumerically("<=", seeds/500), "one in five hundred")
+		Expect(late).To(BeNumerically("<=", seeds/500), "at most one in 500 may take longer")
 	},
 		Entry("fast disks", 0.005, 0.3),
-		Entry("disks of 30 ms", 0.03, 0.7),
-		Entry("a busy machine, within the time-out of a change", 0.15, 2.5),
+		Entry("disks that sync in 30 ms", 0.03, 0.7),
+		Entry("a busy machine, within the timeout of a change", 0.15, 2.5),
 		Entry("an overloaded machine", 0.2, 3.2),
 	)
 
-	It("grow with failures and stay bounded", func() {
+	It("grows with failures and stays bounded", func() {
 		var b register.Backoff
 		last := 0.0
 		for range 20 {
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -14,20 +14,20 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// The explorer drives real proposals and acceptors through the orders of messages that a script allows. The script says which calls are
-// started, in which order and by whom. An exchange with a voter is one step; a voter may never be reached. Within
-// one phase a call contacts its voters in the order of their names; calls of different nodes interleave in every way.
-// A node has one call at a time; the next one abandons the one before, as after a restart. The search is breadth first and skips
-// bound on visited states that it has visited.
+// The explorer is a small model checker: it drives real proposals and acceptors through all orders of messages that a script allows.
+// The script says which nodes start which calls, and in which order. An exchange with a voter, request and reply, is one step; a
+// voter may never be reached. Within one phase a call contacts its voters in the order of their names; calls of different nodes
+// interleave in every way. A node has one call at a time: its next call abandons the previous one, as after a restart. The search
+// is breadth first and doesn't expand a state twice.
 
-// scriptedCall is a call of a script.
+// scriptedCall is one entry of a script: a call, the loss of a disk, or a node that learns a value.
 type scriptedCall struct {
 	node         string
 	wipesDisk    bool   // instead of a call, the node loses its disk and restarts with another identity
 	learner      string // instead of a call, this node learns the newest chosen value
 	change       func(known register.Value) register.Change
-	digest       register.Digest // of the configuration that it brings
-	base         uint64
+	digest       register.Digest // identity of the configuration change; recorded once it is acknowledged
+	base         uint64          // version that the configuration change is based on; 0 for other calls
 	acquiresRole bool
 }
 
@@ -37,7 +37,7 @@
 		change: func(register.Value) register.Change { return register.SetConfig(version, version-1, digest) }}
 }
 
-// patches is a change whose identity is not the digest of the resulting configuration.
+// patches is a configuration change whose identity is not the digest of the resulting configuration.
 func patches(node string, version uint64) scriptedCall {
 	made, identity := register.DigestOf([]byte(fmt.Sprint("made ", version))), register.DigestOf([]byte(fmt.Sprint("patch ", version)))
 	return scriptedCall{node: node, digest: identity, base: version - 1,
@@ -48,7 +48,7 @@
 
 const scriptedRole = "r"
 
-// acquiresRole is a process that acquires a role whose token it knows.
+// acquiresRole is a call that acquires the role, whose current token the node knows.
 func acquiresRole(node string, token uint64) scriptedCall {
 	return scriptedCall{node: node, acquiresRole: true, change: func(register.Value) register.Change { return register.AcquireRole(scriptedRole, node, token) }}
 }
@@ -99,25 +99,25 @@
 // modelState is one state of the model. Its parts are shared with other states and never changed in place.
 type modelState struct {
 	disks        map[string]register.State
-	calls        map[string]*pendingCall // by node
-	knownChosen  map[string]register.Ballot
+	calls        map[string]*pendingCall    // by node
+	knownChosen  map[string]register.Ballot // by node: the ballot at which it has last found a value chosen
 	startedCalls int
 	acknowledged []register.Digest
 	grants       []register.Grant // returned to calls that acquired the role
 	chosen       register.Value   // of the highest ballot that any call has found chosen
 	chosenAt     register.Ballot
 	depth        int
-	label        string // the step that led here
-	trail        int    // where the explorer's trail has that step
+	label        string // the step that led to this state
+	trail        int    // index of that step in the explorer's trail
 }
 
 // trailStep is a step of a history. States refer to it by index: keeping their predecessors would exhaust the memory.
 type trailStep struct {
-	before int
+	before int // index of the previous step
 	label  string
 }
 
-// history returns the steps that led to an index of the trail.
+// history returns the labels of the steps up to an index of the trail.
 func (e *explorer) history(at int) (text string) {
 	for ; at > 0; at = e.trail[at].before {
 		text = " " + e.trail[at].label + text
@@ -143,6 +143,7 @@
 	return &out
 }
 
+// key returns a hash of all that later steps depend on. Two states with the same key are expanded once.
 func (s *modelState) key(nodes []string, scratch []byte) (uint64, []byte) {
 	key := append(scratch[:0], byte(s.startedCalls), byte(len(s.acknowledged)), byte(len(s.grants)), byte(s.chosenAt.Number))
 	for _, name := range nodes {
@@ -167,14 +168,14 @@
 type explorer struct {
 	nodes          []string
 	script         []scriptedCall
-	trustsAccepted bool // fault of the host: what the local disk has accepted counts as chosen
+	trustsAccepted bool // simulated fault: what the local disk has accepted counts as chosen
 	maxStates      int  // bound on visited states
 	states, depth  int
 	trail          []trailStep // index 0 is the initial state
 	complete       bool        // all reachable states were visited
 }
 
-// run returns the first violation with its history, "" if there is none.
+// run explores the script and returns the first violation with its history, "" if there is none.
 func (e *explorer) run() string {
 	start := e.initialState()
 	key, scratch := start.key(e.nodes, nil)
@@ -274,7 +275,7 @@
 	return next
 }
 
-// highestBallot returns the number that a proposer's next ballot exceeds in any case.
+// highestBallot returns the highest ballot number in use, which the next ballot must exceed.
 func (e *explorer) highestBallot(s *modelState) uint64 {
 	highest := uint64(0)
 	for _, disk := range s.disks {
@@ -304,7 +305,7 @@
 	next := s.clone()
 	call := next.calls[name]
 	sent := call.unsent[i]
-	call.unsent = slices.Delete(call.unsent, 0, i+1) // the voters before are never reached
+	call.unsent = slices.Delete(call.unsent, 0, i+1) // the voters before it are never reached
 	next.label = fmt.Sprintf("%d>%s", call.index, sent.voter.ID)
 	if sent.isAccept {
 		next.label += "!"
@@ -350,8 +351,8 @@
 	}
 }
 
-// violation reports a finished call that lacks a change acknowledged before it started or holds one twice, and two calls
-// that acquired the role with the same token.
+// violation describes a broken guarantee, "" if there is none: a finished call lacks a change that was acknowledged before it
+// started, or returns a change twice, or two calls acquired the role with the same token. It removes finished calls.
 func (e *explorer) violation(s *modelState) string {
 	for i, grant := range s.grants {
 		if slices.ContainsFunc(s.grants[:i], func(other register.Grant) bool { return other.Token == grant.Token }) {
@@ -370,7 +371,7 @@
 		}
 		for i, digest := range call.proposal.Value.AcceptedChanges {
 			if slices.Contains(call.proposal.Value.AcceptedChanges[:i], digest) {
-				return fmt.Sprintf("call %d finds a change that was made twice", call.index)
+				return fmt.Sprintf("call %d finds a change that was applied twice", call.index)
 			}
 		}
 		delete(s.calls, name) // finished
@@ -401,7 +402,7 @@
 			acquiresRole("A", 0), reconfigures("B", "A", "B", "D"), completes("B"), acquiresRole("C", 1), reads("A")),
 		Entry("a patch sent twice through two nodes, with a concurrent configuration change",
 			patches("A", 2), patches("B", 2), configures("C", 2), reads("A")),
-		Entry("two nodes adding different spares at the same time",
+		Entry("two nodes that add different spares at the same time",
 			reconfigures("A", "A", "B", "C", "D"), reconfigures("B", "A", "B", "C", "E"), completes("A"), configures("C", 2), reads("A")),
 	}
 	DescribeTable("keeps acknowledged changes", func(script ...scriptedCall) {
--- a/internal/decide/register/history_test.go
+++ b/internal/decide/register/history_test.go
@@ -11,14 +11,14 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// callInput is a change on top of a version, or a read.
+// callInput is a change that is based on a version, or a read.
 type callInput struct {
 	change bool
 	base   uint64
 	digest register.Digest
 }
 
-// callOutput is the result of a call; a call without a reply has an unknown one.
+// callOutput is the result of a call. It is not known for a call that ended without a reply.
 type callOutput struct {
 	known   bool
 	done    bool // the change was acknowledged
@@ -61,7 +61,7 @@
 		Output: callOutput{known: true, done: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.ConfigDigest}})
 }
 
-// recordUnknown adds a change that has ended without a reply. Such reads constrain nothing and are left out.
+// recordUnknown adds a change that ended without a reply. A read without a reply constrains nothing and is left out.
 func (s *simulation) recordUnknown(op *operation) {
 	if op == nil || !op.isChange {
 		return
--- a/internal/decide/register/proposal.go
+++ b/internal/decide/register/proposal.go
@@ -1,15 +1,15 @@
 package register
 
-// Step lists the messages that the host has to send next. Replies, and calls without a reply, go back to the Proposal or
-// QuorumRead that returned the step.
+// Step lists the messages that the host has to send next. The host passes each reply, and each call that got none, to the
+// Proposal or QuorumRead that returned the step.
 type Step struct {
-	SendPrepare []Voter // receivers of a PrepareRequest; of a ReadRequest where a QuorumRead returned the step
+	SendPrepare []Voter // receivers of a PrepareRequest, or of a ReadRequest if a QuorumRead returned the step
 	SendAccept  []Voter // receivers of an AcceptRequest
 	SendConfig  []Voter // receivers of an AcceptRequest with the bytes of the configuration
-	Done        bool    // the outcome is known; nothing has to be sent
+	Done        bool    // the outcome is known; there is nothing to send
 }
 
-// IsEmpty reports whether the step neither sends anything nor ends the proposal or read: its host waits for further replies.
+// IsEmpty reports whether the step neither sends anything nor ends the proposal or read: the host waits for further replies.
 func (s Step) IsEmpty() bool {
 	return !s.Done && len(s.SendPrepare)+len(s.SendAccept)+len(s.SendConfig) == 0
 }
@@ -17,17 +17,17 @@
 // Outcome is the result of a Proposal or QuorumRead.
 type Outcome int
 
-// The outcomes. Where one says that Value is chosen, a majority holds it and no later value will be derived without it.
+// The outcomes. That Value is chosen means that a majority holds it and that every later value is derived from it.
 const (
 	InProgress Outcome = iota
 	Chosen             // Value is chosen and contains the change
 	Rejected           // Value is chosen and the change does not apply to it
-	Confirmed          // Value is chosen, which was not known before; the change was not tried and may be proposed again
+	Confirmed          // Value is now known to be chosen; the change was not proposed and may be proposed again
 	Undecided          // a higher ballot was promised or no majority is reachable; the change may or may not be chosen later
 	Abandoned          // the host gave the proposal up; the change may or may not be chosen later
 )
 
-// Change derives the next value from the current one, which it may modify. It returns false where the change does not apply.
+// Change derives the next value from the current one, which it may modify. It returns false if the change does not apply.
 type Change func(current Value) (next Value, ok bool)
 
 // NoChange leaves the value as it is. Proposing it makes sure that the value is chosen.
@@ -37,34 +37,34 @@
 type Proposal struct {
 	Ballot          Ballot
 	Outcome         Outcome
-	Value           Value  // the proposed value during the accept phase; the chosen one where Outcome says so
-	ChosenAt        Ballot // the ballot at which Value was chosen, where Outcome says so
-	HighestPromised Ballot // the highest promised ballot that a rejection named; the next proposal must use a higher number
+	Value           Value  // the proposed value during the accept phase; afterwards the chosen one, if Outcome says so
+	ChosenAt        Ballot // the ballot at which Value was chosen, if Outcome says so
+	HighestPromised Ballot // the highest ballot that a rejection returned; the next proposal must use a higher number
 
 	deriveNext   Change
-	initial      Value  // holds the voters until a reply names newer ones
-	knownChosen  Ballot // a ballot at which a value is known to be chosen
+	initial      Value  // its voters are used until a reply contains newer ones
+	knownChosen  Ballot // ballot at which a value is known to be chosen; see SetKnownChosen
 	promises     map[Voter]PrepareReply
 	contacted    contactedVoters
-	isAccepting  bool      // in the second phase
+	isAccepting  bool      // the proposal is in the accept phase
 	finalOutcome Outcome   // the outcome once a quorum has accepted
 	acceptSets   [][]Voter // sets of voters; a majority of each must accept
 	accepted     map[Voter]bool
 	failed       map[Voter]bool // voters that rejected or did not reply in this phase
 }
 
-// NewProposal returns a proposal and its first step. initial holds the voters, of the current epoch or an older one.
+// NewProposal returns a proposal and its first step. The voters of initial may be of the current epoch or an older one.
 func NewProposal(ballot Ballot, initial Value, change Change) (*Proposal, Step) {
 	p := &Proposal{Ballot: ballot, deriveNext: change, initial: initial, promises: map[Voter]PrepareReply{}, contacted: contactedVoters{},
 		accepted: map[Voter]bool{}, failed: map[Voter]bool{}}
 	return p, Step{SendPrepare: p.contacted.add(initial)}
 }
 
-// SetKnownChosen sets a ballot at which a proposal or read of this process has found a value chosen. Without it a change of the
-// voters needs a proposal of NoChange before, where the replies do not show that the value is chosen.
+// SetKnownChosen sets the ballot at which an earlier proposal or read of this process has found a value chosen. Without it, a
+// change of the voters ends Confirmed and has to be proposed again if the replies don't show that the value is chosen.
 func (p *Proposal) SetKnownChosen(ballot Ballot) { p.knownChosen = ballot }
 
-// contactedVoters are the voters that were sent a first message.
+// contactedVoters is the set of voters that were sent the first request.
 type contactedVoters map[Voter]bool
 
 // add adds the voters of a value and returns those that are new.
@@ -78,7 +78,7 @@
 	return added
 }
 
-// HandlePrepareReply handles a voter's reply to PrepareRequest. Replies that come after the phase has ended are ignored.
+// HandlePrepareReply handles a voter's reply to PrepareRequest. Replies that arrive after the prepare phase are ignored.
 func (p *Proposal) HandlePrepareReply(from Voter, reply PrepareReply) Step {
 	if p.Outcome != InProgress || p.isAccepting {
 		return Step{}
@@ -88,8 +88,8 @@
 	}
 	p.promises[from] = reply
 	newest := p.highestAccepted()
-	// Danger: the reply may name other voters. The replies that came before decide among them too, and perhaps none is left to come: both
-	// ends of the phase are looked for before voters that were not asked yet.
+	// Danger: the reply may contain newer voters. The earlier replies may already decide the phase among these, and there may be no
+	// further reply. Check whether the phase is won or lost before contacting voters that were not asked yet.
 	hasPromised := func(voter Voter) bool { _, ok := p.promises[voter]; return ok }
 	if hasQuorum(hasPromised, newest.Value.Voters, newest.Value.OutgoingVoters) {
 		return p.propose(newest)
@@ -100,8 +100,8 @@
 	return Step{SendPrepare: p.contacted.add(newest.Value)}
 }
 
-// highestAccepted returns the promise with the highest accepted ballot. Danger: the value of a voter that has accepted
-// nothing does not reveal the voters. Until something was accepted the initial voters hold, which all founders share.
+// highestAccepted returns the promise with the highest accepted ballot. Danger: a voter that has accepted nothing doesn't know
+// the current voters. As long as no promise has an accepted value, the initial voters count, which all founders share.
 func (p *Proposal) highestAccepted() PrepareReply {
 	newest := PrepareReply{Value: p.initial}
 	for _, promise := range p.promises {
@@ -113,8 +113,9 @@
 }
 
 // propose derives the next value and starts the accept phase. Danger: a change of the voters must not be derived from a value
-// that may not be chosen. Two such changes in a row would lead to voters of which no majority overlaps with the majorities
-// before, while those continue without them. A value that is not known to be chosen is therefore proposed unchanged first.
+// that may not be chosen. After two such changes in a row, majorities of the new voters need not overlap with majorities of
+// the original ones, and the two sets could decide independently. A value that is not known to be chosen is therefore first
+// proposed unchanged.
 func (p *Proposal) propose(newest PrepareReply) Step {
 	next, ok := p.deriveNext(newest.Value.Clone())
 	p.finalOutcome = Chosen
@@ -133,8 +134,8 @@
 	return Step{SendAccept: distinctVoters(p.acceptSets...)}
 }
 
-// isKnownChosen reports whether the value of a promise is known to be chosen: an earlier call has found it so, or a majority
-// of its own voters has accepted it.
+// isKnownChosen reports whether the value of a promise is known to be chosen: an earlier call has found it chosen, or a
+// majority of the value's own voters has accepted it.
 func (p *Proposal) isKnownChosen(newest PrepareReply) bool {
 	hasAccepted := func(voter Voter) bool {
 		promise, ok := p.promises[voter]
@@ -164,7 +165,7 @@
 	return p.finish(p.finalOutcome, p.Value)
 }
 
-// HandleNoReply handles a call to a voter that failed: an AcceptRequest where isAccept is set, else a PrepareRequest.
+// HandleNoReply handles a call to a voter that got no reply: an AcceptRequest if isAccept is set, else a PrepareRequest.
 func (p *Proposal) HandleNoReply(from Voter, isAccept bool) Step {
 	if p.Outcome != InProgress || isAccept != p.isAccepting {
 		return Step{}
@@ -173,11 +174,11 @@
 	return p.endIfNoQuorumLeft()
 }
 
-// EndIfPreempted ends the proposal where a voter has promised a higher ballot and none of the voters whose replies are awaited is reachable.
-// The host calls it after a reply that leaves nothing to send.
+// EndIfPreempted ends the proposal if a voter has promised a higher ballot and none of the voters whose replies are awaited is
+// reachable. The host calls it after a reply that leaves nothing to send.
 //
-// Danger: without it each such round lasts as long as the time-out of a call to a voter that is gone, and two proposers that pre-empt each
-// other may need several.
+// Danger: without it, each pre-empted proposal waits for the timeout of its calls to unreachable voters, and two proposers that
+// pre-empt each other may need several proposals.
 func (p *Proposal) EndIfPreempted(isReachable func(Voter) bool) Step {
 	if p.Outcome != InProgress || p.HighestPromised.Compare(p.Ballot) <= 0 {
 		return Step{}
@@ -215,7 +216,7 @@
 	}
 }
 
-// handleRejection counts a voter as failed and remembers the ballot that it has promised.
+// handleRejection counts a voter as failed and records the ballot that it has promised.
 func (p *Proposal) handleRejection(from Voter, isWrongVoter bool, promised Ballot) Step {
 	p.failed[from] = true
 	if !isWrongVoter && promised.Compare(p.HighestPromised) > 0 {
@@ -224,7 +225,7 @@
 	return p.endIfNoQuorumLeft()
 }
 
-// endIfNoQuorumLeft ends the proposal once the voters that have not failed are no quorum.
+// endIfNoQuorumLeft ends the proposal if the voters that have not failed no longer form a quorum.
 func (p *Proposal) endIfNoQuorumLeft() Step {
 	quorumSets := p.acceptSets
 	if !p.isAccepting {
--- a/internal/decide/register/quorum_read.go
+++ b/internal/decide/register/quorum_read.go
@@ -1,19 +1,19 @@
 package register
 
-// QuorumRead is the state machine of a read without a ballot. It finds the value where a majority has accepted it at the same
-// ballot, and changes nothing. Where voters differ it ends Undecided; the host then proposes NoChange.
+// QuorumRead is the state machine of a read, which uses no ballot and changes nothing. It returns the value if a majority has
+// accepted it at the same ballot. Otherwise it ends Undecided; the host then proposes NoChange.
 type QuorumRead struct {
 	Outcome  Outcome // Chosen or Undecided once the read has ended
-	Value    Value   // the chosen value, where Outcome is Chosen
-	ChosenAt Ballot  // the ballot at which Value was chosen, where Outcome is Chosen
+	Value    Value   // the chosen value, if Outcome is Chosen
+	ChosenAt Ballot  // the ballot at which Value was chosen, if Outcome is Chosen
 
 	replies   map[Voter]PrepareReply
 	contacted contactedVoters
 	failures  int
 }
 
-// NewQuorumRead returns a read and its first step. initial holds the voters, of the current epoch or an older one. The host
-// sends a ReadRequest to each voter in Step.SendPrepare.
+// NewQuorumRead returns a read and its first step. The voters of initial may be of the current epoch or an older one. The
+// host sends a ReadRequest to each voter in Step.SendPrepare.
 func NewQuorumRead(initial Value) (*QuorumRead, Step) {
 	r := &QuorumRead{replies: map[Voter]PrepareReply{}, contacted: contactedVoters{}}
 	return r, Step{SendPrepare: r.contacted.add(initial)}
@@ -48,7 +48,7 @@
 	return r.endIfAllReplied()
 }
 
-// HandleNoReply handles a call to a voter that failed.
+// HandleNoReply handles a call to a voter that got no reply.
 func (r *QuorumRead) HandleNoReply() Step {
 	if r.Outcome != InProgress {
 		return Step{}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -74,12 +74,12 @@
 })
 
 var _ = Describe("a proposal", func() {
-	It("ignores the voters of a reply that has accepted nothing", func() {
+	It("ignores the voters in the reply of a voter that has accepted nothing", func() {
 		voters := []register.Voter{{ID: "a", Address: "1"}, {ID: "b", Address: "2"}, {ID: "c", Address: "3"}}
 		proposal, step := register.NewProposal(register.Ballot{Number: 1}, register.Value{Epoch: 2, Voters: voters}, register.NoChange)
 		Expect(step.SendPrepare).To(HaveLen(3))
 		step = proposal.HandlePrepareReply(voters[0], register.PrepareReply{OK: true})
-		Expect(step.SendAccept).To(BeEmpty(), "one of three is no majority")
+		Expect(step.SendAccept).To(BeEmpty(), "one of three is not a majority")
 	})
 
 	It("changes the voters by majorities of the outgoing and the new ones", func() {
@@ -116,13 +116,13 @@
 		Entry("a majority has accepted it", register.Ballot{Number: 3}, register.Ballot{}, register.Chosen),
 		Entry("one voter alone has accepted it", register.Ballot{Number: 2}, register.Ballot{}, register.Confirmed),
 		Entry("an earlier proposal has found it chosen", register.Ballot{Number: 2}, register.Ballot{Number: 3}, register.Chosen),
-		Entry("an earlier proposal has found another one chosen", register.Ballot{Number: 2}, register.Ballot{Number: 2}, register.Confirmed),
+		Entry("an earlier proposal has found another value chosen", register.Ballot{Number: 2}, register.Ballot{Number: 2}, register.Confirmed),
 	)
 
-	// A role's holder waited without an end for its round: the promises of two of three voters named a newer set, in which they were a
-	// majority as well. The round asked the newcomer first, which had promised a higher ballot; the third voter was gone. No reply was
-	// left to come, and nothing looked at the promises again. (Traced in a simulated history of three voters, seed 3804.)
-	It("proceeds with promises that are a majority of the voters that it has just learned of", func() {
+	// Guards against a proposal that never ends: two of three voters had promised, and their promises contained a newer set of voters
+	// of which they were a majority, too. The proposal contacted the new voter first, which rejected it because of a higher ballot. The
+	// third voter was down, so no further reply came and the promises were not evaluated again. (Simulation, three voters, seed 3804.)
+	It("proceeds if the promises are a majority of the voters that the last reply contains", func() {
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		initial := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		newest := register.Value{Epoch: 2, Voters: []register.Voter{voter("a"), voter("b"), voter("d")}}
@@ -132,7 +132,7 @@
 		Expect(step.SendAccept).To(ConsistOf(newest.Voters))
 	})
 
-	It("ends where the voters that it has just learned of leave no majority to wait for", func() {
+	It("ends if no majority of the voters that the last reply contains can promise any more", func() {
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		initial := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c"), voter("d"), voter("e")}}
 		newest := register.Value{Epoch: 2, Voters: []register.Voter{voter("a"), voter("d"), voter("e")}}
@@ -144,18 +144,18 @@
 		Expect(proposal.Outcome).To(Equal(register.Undecided))
 	})
 
-	// With one of three voters gone, each round that another proposer pre-empted waited 0.9 s for the one that was gone, and a newcomer got no
-	// vote in time. (Simulated control side with bytes of configurations, three voters, seed 26.)
-	It("ends once it was pre-empted and waits for voters alone that are not reachable", func() {
+	// With one of three voters down, each proposal that was pre-empted waited the call timeout of 0.9 s for that voter, and a new machine
+	// did not become a voter in time. (Simulation of package reconfiguration with configuration bytes, three voters, seed 26.)
+	It("ends once it was pre-empted and waits only for unreachable voters", func() {
 		voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 		value := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 		isReachable := func(v register.Voter) bool { return v != voter("c") }
 		proposal, _ := register.NewProposal(register.Ballot{Number: 5}, value, register.NoChange)
 		proposal.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true})
-		Expect(proposal.EndIfPreempted(isReachable).Done).To(BeFalse(), "nobody has pre-empted it")
+		Expect(proposal.EndIfPreempted(isReachable).Done).To(BeFalse(), "no voter has promised a higher ballot")
 		proposal.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true})
 		proposal.HandleAcceptReply(voter("b"), register.AcceptReply{Promised: register.Ballot{Number: 6}})
-		Expect(proposal.EndIfPreempted(isReachable).Done).To(BeFalse(), "a voter that is reachable has not replied")
+		Expect(proposal.EndIfPreempted(isReachable).Done).To(BeFalse(), "a reachable voter has not replied yet")
 		proposal.HandleAcceptReply(voter("a"), register.AcceptReply{OK: true})
 		Expect(proposal.EndIfPreempted(isReachable).Done).To(BeTrue())
 		Expect(proposal.Outcome).To(Equal(register.Undecided))
@@ -174,7 +174,7 @@
 var _ = Describe("the check of a configuration change", func() {
 	value := register.Value{ConfigVersion: 7, AcceptedChanges: []register.Digest{register.DigestOf([]byte("old")), register.DigestOf([]byte("now"))}}
 
-	DescribeTable("considers duplicates first", func(version, base uint64, data string, want register.ConfigVerdict) {
+	DescribeTable("recognises duplicates before it compares versions", func(version, base uint64, data string, want register.ConfigVerdict) {
 		Expect(value.CheckConfig(version, base, register.DigestOf([]byte(data)))).To(Equal(want))
 	},
 		Entry("repeated", uint64(7), uint64(5), "now", register.ConfigDuplicate),
@@ -308,6 +308,6 @@
 			value = next
 		}
 		Expect(value.CheckConfig(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
-		Expect(value.CheckConfig(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes with its version")
+		Expect(value.CheckConfig(1, 0, digest(later+2))).To(Equal(register.ConfigStaleBase), "other bytes under the same version")
 	})
 })
--- a/internal/decide/register/role_change.go
+++ b/internal/decide/register/role_change.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// AcquireRole returns the change that grants a role to a holder with the next fencing token. It applies only while the
-// current token is expectedToken, so that of several candidates one acquires the role.
+// AcquireRole returns the change that grants a role to a holder with the next fencing token. It applies only if the current
+// token is expectedToken, so that only one of several candidates acquires the role.
 func AcquireRole(role, holder string, expectedToken uint64) Change {
 	return func(current Value) (Value, bool) {
 		grant := current.GrantFor(role)
--- a/internal/decide/register/simulation_test.go
+++ b/internal/decide/register/simulation_test.go
@@ -10,11 +10,11 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// hostFaults are faults of a host that the checks must detect.
+// hostFaults are deliberate faults of the host that the checks must detect.
 type hostFaults struct {
 	answersBeforeSync      bool // a reply is sent before the state is on disk
-	keepsIdentityAfterWipe bool // a disk that was lost keeps its identity
-	reusesBallots          bool // a restart begins with the ballots of the incarnation before
+	keepsIdentityAfterWipe bool // a replica keeps its identity when its disk is lost
+	reusesBallots          bool // a replica uses ballots of earlier incarnations again
 	readsAtMinority        bool // a read returns the first reply
 	forgetsAcceptedChanges bool // accepted configuration changes are not remembered
 }
@@ -27,11 +27,11 @@
 	incarnation   int
 	highestBallot uint64
 	knownVoters   register.Value  // the newest voters that this replica knows
-	knownChosen   register.Ballot // at which this incarnation has found a value chosen
+	knownChosen   register.Ballot // ballot at which this incarnation has found a value chosen
 	op            *operation
 }
 
-// operation is one call at a replica.
+// operation is one call to the register, made by a replica.
 type operation struct {
 	id                   int
 	node                 *replica
@@ -59,7 +59,7 @@
 	acceptReply  *register.AcceptReply
 }
 
-// simulation is a network of replicas with disks, all drawn from one seed.
+// simulation is a network of replicas with disks. All random choices come from one seed.
 type simulation struct {
 	rng     *rand.Rand
 	faults  hostFaults
@@ -68,8 +68,8 @@
 	nextOp  int
 
 	acknowledged       []register.Digest
-	acknowledgedByBase map[uint64]register.Digest // the change that was acknowledged on top of a version
-	highestVersion     uint64                     // version that any call has returned
+	acknowledgedByBase map[uint64]register.Digest // by base version: the change that was acknowledged on top of it
+	highestVersion     uint64                     // the highest version that any call has returned
 	newestEpoch        register.Value             // the chosen value with the highest epoch
 
 	newestChosenAt register.Ballot // the highest ballot at which a value is known to be chosen
@@ -130,7 +130,7 @@
 	}
 }
 
-// deliver delivers a random packet, now and then twice or never.
+// deliver delivers a random packet. It drops some, and leaves some queued so that they are delivered again.
 func (s *simulation) deliver() {
 	i := s.rng.IntN(len(s.packets))
 	p := s.packets[i]
@@ -194,6 +194,7 @@
 	s.carryOut(op, op.proposal.HandleAcceptReply(p.voter, *p.acceptReply))
 }
 
+// carryOut sends the messages of a step, or ends the call.
 func (s *simulation) carryOut(op *operation, step register.Step) {
 	for _, voter := range step.SendPrepare {
 		s.send(op, packet{voter: voter, ballot: op.ballot, isRead: op.quorumRead != nil})
@@ -286,7 +287,7 @@
 	return n.durable.Accepted.Compare(s.newestChosenAt) >= 0
 }
 
-// learn has a random replica learn the newest value that a call has returned, as its host does when it lags.
+// learn has a random replica learn the newest value that a call has returned, as the host of a lagging replica does.
 func (s *simulation) learn() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if !n.up || s.newestChosenAt == (register.Ballot{}) {
@@ -341,7 +342,7 @@
 	return outcome == register.Chosen || outcome == register.Rejected || outcome == register.Confirmed
 }
 
-// checkResult compares a returned value with all that was acknowledged before the call.
+// checkResult checks that a returned value contains everything that was acknowledged before the call started.
 func (s *simulation) checkResult(op *operation, value register.Value) {
 	if value.ConfigVersion < op.highestVersionBefore {
 		s.reportViolation("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.highestVersionBefore)
@@ -363,7 +364,7 @@
 	}
 }
 
-// loseReply fails a message of a random call.
+// loseReply reports a lost message to a random call.
 func (s *simulation) loseReply() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.op == nil {
@@ -420,7 +421,7 @@
 	return known
 }
 
-// wipeDisk loses a replica's disk if all voters still have theirs: one may be lost at a time.
+// wipeDisk loses a random replica's disk, unless a voter's disk is lost already: only one may be lost at a time.
 func (s *simulation) wipeDisk() {
 	if len(s.newestEpoch.OutgoingVoters) > 0 {
 		return
@@ -445,7 +446,7 @@
 	}
 }
 
-// simulate executes steps until there is a violation or enough of them.
+// simulate executes a number of random steps and stops at the first violation.
 func simulate(seed uint64, nodes, steps int, f hostFaults) *simulation {
 	s := newSimulation(seed, nodes, f)
 	for range steps {
--- a/internal/decide/register/stored_form_test.go
+++ b/internal/decide/register/stored_form_test.go
@@ -15,7 +15,7 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// TestStoredForm pins the bytes of what voters store and send. Processes of other versions read these bytes.
+// TestStoredForm compares the encoding of what voters store and send with golden files. Processes of other versions read these bytes.
 func TestStoredForm(t *testing.T) {
 	ballot := register.Ballot{Number: 70000, Proposer: "m-1"}
 	other := register.Ballot{Number: 69999, Proposer: "m-2"}
@@ -38,7 +38,7 @@
 	checkForm(t, "read", register.ReadRequest{To: "v-1"})
 }
 
-// TestStoredFormEmpty pins the bytes of a state that has accepted nothing, as a founder stores it.
+// TestStoredFormEmpty compares the encoding of an empty state with its golden file.
 func TestStoredFormEmpty(t *testing.T) {
 	assert.Equal(t, golden(t, "state_empty"), encode(t, register.State{}))
 	var state register.State
@@ -46,7 +46,8 @@
 	assert.Equal(t, register.State{}, state)
 }
 
-// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
+// checkForm checks that a value encodes to the bytes of a golden file and that these decode to the value. It requires that no field
+// is zero, so that the file covers them all.
 func checkForm[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	if fields := reflect.ValueOf(value); fields.Kind() == reflect.Struct {
@@ -67,6 +68,7 @@
 	return data
 }
 
+// golden returns the bytes of a golden file, which holds them as hexadecimal digits.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "stored_form", name+".hex"))
--- a/internal/decide/register/value.go
+++ b/internal/decide/register/value.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Digest identifies the bytes of a configuration, or of what a configuration was derived from.
+// Digest identifies the bytes of a configuration or of a change to one, such as a patch.
 type Digest [16]byte
 
-// DigestOf returns the digest of data: the first bytes of its SHA-256 sum.
+// DigestOf returns the digest of data: the first 16 bytes of its SHA-256 sum.
 func DigestOf(data []byte) Digest {
 	sum := sha256.Sum256(data)
 	return Digest(sum[:16])
@@ -17,10 +17,10 @@
 // Voter is a replica of the register.
 type Voter struct {
 	ID      string `msgpack:"i"` // identity, stored on the voter's disk and lost with it
-	Address string `msgpack:"a"` // IP:PORT at which peers reach it
+	Address string `msgpack:"a"` // IP:PORT at which other processes reach it
 }
 
-// Grant is the lease grant of a singleton role.
+// Grant records to whom a singleton role is leased.
 type Grant struct {
 	Role   string `msgpack:"r"`
 	Holder string `msgpack:"h"` // the lease holder
@@ -29,10 +29,10 @@
 
 // Value is the content of the register.
 type Value struct {
-	Epoch           uint64   `msgpack:"e"` // counts changes of the voters
+	Epoch           uint64   `msgpack:"e"` // incremented by each change of the voters
 	Voters          []Voter  `msgpack:"v"`
-	OutgoingVoters  []Voter  `msgpack:"o"` // the voters before, during a reconfiguration; else empty
-	ConfigVersion   uint64   `msgpack:"n"` // 0: there is no configuration yet
+	OutgoingVoters  []Voter  `msgpack:"o"` // the previous voters, during a reconfiguration; else empty
+	ConfigVersion   uint64   `msgpack:"n"` // 0 if there is no configuration yet
 	ConfigDigest    Digest   `msgpack:"c"` // of the configuration's bytes, which are stored beside the value
 	AcceptedChanges []Digest `msgpack:"d"` // identities of the last configuration changes, the newest at the end
 	Grants          []Grant  `msgpack:"g"` // at most one for each role
@@ -58,7 +58,7 @@
 // AllVoters returns the current and the outgoing voters, each once.
 func (v *Value) AllVoters() []Voter { return distinctVoters(v.Voters, v.OutgoingVoters) }
 
-// HasQuorum reports whether isMember holds for a majority of the current voters and, during a reconfiguration, also for a
+// HasQuorum reports whether isMember is true for a majority of the current voters and, during a reconfiguration, also for a
 // majority of the outgoing ones.
 func (v *Value) HasQuorum(isMember func(Voter) bool) bool {
 	return hasQuorum(isMember, v.Voters, v.OutgoingVoters)
@@ -76,7 +76,7 @@
 	return all
 }
 
-// hasQuorum reports whether isMember holds for a majority of each set that is not empty.
+// hasQuorum reports whether isMember is true for a majority of each set that is not empty.
 func hasQuorum(isMember func(Voter) bool, sets ...[]Voter) bool {
 	for _, set := range sets {
 		count := 0
--- a/internal/decide/register/voter_change.go
+++ b/internal/decide/register/voter_change.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // BeginReconfiguration returns the change that starts a reconfiguration to other voters. It applies to a value of the given
-// epoch that is not being reconfigured. Until CompleteReconfiguration majorities of both sets decide.
+// epoch if no reconfiguration is in progress. Until CompleteReconfiguration, decisions need majorities of both sets.
 func BeginReconfiguration(epoch uint64, voters []Voter) Change {
 	return func(current Value) (Value, bool) {
 		if current.Epoch != epoch || len(current.OutgoingVoters) > 0 || len(voters) == 0 {
@@ -15,7 +15,7 @@
 	}
 }
 
-// CompleteReconfiguration is the change that ends a reconfiguration: the outgoing voters vote no longer.
+// CompleteReconfiguration is the change that ends a reconfiguration: the outgoing voters no longer vote.
 func CompleteReconfiguration(current Value) (Value, bool) {
 	if len(current.OutgoingVoters) == 0 {
 		return current, false
@@ -28,17 +28,17 @@
 // Candidate is a control process that votes or could vote.
 type Candidate struct {
 	Voter
-	Alive    bool // reachable lately
-	Leaving  bool // shutting down gracefully
-	CaughtUp bool // its disk holds the newest value and the bytes of its configuration; set only for those that don't vote
+	Alive    bool // it was reachable recently
+	Leaving  bool // it is shutting down gracefully
+	CaughtUp bool // its disk holds the newest value and the bytes of its configuration; only used for processes that don't vote
 }
 
 // canJoin reports whether a candidate that doesn't vote may become a voter.
 func (c *Candidate) canJoin() bool { return c.Alive && c.CaughtUp && !c.Leaving }
 
-// NextVoters returns the next set of voters, and false where it is the current one. Candidates that have caught up join.
-// Voters that are leaving, are unreachable or have lost their disk stay only as far as desired voters need them, in this
-// order of preference.
+// NextVoters returns the next set of voters, and whether the voters should be changed to it. All candidates that have caught up
+// join. Voters that are leaving, are unreachable or have lost their disk are kept only while there would otherwise be fewer
+// than desired voters; leaving ones are kept first, then unreachable ones, then those without their disk.
 func NextVoters(current []Voter, candidates []Candidate, desired int) ([]Voter, bool) {
 	var next, leaving, unreachable, replaced []Voter
 	for _, voter := range current {
@@ -64,7 +64,7 @@
 	return next, (hasJoined || len(next) < len(current)) && len(next) > 0
 }
 
-// FindLiveCandidate returns the live candidate with the identity and address of a voter, nil if there is none.
+// FindLiveCandidate returns the live candidate with the identity and address of a voter, or nil if there is none.
 func FindLiveCandidate(voter Voter, candidates []Candidate) *Candidate {
 	for i := range candidates {
 		if candidates[i].Alive && candidates[i].Voter == voter {
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// isReplaced reports whether a live candidate has another identity at a voter's address: the voter's disk is lost.
+// isReplaced reports whether a live candidate has another identity at a voter's address, which means that the voter's disk was
+// lost.
 func isReplaced(voter Voter, candidates []Candidate) bool {
 	return slices.ContainsFunc(candidates, func(c Candidate) bool {
 		return c.Alive && c.Address == voter.Address && c.ID != voter.ID
