--- a/internal/decide/register/backoff_test.go
+++ b/internal/decide/register/backoff_test.go
@@ -22,19 +22,19 @@
 }
 
 // step executes the proposer's next event: it ends a phase or starts a proposal. A phase takes phaseSeconds.
-func (d *competingProposer) step(other *competingProposer, phaseSeconds float64) {
-	now := d.nextEventAt
+func (p *competingProposer) step(other *competingProposer, phaseSeconds float64) {
+	now := p.nextEventAt
 	switch {
-	case d.isBackingOff:
-		*d = competingProposer{backoff: d.backoff, rng: d.rng, roundStart: now, nextEventAt: now + phaseSeconds}
+	case p.isBackingOff:
+		*p = competingProposer{backoff: p.backoff, rng: p.rng, roundStart: now, nextEventAt: now + phaseSeconds}
 		other.isPreempted = true // a higher ballot is promised
-	case d.isPreempted:
-		d.isBackingOff = true
-		d.nextEventAt = now + d.backoff.NextDelay(now-d.roundStart, d.rng.Float64())
-	case d.finishedPhases == 0:
-		d.finishedPhases, d.nextEventAt = 1, now+phaseSeconds
+	case p.isPreempted:
+		p.isBackingOff = true
+		p.nextEventAt = now + p.backoff.NextDelay(now-p.roundStart, p.rng.Float64())
+	case p.finishedPhases == 0:
+		p.finishedPhases, p.nextEventAt = 1, now+phaseSeconds
 	default:
-		d.isDone = true
+		p.isDone = true
 	}
 }
 
--- a/internal/decide/register/explorer_test.go
+++ b/internal/decide/register/explorer_test.go
@@ -39,10 +39,10 @@
 
 // patches is a configuration change whose identity is not the digest of the resulting configuration.
 func patches(node string, version uint64) scriptedCall {
-	made, identity := register.DigestOf([]byte(fmt.Sprint("made ", version))), register.DigestOf([]byte(fmt.Sprint("patch ", version)))
+	result, identity := register.DigestOf([]byte(fmt.Sprint("made ", version))), register.DigestOf([]byte(fmt.Sprint("patch ", version)))
 	return scriptedCall{node: node, digest: identity, base: version - 1,
 		change: func(register.Value) register.Change {
-			return register.SetConfigWithIdentity(version, version-1, made, identity)
+			return register.SetConfigWithIdentity(version, version-1, result, identity)
 		}}
 }
 
@@ -113,13 +113,13 @@
 
 // trailStep is a step of a history. States refer to it by index: keeping their predecessors would exhaust the memory.
 type trailStep struct {
-	before int // index of the previous step
-	label  string
+	previous int // index of the previous step
+	label    string
 }
 
 // history returns the labels of the steps up to an index of the trail.
 func (e *explorer) history(at int) (text string) {
-	for ; at > 0; at = e.trail[at].before {
+	for ; at > 0; at = e.trail[at].previous {
 		text = " " + e.trail[at].label + text
 	}
 	return text
@@ -172,7 +172,7 @@
 	maxStates      int  // bound on visited states
 	states, depth  int
 	trail          []trailStep // index 0 is the initial state
-	complete       bool        // all reachable states were visited
+	isComplete     bool        // all reachable states were visited
 }
 
 // run explores the script and returns the first violation with its history, "" if there is none.
@@ -202,7 +202,7 @@
 			}
 		}
 	}
-	e.complete = true
+	e.isComplete = true
 	return ""
 }
 
@@ -408,18 +408,18 @@
 	DescribeTable("keeps acknowledged changes", func(script ...scriptedCall) {
 		e := &explorer{nodes: nodes, script: script, maxStates: maxExploredStates()}
 		Expect(e.run()).To(BeEmpty())
-		GinkgoWriter.Printf("%d states, depth %d, complete: %v\n", e.states, e.depth, e.complete)
+		GinkgoWriter.Printf("%d states, depth %d, complete: %v\n", e.states, e.depth, e.isComplete)
 		Expect(e.states).To(BeNumerically(">", 1000))
 	}, scripts)
 
 	It("detects a change of the voters without a majority of the outgoing ones", func() {
-		skips := scriptedCall{node: "A", change: func(known register.Value) register.Change {
+		skipsOutgoing := scriptedCall{node: "A", change: func(known register.Value) register.Change {
 			return func(current register.Value) (register.Value, bool) {
 				current.Epoch, current.Voters = known.Epoch+1, namedVoters("A", "B", "D")
 				return current, true
 			}
 		}}
-		e := &explorer{nodes: nodes, script: []scriptedCall{skips, configures("B", 2), reads("A")}, maxStates: 700_000}
+		e := &explorer{nodes: nodes, script: []scriptedCall{skipsOutgoing, configures("B", 2), reads("A")}, maxStates: 700_000}
 		Expect(e.run()).To(ContainSubstring("lacks an acknowledged change"))
 		GinkgoWriter.Printf("%d states, depth %d\n", e.states, e.depth)
 	})
--- a/internal/decide/register/export_test.go
+++ b/internal/decide/register/export_test.go
@@ -34,8 +34,8 @@
 	return key
 }
 
-func boolByte(is bool) byte {
-	if is {
+func boolByte(flag bool) byte {
+	if flag {
 		return 1
 	}
 	return 0
--- a/internal/decide/register/history_test.go
+++ b/internal/decide/register/history_test.go
@@ -13,17 +13,17 @@
 
 // callInput is a change that is based on a version, or a read.
 type callInput struct {
-	change bool
-	base   uint64
-	digest register.Digest
+	isChange bool
+	base     uint64
+	digest   register.Digest
 }
 
 // callOutput is the result of a call. It is not known for a call that ended without a reply.
 type callOutput struct {
-	known   bool
-	done    bool // the change was acknowledged
-	version uint64
-	digest  register.Digest
+	isKnown        bool
+	isAcknowledged bool // the change was acknowledged
+	version        uint64
+	digest         register.Digest
 }
 
 // registerState is the observable state of the register.
@@ -39,11 +39,11 @@
 		held, in, out := state.(registerState), input.(callInput), output.(callOutput)
 		applied := registerState{in.base + 1, in.digest}
 		switch {
-		case !out.known && in.change && held.version == in.base:
+		case !out.isKnown && in.isChange && held.version == in.base:
 			return true, applied
-		case !out.known:
+		case !out.isKnown:
 			return true, held
-		case in.change && out.done:
+		case in.isChange && out.isAcknowledged:
 			return held.version == in.base, applied
 		default:
 			return out.version == held.version && out.digest == held.digest, held
@@ -52,13 +52,13 @@
 }
 
 func (op *operation) input() callInput {
-	return callInput{change: op.isChange, base: op.base, digest: op.digest}
+	return callInput{isChange: op.isChange, base: op.base, digest: op.digest}
 }
 
 // record adds a call that has returned a value.
 func (s *simulation) record(op *operation, value register.Value, outcome register.Outcome) {
 	s.history = append(s.history, porcupine.Operation{ClientId: op.id, Input: op.input(), Call: op.startedAt, Return: s.now,
-		Output: callOutput{known: true, done: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.ConfigDigest}})
+		Output: callOutput{isKnown: true, isAcknowledged: op.isChange && outcome == register.Chosen, version: value.ConfigVersion, digest: value.ConfigDigest}})
 }
 
 // recordUnknown adds a change that ended without a reply. A read without a reply constrains nothing and is left out.
@@ -81,7 +81,7 @@
 
 	It("is not linearizable if a host replies before its disk has synced", func() {
 		for seed := range uint64(200) {
-			s := simulate(seed, 3, 600, hostFaults{answersBeforeSync: true})
+			s := simulate(seed, 3, 600, hostFaults{repliesBeforeSync: true})
 			if porcupine.CheckOperationsTimeout(registerModel, s.history, time.Minute) == porcupine.Illegal {
 				return
 			}
--- a/internal/decide/register/register_test.go
+++ b/internal/decide/register/register_test.go
@@ -20,14 +20,14 @@
 
 var _ = Describe("the register under loss, crashes, lost disks and changes of voters", func() {
 	DescribeTable("keeps acknowledged changes", func(nodes int) {
-		done, acked := 0, 0
+		finished, acknowledged := 0, 0
 		for seed := range seeds() {
 			s := simulate(seed, nodes, 1000, hostFaults{})
 			Expect(s.violation).To(BeEmpty(), "seed %d", seed)
-			done, acked = done+s.finishedCalls, acked+len(s.acknowledged)
+			finished, acknowledged = finished+s.finishedCalls, acknowledged+len(s.acknowledged)
 		}
-		Expect(done).To(BeNumerically(">", int(seeds())*5), "calls that returned a value")
-		Expect(acked).To(BeNumerically(">", int(seeds())*2), "acknowledged changes")
+		Expect(finished).To(BeNumerically(">", int(seeds())*5), "calls that returned a value")
+		Expect(acknowledged).To(BeNumerically(">", int(seeds())*2), "acknowledged changes")
 	}, Entry("with three voters", 3), Entry("with five", 5))
 
 	DescribeTable("detects a faulty host", func(f hostFaults) {
@@ -38,7 +38,7 @@
 		}
 		Fail("no violation in 200 histories")
 	},
-		Entry("that replies before its disk has synced", hostFaults{answersBeforeSync: true}),
+		Entry("that replies before its disk has synced", hostFaults{repliesBeforeSync: true}),
 		Entry("that keeps its identity when its disk is lost", hostFaults{keepsIdentityAfterWipe: true}),
 		Entry("that reuses ballots after a restart", hostFaults{reusesBallots: true}),
 		Entry("that reads at a minority", hostFaults{readsAtMinority: true}),
@@ -99,12 +99,12 @@
 	})
 
 	DescribeTable("changes the voters only on top of a value known to be chosen",
-		func(accepted, proven register.Ballot, want register.Outcome) {
+		func(accepted, knownChosen register.Ballot, want register.Outcome) {
 			voter := func(id string) register.Voter { return register.Voter{ID: id, Address: id} }
 			before := register.Value{Epoch: 1, Voters: []register.Voter{voter("a"), voter("b"), voter("c")}}
 			after := []register.Voter{voter("a"), voter("b"), voter("d")}
 			proposal, _ := register.NewProposal(register.Ballot{Number: 5}, before, register.BeginReconfiguration(1, after))
-			proposal.SetKnownChosen(proven)
+			proposal.SetKnownChosen(knownChosen)
 			proposal.HandlePrepareReply(voter("a"), register.PrepareReply{OK: true, Accepted: register.Ballot{Number: 3}, Value: before})
 			proposal.HandlePrepareReply(voter("b"), register.PrepareReply{OK: true, Accepted: accepted, Value: before})
 			for _, id := range []string{"a", "b", "c"} {
@@ -303,8 +303,8 @@
 		}
 		value := register.Value{}
 		for version := uint64(1); version <= later+1; version++ {
-			next, fits := register.SetConfig(version, version-1, digest(version))(value.Clone())
-			Expect(fits).To(BeTrue())
+			next, applies := register.SetConfig(version, version-1, digest(version))(value.Clone())
+			Expect(applies).To(BeTrue())
 			value = next
 		}
 		Expect(value.CheckConfig(1, 0, digest(1))).To(Equal(register.ConfigDuplicate))
--- a/internal/decide/register/simulation_test.go
+++ b/internal/decide/register/simulation_test.go
@@ -12,7 +12,7 @@
 
 // hostFaults are deliberate faults of the host that the checks must detect.
 type hostFaults struct {
-	answersBeforeSync      bool // a reply is sent before the state is on disk
+	repliesBeforeSync      bool // a reply is sent before the state is on disk
 	keepsIdentityAfterWipe bool // a replica keeps its identity when its disk is lost
 	reusesBallots          bool // a replica uses ballots of earlier incarnations again
 	readsAtMinority        bool // a read returns the first reply
@@ -23,7 +23,7 @@
 	address       string
 	durable       register.State
 	acceptor      *register.Acceptor
-	up            bool
+	isUp          bool
 	incarnation   int
 	highestBallot uint64
 	knownVoters   register.Value  // the newest voters that this replica knows
@@ -88,7 +88,7 @@
 		value.Voters = append(value.Voters, register.Voter{ID: "founder@" + address, Address: address})
 	}
 	for _, voter := range value.Voters {
-		n := &replica{address: voter.Address, up: true, knownVoters: value}
+		n := &replica{address: voter.Address, isUp: true, knownVoters: value}
 		n.durable = register.State{ID: voter.ID, Value: value}
 		n.acceptor = register.NewAcceptor(n.durable)
 		s.nodes = append(s.nodes, n)
@@ -141,7 +141,7 @@
 		return
 	}
 	n := s.replicaAt(p.to)
-	if !n.up {
+	if !n.isUp {
 		return
 	}
 	if p.prepareReply != nil || p.acceptReply != nil {
@@ -167,7 +167,7 @@
 	}
 	if next != nil {
 		n.acceptor.MarkPersisted(*next)
-		if !s.faults.answersBeforeSync || s.rng.IntN(2) == 0 {
+		if !s.faults.repliesBeforeSync || s.rng.IntN(2) == 0 {
 			n.durable = *next
 		}
 	}
@@ -215,7 +215,7 @@
 // startCall starts a call at a random replica, if it has none in progress.
 func (s *simulation) startCall() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if !n.up || n.op != nil {
+	if !n.isUp || n.op != nil {
 		return
 	}
 	if own := n.acceptor.State().Value; own.Epoch > n.knownVoters.Epoch {
@@ -273,7 +273,7 @@
 	var candidates []register.Candidate
 	for _, other := range s.nodes {
 		voter := register.Voter{ID: other.durable.ID, Address: other.address}
-		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.up, CaughtUp: s.isCaughtUp(other)})
+		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.isUp, CaughtUp: s.isCaughtUp(other)})
 	}
 	next, changed := register.NextVoters(n.knownVoters.Voters, candidates, len(s.nodes))
 	if !changed {
@@ -290,7 +290,7 @@
 // learn has a random replica learn the newest value that a call has returned, as the host of a lagging replica does.
 func (s *simulation) learn() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if !n.up || s.newestChosenAt == (register.Ballot{}) {
+	if !n.isUp || s.newestChosenAt == (register.Ballot{}) {
 		return
 	}
 	if next, _ := n.acceptor.HandleLearn(s.newestChosenAt, s.newestChosen.Clone(), true); next != nil {
@@ -393,15 +393,15 @@
 func (s *simulation) crash() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	s.recordUnknown(n.op)
-	n.up, n.op = false, nil
+	n.isUp, n.op = false, nil
 }
 
 func (s *simulation) restart() {
 	for _, n := range s.nodes {
-		if n.up {
+		if n.isUp {
 			continue
 		}
-		n.up = true
+		n.isUp = true
 		n.incarnation++
 		n.highestBallot, n.knownChosen = 0, register.Ballot{}
 		n.acceptor = register.NewAcceptor(n.durable)
@@ -414,7 +414,7 @@
 func (s *simulation) votersAtRestart(n *replica) register.Value {
 	known := n.durable.Value
 	for _, other := range s.nodes {
-		if other.up && other.knownVoters.Epoch > known.Epoch {
+		if other.isUp && other.knownVoters.Epoch > known.Epoch {
 			known = other.knownVoters
 		}
 	}
@@ -439,7 +439,7 @@
 	}
 	value := n.knownVoters
 	s.recordUnknown(n.op)
-	n.up, n.op = false, nil
+	n.isUp, n.op = false, nil
 	n.durable = register.State{ID: id}
 	if s.faults.keepsIdentityAfterWipe {
 		n.durable.Value = register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
