--- a/internal/decide/election/candidate_test.go
+++ b/internal/decide/election/candidate_test.go
@@ -17,7 +17,7 @@
 
 const leaseSeconds = 3.0
 
-// contact returns the contact of a process that reaches a quorum or has not reached one for long.
+// contact returns the contact of a process that reaches a quorum, or that has not reached one for a long time.
 func contact(hasQuorum bool) election.QuorumContact {
 	if hasQuorum {
 		return election.QuorumContact{IsReachable: true}
@@ -49,21 +49,21 @@
 		}
 	})
 
-	It("acquires the role only when the holder was silent for longer than the lease", func() {
+	It("acquires the role only after the holder was silent for longer than the lease", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		Expect(checkUntil(c, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(checkUntil(c, 20, 20+leaseSeconds, other, 20, true)).To(Equal(election.Wait))
 		Expect(checkUntil(c, 20+leaseSeconds, 20+leaseSeconds+2, other, 20, true)).To(Equal(election.Acquire))
 	})
 
-	It("waits as long after its start", func() {
+	It("waits for longer than the lease after its start", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 100)
 		Expect(c.NextAction(100.1, other, 1e9, contact(true))).To(Equal(election.Wait))
 		Expect(checkUntil(c, 100.1, 100+leaseSeconds+1, other, -1e9, true)).To(Equal(election.Wait))
 		Expect(checkUntil(c, 100+leaseSeconds+1, 100+leaseSeconds+2, other, -1e9, true)).To(Equal(election.Acquire))
 	})
 
-	It("waits as long after a partition", func() {
+	It("waits for longer than the lease after a partition", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		Expect(checkUntil(c, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(checkUntil(c, 20, 30, other, 20, false)).To(Equal(election.Wait))
@@ -71,7 +71,7 @@
 		Expect(checkUntil(c, 30+leaseSeconds, 30+leaseSeconds+2, other, 20, true)).To(Equal(election.Acquire))
 	})
 
-	It("waits as long after it was stopped", func() {
+	It("waits for longer than the lease after a stall", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		Expect(checkUntil(c, 0, 20, other, 20, true)).To(Equal(election.Wait))
 		Expect(checkUntil(c, 27, 27+leaseSeconds, other, 20, true)).To(Equal(election.Wait))
@@ -92,7 +92,7 @@
 		Expect(c.Token()).To(BeEquivalentTo(5))
 	})
 
-	It("acts for a fraction of the lease without confirming, and not after it was stopped", func() {
+	It("acts for a fraction of the lease without confirming, and has to confirm its grant after a stall", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		c.HandleAcquired(1, 1)
 		own := register.Grant{Role: "r", Holder: "a", Token: 1}
@@ -103,9 +103,10 @@
 		Expect(c.NextAction(1+leaseSeconds, own, 0, contact(true))).To(Equal(election.Act))
 	})
 
-	// A holder behind a partition read its grant at a majority in a gap of 60 ms between two cuts, in which no heartbeat fell, and gave
-	// orders for a second more. Another, which had heard it last 1.4 s before that, took the role and gave an order 2.54 s after its
-	// last one. (Simulated control side with bytes, three voters, seed 3320.)
+	// Guards against two processes that act within one lease: a partitioned holder read its grant at a majority in a gap of 60 ms
+	// between two partitions, in which it sent no heartbeat, and acted for another second. Another process, which had received its last
+	// heartbeat 1.4 s before that gap, acquired the role and acted 2.54 s after the old holder's last action. (Simulation of package
+	// reconfiguration with configuration bytes, three voters, seed 3320.)
 	It("acts only while a quorum replies to its heartbeats", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		c.HandleAcquired(1, 1)
@@ -113,19 +114,19 @@
 		Expect(c.NextAction(1, own, 0, election.QuorumContact{IsReachable: true, ReplyAgeSeconds: 0.1})).To(Equal(election.Act))
 		c.HandleConfirmation(2.2, own)
 		Expect(c.CanAct(2.25)).To(BeTrue())
-		Expect(c.CanAct(2.4)).To(BeFalse(), "1.5 s after the last heartbeat that was answered")
+		Expect(c.CanAct(2.4)).To(BeFalse(), "1.5 s after the last heartbeat that a quorum replied to")
 		Expect(c.NextAction(2.4, own, 0, election.QuorumContact{IsReachable: true, ReplyAgeSeconds: 1.5})).To(Equal(election.Wait))
 		Expect(c.NextAction(2.5, own, 0, election.QuorumContact{IsReachable: true, ReplyAgeSeconds: 0.2})).To(Equal(election.Act))
 	})
 
-	It("stops when another holds a higher token", func() {
+	It("stops when another process holds a higher token", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		c.HandleAcquired(1, 1)
 		Expect(c.NextAction(1.1, register.Grant{Role: "r", Holder: "b", Token: 2}, 0, contact(true))).To(Equal(election.Wait))
 		Expect(c.CanAct(1.1)).To(BeFalse())
 	})
 
-	It("gives up when a quorum returns another holder", func() {
+	It("gives the role up when a quorum returns another holder", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		c.HandleAcquired(1, 1)
 		c.HandleConfirmation(3, register.Grant{Role: "r", Holder: "b", Token: 2})
@@ -151,7 +152,7 @@
 		Expect(c.ReleaseIfUnconfirmed(100)).To(BeZero())
 	})
 
-	It("acquires an expired grant again whatever a later read returns", func() {
+	It("acquires an expired grant again, even if a later read still returns it", func() {
 		c := election.NewCandidate("r", "a", leaseSeconds, 0)
 		c.HandleAcquired(1, 4)
 		own := register.Grant{Role: "r", Holder: "a", Token: 4}
@@ -159,7 +160,7 @@
 		const late = 1 + leaseSeconds + 0.3
 		Expect(c.NextAction(late, own, 0, contact(true))).To(Equal(election.Acquire))
 		c.HandleConfirmation(late, own)
-		Expect(c.CanAct(late)).To(BeFalse(), "another may be about to acquire it")
+		Expect(c.CanAct(late)).To(BeFalse(), "another process may be about to acquire it")
 		c.HandleAcquired(late, 5)
 		Expect(c.CanAct(late)).To(BeTrue())
 	})
