--- a/internal/decide/reconfiguration/faults_test.go
+++ b/internal/decide/reconfiguration/faults_test.go
@@ -109,10 +109,10 @@
 	}
 	s.lostUntil[n] = s.now + durationSeconds + catchUpSeconds
 	s.extendFaults(durationSeconds)
-	both := s.rng.IntN(3) > 0
+	isBidirectional := s.rng.IntN(3) > 0
 	for _, other := range s.nodes {
 		s.block(n, other, durationSeconds)
-		if both {
+		if isBidirectional {
 			s.block(other, n, durationSeconds)
 		}
 	}
@@ -176,12 +176,12 @@
 		return
 	}
 	s.removeMachine(n)
-	comesIn := 0.3 + 2.7*s.rng.Float64()
-	s.lostUntil[n] = s.now + comesIn + catchUpSeconds
-	s.extendFaults(comesIn)
+	delaySeconds := 0.3 + 2.7*s.rng.Float64()
+	s.lostUntil[n] = s.now + delaySeconds + catchUpSeconds
+	s.extendFaults(delaySeconds)
 	spare := s.takeSpare()
 	s.lostUntil[spare] = s.lostUntil[n] - 0.001
-	s.after(comesIn, func() { s.addMachine(spare) })
+	s.after(delaySeconds, func() { s.addMachine(spare) })
 }
 
 // replacePlanned starts the new machine first. Then the old one shuts down gracefully: it waits until it is no longer a voter.
@@ -190,17 +190,17 @@
 	if n == nil || len(s.spares) == 0 {
 		return
 	}
-	came := s.now
+	startedAt := s.now
 	spare := s.takeSpare()
 	s.addMachine(spare)
-	s.lostUntil[spare] = came + catchUpSeconds
+	s.lostUntil[spare] = startedAt + catchUpSeconds
 	s.after(0.3+2.7*s.rng.Float64(), func() {
 		if !n.isUp {
 			return
 		}
 		n.isLeaving = true
 		s.extendFaults(leaveTimeoutSeconds)
-		s.lostUntil[n] = max(s.lostUntil[n], came+catchUpSeconds)
+		s.lostUntil[n] = max(s.lostUntil[n], startedAt+catchUpSeconds)
 		s.awaitReplacement(n, n.incarnation, s.now+leaveTimeoutSeconds)
 	})
 }
--- a/internal/decide/reconfiguration/reconfiguration_test.go
+++ b/internal/decide/reconfiguration/reconfiguration_test.go
@@ -27,7 +27,7 @@
 
 var _ = Describe("the control machines under partitions, freezes, lost disks, replacements and power failures", func() {
 	DescribeTable("keep acknowledged changes, add candidates in time, and all vote at the end", func(machines, spares int, operationSeconds float64) {
-		acked, changes := 0, 0
+		acknowledged, changes := 0, 0
 		count := seeds()
 		if operationSeconds == fastOperationSeconds {
 			count /= 2 // each history has many times the changes
@@ -35,22 +35,22 @@
 		for seed := range count {
 			s := simulate(seed, machines, spares, operationSeconds, hostFaults{})
 			Expect(s.violation).To(BeEmpty(), "seed %d", seed)
-			acked, changes = acked+len(s.acknowledged), changes+s.voterChanges
+			acknowledged, changes = acknowledged+len(s.acknowledged), changes+s.voterChanges
 		}
-		GinkgoWriter.Printf("%d acknowledged, %d changes of the voters\n", acked, changes)
-		Expect(acked).To(BeNumerically(">", int(count)*40))
+		GinkgoWriter.Printf("%d acknowledged, %d changes of the voters\n", acknowledged, changes)
+		Expect(acknowledged).To(BeNumerically(">", int(count)*40))
 		Expect(changes).To(BeNumerically(">", int(count)*3))
 	}, Entry("with three voters", 3, 2, slowOperationSeconds), Entry("with five", 5, 2, slowOperationSeconds), Entry("with seven", 7, 2, slowOperationSeconds),
 		Entry("with three and frequent changes", 3, 2, fastOperationSeconds), Entry("with five and frequent changes", 5, 2, fastOperationSeconds))
 
 	DescribeTable("keep configurations with their bytes, and apply patches once", func(machines int, operationSeconds float64, count uint64) {
-		acked := 0
+		acknowledged := 0
 		for seed := range count {
 			s := simulateConfigs(seed, machines, 2, operationSeconds, hostFaults{})
 			Expect(s.violation).To(BeEmpty(), "seed %d", seed)
-			acked += len(s.acknowledged)
+			acknowledged += len(s.acknowledged)
 		}
-		Expect(acked).To(BeNumerically(">", int(count)*30))
+		Expect(acknowledged).To(BeNumerically(">", int(count)*30))
 	}, Entry("with three voters", 3, slowOperationSeconds, seeds()), Entry("with five", 5, slowOperationSeconds, seeds()),
 		Entry("with three and frequent changes", 3, fastOperationSeconds, seeds()/2))
 
--- a/internal/decide/reconfiguration/roles_test.go
+++ b/internal/decide/reconfiguration/roles_test.go
@@ -145,13 +145,13 @@
 func (s *simulation) acquireRole(n *node) {
 	n.role.isBusy = true
 	startedAt, token := s.clock(n), n.role.grant.Token
-	take := register.AcquireRole(roleName, n.address, token)
+	acquire := register.AcquireRole(roleName, n.address, token)
 	if s.faults.ignoresToken {
-		take = func(current register.Value) (register.Value, bool) {
+		acquire = func(current register.Value) (register.Value, bool) {
 			return register.AcquireRole(roleName, n.address, current.GrantFor(roleName).Token)(current)
 		}
 	}
-	s.change(n, take, s.now+changeTimeoutSeconds, s.whileRunningProposal(n, func(proposal *register.Proposal) {
+	s.change(n, acquire, s.now+changeTimeoutSeconds, s.whileRunningProposal(n, func(proposal *register.Proposal) {
 		n.role.isBusy = false
 		if proposal == nil {
 			return
--- a/internal/decide/reconfiguration/simulation_test.go
+++ b/internal/decide/reconfiguration/simulation_test.go
@@ -435,27 +435,27 @@
 			continue
 		}
 		asked[candidate.Voter] = true
-		since := n.learnerTargets.Target(candidate.Voter, at)
+		target := n.learnerTargets.Target(candidate.Voter, at)
 		if s.faults.movesLearnerTarget {
-			since = at
+			target = at
 		}
 		if s.faults.addsLaggingVoters {
 			candidate.CaughtUp = true
 			continue
 		}
 		open++
-		held := false
+		isCaughtUp := false
 		s.call(n, candidate.Address, func(to *node) {
 			if to.disk.ID != candidate.ID {
 				return
 			}
 			accepted := to.acceptor.State().Accepted
-			held = accepted.Compare(since) >= 0 && to.joinTarget != (register.Ballot{}) && accepted.Compare(to.joinTarget) >= 0
+			isCaughtUp = accepted.Compare(target) >= 0 && to.joinTarget != (register.Ballot{}) && accepted.Compare(to.joinTarget) >= 0
 			if to.acceptor.State().Accepted.Compare(at) < 0 {
 				s.catchUp(to, value, at)
 			}
 		}, func(answered bool) {
-			candidate.CaughtUp = answered && held
+			candidate.CaughtUp = answered && isCaughtUp
 			proceed()
 		})
 	}
