--- a/internal/decide/membership/exchange.go
+++ b/internal/decide/membership/exchange.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// maxRefutations bounds the refutations that wait for the next exchange.
+// maxRefutations bounds the refutations that are queued for the next exchange.
 const maxRefutations = 4
 
 // SampleRecords returns the records to send in an exchange: the local one, refutations, and a random sample of the others.
@@ -19,7 +19,7 @@
 		if len(records) >= v.settings.RecordsPerExchange {
 			break
 		}
-		// Danger: records of unreachable processes must not be sent, or they would circulate for ever.
+		// Danger: records of unreachable processes must not be sent, or they would circulate forever.
 		if process := v.known[name]; v.isAlive(process, now) {
 			records = append(records, process.record)
 		}
@@ -27,7 +27,8 @@
 	return records
 }
 
-// SampleHeartbeats returns the heartbeats to send in an exchange: those of all live processes, or of a random sample.
+// SampleHeartbeats returns the heartbeats to send in an exchange: those of all live processes, or of a random sample if they
+// don't all fit.
 func (v *View) SampleHeartbeats(now float64) []Heartbeat {
 	var heartbeats []Heartbeat
 	for _, process := range v.known {
@@ -59,8 +60,8 @@
 	}
 }
 
-// MergeRecords adopts received records that are newer than the known ones. It reports whether one is of a process or run
-// that was not known.
+// MergeRecords adopts received records that are newer than the known ones. It reports whether any of them is of a process or
+// run that was not known.
 func (v *View) MergeRecords(now float64, records []Record) (hasNew bool) {
 	for i := range records {
 		if v.mergeRecord(now, &records[i]) {
@@ -116,16 +117,16 @@
 	p.record.Heartbeat = heartbeat
 }
 
-// queueRefutation has the newest record of a process sent with the next exchange after an older one of another run was
-// received, so that the process learns which incarnation it has to exceed.
+// queueRefutation queues the newest known record of a process for the next exchange if the received, older one is of another
+// run. This tells that run which incarnation it has to exceed.
 func (v *View) queueRefutation(newest, received *Record) {
 	if newest.RunID != received.RunID && len(v.refutations) < maxRefutations {
 		v.refutations = append(v.refutations, *newest)
 	}
 }
 
-// raiseIncarnation puts the local incarnation above that of another run of this process. The incarnation comes from the wall
-// clock, which may step back between runs, and processes without a disk can't remember it.
+// raiseIncarnation raises the local incarnation above that of another run of this process. The incarnation is taken from the
+// wall clock, which may step back between runs, and processes without a disk can't store the last one.
 func (v *View) raiseIncarnation(record *Record) {
 	if record.RunID != v.self.RunID && record.Incarnation >= v.self.Incarnation {
 		v.self.Incarnation = record.Incarnation + 1
--- a/internal/decide/membership/membership_test.go
+++ b/internal/decide/membership/membership_test.go
@@ -22,7 +22,7 @@
 	tickSeconds         = 0.4
 )
 
-// network simulates processes whose exchanges are lost with some probability.
+// network simulates processes whose exchanges are lost with the probability loss.
 type network struct {
 	rng   *rand.Rand
 	now   float64
@@ -46,7 +46,7 @@
 	return newZonedNetwork(seed, size, loss, 1)
 }
 
-// newZonedNetwork returns a network whose processes are spread over zones in turn.
+// newZonedNetwork returns a network whose processes are assigned to zones round-robin.
 func newZonedNetwork(seed uint64, size int, loss float64, zones int) *network {
 	n := &network{rng: rand.New(rand.NewPCG(seed, 2)), views: make([]*membership.View, size), loss: loss, zones: zones}
 	for i := range size {
@@ -76,6 +76,7 @@
 	}
 }
 
+// gossip sends the records and heartbeats of one exchange in one direction.
 func gossip(now float64, from, to *membership.View) {
 	to.MergeRecords(now, from.SampleRecords(now))
 	to.MergeHeartbeats(now, from.SampleHeartbeats(now))
@@ -102,7 +103,8 @@
 
 var _ = Describe("the membership of a network", func() {
 	DescribeTable("converges to all live processes and stays there", func(size int, loss float64, zones int) {
-		// Loss now and then delays a heartbeat for longer than the suspicion time: of one process or a fiftieth, and seldom.
+		// Lost exchanges may delay heartbeats for longer than the suspicion time. At any moment that may affect up to a fiftieth of the
+		// processes and one more, and over the whole test at most 0.5% of the observations.
 		maxMissing, observations, missed := 1+size/50, 0, 0
 		if loss == 0 {
 			maxMissing = 0
@@ -125,28 +127,28 @@
 		Entry("150 with loss", 150, 0.05, 1), Entry("12 in 4 zones", 12, 0.0, 4), Entry("12 in 4 zones with loss", 12, 0.2, 4),
 		Entry("100 in 4 zones with loss", 100, 0.05, 4), Entry("150 in 7 zones with loss", 150, 0.05, 7))
 
-	It("is exchanged mostly within large zones and mostly between small ones", func() {
+	It("is exchanged mostly within a zone if zones are large, and mostly between zones if they are small", func() {
 		for _, c := range []struct {
 			zones                    int
 			minFraction, maxFraction float64
 		}{{4, 0.7, 0.95}, {48, 0.05, 0.4}} {
 			n := newZonedNetwork(8, 96, 0, c.zones)
 			n.advance(60)
-			near, asked := 0, 0
+			sameZone, picked := 0, 0
 			for i, view := range n.views {
 				for range 40 {
-					asked++
+					picked++
 					if j := n.index(view.PickPartner(n.now)); j >= 0 && j%c.zones == i%c.zones {
-						near++
+						sameZone++
 					}
 				}
 				fanout := view.PickFanout(n.now, 3)
 				Expect(fanout).To(HaveLen(3))
 				Expect(fanout).To(ContainElement(WithTransform(func(a string) int { return n.index(a) % c.zones }, Not(Equal(i%c.zones)))),
-					"updates leave the zone")
+					"an urgent update reaches another zone")
 			}
-			Expect(float64(near) / float64(asked)).To(BeNumerically(">", c.minFraction))
-			Expect(float64(near) / float64(asked)).To(BeNumerically("<", c.maxFraction))
+			Expect(float64(sameZone) / float64(picked)).To(BeNumerically(">", c.minFraction))
+			Expect(float64(sameZone) / float64(picked)).To(BeNumerically("<", c.maxFraction))
 		}
 	})
 
@@ -162,7 +164,7 @@
 		}
 	})
 
-	DescribeTable("adopts a restarted process whatever its clock says", func(incarnation uint64) {
+	DescribeTable("adopts a restarted process whatever its clock shows", func(incarnation uint64) {
 		n := newNetwork(3, 15, 0.1)
 		n.advance(25)
 		n.views[4] = nil
@@ -172,7 +174,7 @@
 		for i := range n.views {
 			Expect(n.countAlive(i)).To(Equal(14))
 		}
-	}, Entry("a clock that stepped back", uint64(5)), Entry("the same moment", uint64(100)), Entry("a clock that advanced", uint64(900)))
+	}, Entry("a clock that stepped back", uint64(5)), Entry("a clock that shows the same time", uint64(100)), Entry("a clock that advanced", uint64(900)))
 
 	It("adopts a process that restarts after it was dropped, with a clock that stepped back", func() {
 		n := newNetwork(4, 15, 0)
@@ -222,7 +224,7 @@
 		for range 5 {
 			leaving.Tick(n.now)
 		}
-		// Only heartbeats reach the third process, which sends its older copy of the record.
+		// The third process gets only the heartbeat and then sends its older copy of the record.
 		informed.MergeHeartbeats(n.now, heartbeatsOf(n, 0))
 		behind.MergeHeartbeats(n.now, heartbeatsOf(n, 0))
 		for _, record := range behind.SampleRecords(n.now) {
@@ -235,7 +237,7 @@
 	})
 })
 
-// heartbeatsOf returns the heartbeat of a process as another process sends it.
+// heartbeatsOf returns the heartbeat of process i as an observer that knows only this process sends it.
 func heartbeatsOf(n *network, i int) []membership.Heartbeat {
 	settings := membership.Settings{SuspectAfterSeconds: suspectAfterSeconds, ForgetAfterSeconds: forgetAfterSeconds, PartialViewSize: 8, RecordsPerExchange: 16, HeartbeatsPerExchange: 200}
 	observer := membership.New(settings, membership.Record{Name: "observer", Address: "w"}, nil, n.rng)
@@ -243,7 +245,7 @@
 	return observer.SampleHeartbeats(n.now)
 }
 
-// member returns the member of a view for a process.
+// member returns process i as a view knows it.
 func (n *network) member(view *membership.View, i int) membership.Member {
 	for _, member := range view.Members(n.now) {
 		if member.Name == n.views[i].Self().Name {
--- a/internal/decide/membership/partners.go
+++ b/internal/decide/membership/partners.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// otherZonesWeight is the weight of all other zones together when a partner is drawn, as a number of processes of the local
-// zone. Traffic between zones is expensive: updates spread within a zone, and now and then one of its processes exchanges
-// with another zone. In a small zone most exchanges leave it.
+// otherZonesWeight is the weight of all other zones together when a partner is drawn, where each live process of the local
+// zone has weight 1. Traffic between zones is expensive, so updates spread mostly within a zone, and only from time to time
+// does a process exchange with another zone. Processes of a small zone exchange mostly with other zones.
 const otherZonesWeight = 4.0
 
 // seedInterval is the mean number of draws from the partial view between two draws of a seed.
@@ -42,8 +42,8 @@
 	}
 }
 
-// PickPartner returns the address for the next exchange, "" if none is known: a live process of the local zone or a peer of the
-// partial view, now and then a seed. Seeds are always used while the partial view is empty.
+// PickPartner returns the address for the next exchange, or "" if none is known: that of a live process of the local zone, a peer
+// of the partial view or a seed. While the partial view is empty, a seed takes the place of a peer.
 func (v *View) PickPartner(now float64) string {
 	if sameZone := v.sameZoneAddresses(now); v.rng.Float64() < sameZoneFraction(len(sameZone)) {
 		return sameZone[v.rng.IntN(len(sameZone))]
@@ -60,8 +60,8 @@
 	return v.known[v.peers[v.nextPeer]].record.Address
 }
 
-// PickFanout returns up to n addresses of random live processes for an urgent update: most of the local zone, at least one of
-// another zone where there is one.
+// PickFanout returns up to n addresses of random live processes for an urgent update, divided between the local zone and the
+// others like exchanges. At least one is of another zone if a live process there is known.
 func (v *View) PickFanout(now float64, n int) []string {
 	sameZone := v.sameZoneAddresses(now)
 	var otherZones []string
@@ -92,7 +92,7 @@
 	return addresses
 }
 
-// sameZoneFraction returns the fraction of exchanges within a zone that has so many other live processes.
+// sameZoneFraction returns the fraction of exchanges within the local zone if that has sameZone other live processes.
 func sameZoneFraction(sameZone int) float64 {
 	return float64(sameZone) / (float64(sameZone) + otherZonesWeight)
 }
--- a/internal/decide/membership/view.go
+++ b/internal/decide/membership/view.go
@@ -9,34 +9,34 @@
 
 // Settings are the parameters of a View.
 type Settings struct {
-	// SuspectAfterSeconds is the age of the last heartbeat from which on a process counts as unreachable. In large fleets it
-	// grows, since heartbeats take longer to reach every process.
+	// SuspectAfterSeconds is the age of the last heartbeat above which a process counts as unreachable. It is increased in
+	// large fleets, in which heartbeats take longer to reach every process.
 	SuspectAfterSeconds float64
-	// ForgetAfterSeconds is the age of the last heartbeat from which on a process's record is dropped.
+	// ForgetAfterSeconds is the age of the last heartbeat above which a process's record is dropped.
 	ForgetAfterSeconds float64
 	// PartialViewSize is the number of peers that are kept for exchanges.
 	PartialViewSize int
-	// RecordsPerExchange bounds the records in one exchange. More of them spread changes of records faster.
+	// RecordsPerExchange bounds the records in one exchange. Higher values spread changes of records faster.
 	RecordsPerExchange int
-	// HeartbeatsPerExchange bounds the heartbeats in one exchange. With fewer than there are processes, failures are
-	// detected later.
+	// HeartbeatsPerExchange bounds the heartbeats in one exchange. If it is lower than the number of processes, failures
+	// are detected later.
 	HeartbeatsPerExchange int
 }
 
 const (
-	// largeFleet is the number of processes above which heartbeats don't all fit into an exchange.
+	// largeFleet is the number of processes above which suspicion times grow, since heartbeats don't all fit into an exchange.
 	largeFleet = 64
 	// suspicionGrowth is the fraction by which SuspectAfterSeconds grows with each doubling above largeFleet.
 	suspicionGrowth = 0.3
 )
 
-// knownProcess is what a view holds of another process.
+// knownProcess is what a view knows of another process.
 type knownProcess struct {
 	record    Record
-	updatedAt float64 // when its heartbeat grew last
+	updatedAt float64 // when its heartbeat last grew
 }
 
-// View is the membership as one process knows it.
+// View is the membership list of one process.
 type View struct {
 	settings    Settings
 	rng         *rand.Rand
@@ -44,9 +44,9 @@
 	known       map[string]*knownProcess // by name
 	forgotten   map[string]Record        // dropped records, so that older copies don't bring a dead process back
 	peers       []string                 // names of the processes in the partial view
-	seeds       []string                 // addresses
+	seeds       []string                 // addresses of processes to contact first
 	nextPeer    int                      // index in peers
-	refutations []Record                 // sent in the next exchange to runs that don't know of a later incarnation
+	refutations []Record                 // records for the next exchange that tell a run of a higher incarnation; see queueRefutation
 }
 
 // New returns a view that knows the local record and the addresses of seeds. It draws all random numbers from rng.
@@ -61,8 +61,8 @@
 // Self returns the local record.
 func (v *View) Self() Record { return v.self }
 
-// SetDemands replaces the demands in the local record. They are not urgent: the heartbeat is left as it is, and the new
-// content spreads with the next one.
+// SetDemands replaces the demands in the local record. They are not urgent: the heartbeat stays as it is, and the new content
+// spreads with the next heartbeat.
 func (v *View) SetDemands(demands []Demand) {
 	v.self.Demands = demands
 	v.self.Revision++
@@ -103,7 +103,7 @@
 	return now-process.updatedAt <= v.suspicionSeconds()
 }
 
-// suspicionSeconds returns the age of the last heartbeat from which on a process counts as unreachable.
+// suspicionSeconds returns the age of the last heartbeat above which a process counts as unreachable.
 func (v *View) suspicionSeconds() float64 {
 	doublings := math.Log2(max(float64(len(v.known))/largeFleet, 1))
 	return v.settings.SuspectAfterSeconds * (1 + suspicionGrowth*doublings)
@@ -116,7 +116,7 @@
 	Alive               bool
 }
 
-// Members returns all known processes, the local one among them, in the order of their names.
+// Members returns all known processes, including the local one, in the order of their names.
 func (v *View) Members(now float64) []Member {
 	members := []Member{{Record: v.self, Alive: true}}
 	for _, process := range v.known {
@@ -126,7 +126,7 @@
 	return members
 }
 
-// Address returns where peers reach a process, "" if it is not known.
+// Address returns the address at which peers reach a process, or "" if the process is not known.
 func (v *View) Address(name string) string {
 	if name == v.self.Name {
 		return v.self.Address
@@ -138,7 +138,7 @@
 }
 
 // Rank returns the index of a process among the known ones of its kind in the order of their names, and their number.
-// Unreachable processes keep their ranks until they are dropped, so that a restart changes no rank.
+// Unreachable processes count until they are dropped, so that a restart changes no rank.
 func (v *View) Rank(name string, kind Kind) (rank, count int) {
 	for other, process := range v.known {
 		if process.record.Kind != kind || other == name {
--- a/internal/decide/membership/wire_form_test.go
+++ b/internal/decide/membership/wire_form_test.go
@@ -15,7 +15,7 @@
 	"hazelwheel/internal/decide/membership"
 )
 
-// TestWireForm pins the bytes of the messages of the membership. Processes of other versions read these bytes.
+// TestWireForm compares the encoding of the membership messages with golden files. Processes of other versions read these bytes.
 func TestWireForm(t *testing.T) {
 	demand := membership.Demand{Service: "chat", PrefillTokensPerSecond: 1234.5, DecodeStreams: 17, KVTokens: 98765.25}
 	record := membership.Record{
@@ -29,7 +29,7 @@
 	assert.Equal(t, []membership.Kind{"control", "agent", "gateway"}, []membership.Kind{membership.Control, membership.Agent, membership.Gateway})
 }
 
-// TestHeartbeatKey pins the key by which a heartbeat without its record is matched. Peers of other versions derive the same one.
+// TestHeartbeatKey checks the value of the key that matches a heartbeat with its record. Processes of other versions compute the same key.
 func TestHeartbeatKey(t *testing.T) {
 	self := membership.Record{Name: "self", Kind: membership.Agent, Address: "127.0.0.1:1"}
 	view := membership.New(membership.Settings{SuspectAfterSeconds: 3, ForgetAfterSeconds: 12, PartialViewSize: 8, RecordsPerExchange: 12, HeartbeatsPerExchange: 200}, self, nil, nil)
@@ -40,7 +40,8 @@
 	assert.Equal(t, membership.Heartbeat{Key: 0x9a55167b, Counter: 7}, heartbeats[0])
 }
 
-// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value.
+// checkForm checks that a value encodes to the bytes of a golden file and that these decode to the value. It requires that no field
+// is zero, so that the file covers them all.
 func checkForm[T any](t *testing.T, name string, value T) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
