--- a/internal/decide/swim/awareness.go
+++ b/internal/decide/swim/awareness.go
@@ -1,7 +1,7 @@
 package swim
 
-// HealthScore returns the local health score of Lifeguard, from 0 (healthy) to maxHealthScore: the number of recent reasons to
-// distrust this member's own observations. Timeouts of silence are multiplied by 1 + the score.
+// HealthScore returns the local health score of Lifeguard, from 0 (healthy) to maxHealthScore: the number of recent signs that this
+// member's own observations are unreliable. Its silence timeouts are multiplied by 1 + the score.
 func (v *View) HealthScore() int { return v.healthScore }
 
 func (v *View) raiseHealthScore() {
@@ -14,8 +14,8 @@
 	}
 }
 
-// advanceClock takes the time of a call. Danger: a process that stalled has received nothing meanwhile, through no fault of the
-// others; the time of the stall counts against nobody.
+// advanceClock sets the current time at the start of a call. Danger: a process that stalled has received nothing meanwhile, which is
+// not a sign that the others have failed. The time of the stall must not count towards their timeouts.
 func (v *View) advanceClock(now float64) {
 	if gap := now - v.now; gap > stallThresholdSeconds {
 		v.stats.Stalls++
--- a/internal/decide/swim/config.go
+++ b/internal/decide/swim/config.go
@@ -1,63 +1,63 @@
 package swim
 
-// Settings configure a View.
+// Settings are the settings of a View.
 type Settings struct {
-	Join []string // addresses of members to join by
-	// HotRestart: a process with the same identity and address is this one's replacement, and takes the identity over.
+	Join []string // addresses of members through which to join
+	// HotRestart means that a later process with the same identity and address replaces this one and takes its identity over.
 	HotRestart bool
-	Seed       uint64 // of the View's random draws
+	Seed       uint64 // seed of the random number generator
 }
 
 // Neighbors and links.
 const (
-	ringCount                = 4 // each adds a neighbor to watch, and one to be watched by
+	ringCount                = 4 // each ring adds a neighbor to watch, and one that watches this member
 	maxRequestedLinks        = 16
 	heartbeatIntervalSeconds = 0.5
 	tickIntervalSeconds      = 0.25
-	linkTimeoutSeconds       = 4.0  // without a message, after which a link is closed
-	watchGraceSeconds        = 10.0 // for which a member is watched after a link to it ended unannounced, or that is being probed
-	deadLinkSeconds          = 30.0 // for which a link to a dead member is kept, which may only have stalled
-	redialDelaySeconds       = 1.0  // least time between two dials of a member
-	minBackoffSeconds        = 0.3  // after a failed dial, doubled with each
+	linkTimeoutSeconds       = 4.0  // a link without a message for this long is closed
+	watchGraceSeconds        = 10.0 // how long a member is watched after a link to it broke, or while it is probed
+	deadLinkSeconds          = 30.0 // how long a link to a dead member is kept, since it may only have stalled
+	redialDelaySeconds       = 1.0  // minimum time between two dials to a member
+	minBackoffSeconds        = 0.3  // delay after a failed dial; doubled with each further one
 	maxBackoffSeconds        = 8.0
 )
 
-// Failure detection. Timeouts of silence are multiplied by 1 + the local health score.
+// Failure detection. Silence timeouts are multiplied by 1 + the local health score.
 const (
-	silenceTimeoutSeconds = 1.4 // without a message, after which a member is suspect,
-	refusedTimeoutSeconds = 0.6 // or after this time if two dials failed since
-	minSuspicionSeconds   = 1.0 // from suspect to dead with maxAccusers accusers
-	maxSuspicionSeconds   = 4.0 // the same with one accuser
+	silenceTimeoutSeconds = 1.4 // a member is suspected after this long without a message,
+	refusedTimeoutSeconds = 0.6 // or after this long if two dials have failed since
+	minSuspicionSeconds   = 1.0 // time from suspect to dead with maxAccusers accusers
+	maxSuspicionSeconds   = 4.0 // time from suspect to dead with one accuser
 	maxAccusers           = 3
-	minMuteSeconds        = 5.0 // after a refutation, before the same member alone accuses again; doubled each time
+	minMuteSeconds        = 5.0 // after an accusation, how long the same accuser alone doesn't accuse the member again; doubled each time
 	maxMuteSeconds        = 60.0
 	maxHealthScore        = 3
-	healthDecaySeconds    = 5.0 // after which the local health score falls by one
-	stallThresholdSeconds = 0.9 // between two calls, from which on this process counts as stalled
+	healthDecaySeconds    = 5.0 // the local health score falls by one after this long
+	stallThresholdSeconds = 0.9 // the process counts as stalled if no call comes for longer
 )
 
-// Probes of members that this one has no link to.
+// Probes of members to which this one has no link.
 const (
-	maxProbeIntervalSeconds         = 2.0 // quartered after a probe that failed, doubled after one that did not
+	maxProbeIntervalSeconds         = 2.0 // the interval is quartered after a failed probe and doubled after a successful one
 	minProbeIntervalSeconds         = 0.1
-	massFailureFraction             = 4 // one in so many is suspect: any member is probed, and sooner
+	massFailureFraction             = 4 // if more than one in this many members is suspect, any member is probed, and sooner
 	massFailureProbeIntervalSeconds = 0.5
-	reconnectsPerSecond             = 8.0 // of the whole fleet, to dead members and join addresses, so that a partition heals
-	maxReconnectsAtOnce             = 8   // by a member that knows nobody
+	reconnectsPerSecond             = 8.0 // dials of the whole fleet to dead members and join addresses, which heal partitions
+	maxReconnectsAtOnce             = 8   // by a member that knows no live member
 )
 
 // Membership and dissemination.
 const (
-	forgetAfterSeconds     = 600.0 // for which dead members and those that left are known
-	digestMarginSeconds    = 60.0  // before that they stop counting for digests, so that members forget at different times
+	forgetAfterSeconds     = 600.0 // how long dead members and those that left are remembered
+	digestMarginSeconds    = 60.0  // how long before that they are excluded from digests, since members forget them at different times
 	sweepIntervalSeconds   = 5.0
 	maxMembers             = 8192 // including dead ones
-	maxNewcomers           = 1024 // that are accepted in newcomerWindowSeconds on the word of others; or twice as many as are known
+	maxNewcomers           = 1024 // new members accepted within newcomerWindowSeconds from peers' records; or twice the known members, if more
 	newcomerWindowSeconds  = 10.0
-	firstLinkTrustSeconds  = 5.0 // for which everything is accepted that comes over the first link
+	firstLinkTrustSeconds  = 5.0 // how long all new members are accepted that the first link reports
 	maxIncarnationLead     = 1 << 48
 	maxRecordsPerMessage   = 300
-	minSyncIntervalSeconds = 1.0  // between two comparisons of digests
-	maxSyncIntervalSeconds = 10.0 // the same while views keep differing
-	minMismatches          = 3    // heartbeats in a row with another digest, before views are compared
+	minSyncIntervalSeconds = 1.0  // minimum time between two comparisons of digests
+	maxSyncIntervalSeconds = 10.0 // time after which views are compared although they keep changing
+	minMismatches          = 3    // consecutive heartbeats with another digest before views are compared
 )
--- a/internal/decide/swim/digest.go
+++ b/internal/decide/swim/digest.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// bucketCount is the number of buckets by which views are compared: one bit each in Message.WantedBuckets.
+// bucketCount is the number of buckets in which views are compared. Each has one bit in Message.WantedBuckets.
 const bucketCount = 64
 
 // bucketOf returns the bucket of a member.
 func bucketOf(id ID) int { return int(mix(uint64(id)) >> 58) }
 
-// digestOf returns an entry's contribution to the digests. Alive and suspect count alike, since suspicions come and go too fast to be
-// compared.
+// digestOf returns an entry's contribution to the digests. Alive and suspect members contribute the same, since suspicions change too
+// fast to be compared.
 func (v *View) digestOf(e *entry) uint64 {
 	if e.isExpired {
 		return 0
@@ -38,14 +38,14 @@
 	return x ^ x>>31
 }
 
-// sendDigests begins a comparison of views over a link.
+// sendDigests starts a comparison of views over a link.
 func (v *View) sendDigests(l *link) {
 	v.lastSync = v.now
 	v.stats.Syncs++
 	v.actions.Send(l.number, &Message{BucketDigests: slices.Clone(v.bucketDigests[:])})
 }
 
-// handleDigests sends the records of the buckets that differ, and asks for the other end's.
+// handleDigests sends the records of the buckets that differ, and requests those of the peer.
 func (v *View) handleDigests(l *link, theirs []uint64) {
 	if len(theirs) != bucketCount {
 		v.stats.Rejected++
--- a/internal/decide/swim/identity.go
+++ b/internal/decide/swim/identity.go
@@ -4,12 +4,12 @@
 
 // Reasons of Actions.ReplaceIdentity, for logs.
 const (
-	reasonImpossibleIncarnation = "others are told of an incarnation that this identity can't have"
-	reasonCopiedState           = "another process has this identity: a copied folder"
-	reasonOldState              = "this identity was already further than the state on disk: an old copy"
+	reasonImpossibleIncarnation = "a peer reports an incarnation of this identity that is too high to refute"
+	reasonCopiedState           = "a process at another address uses this identity: its state folder was copied"
+	reasonOldState              = "peers know a later version of this identity than the state on disk: it is an old copy"
 )
 
-// installIdentity makes a record this member's own.
+// installIdentity makes a record the record of this member.
 func (v *View) installIdentity(self Record) {
 	self.State, self.Accusers, self.AgeSeconds = Alive, nil, 0
 	v.self = &entry{Record: self, stateSince: v.now}
@@ -17,7 +17,7 @@
 	v.lostIdentity, v.neighborsStale = false, true
 }
 
-// AdoptIdentity continues under another identity, after RenounceIdentity or Actions.ReplaceIdentity.
+// AdoptIdentity continues with a new identity, after RenounceIdentity or Actions.ReplaceIdentity.
 func (v *View) AdoptIdentity(now float64, id ID, version Version, durable bool) {
 	v.advanceClock(now)
 	next := Record{ID: id, Version: version, Name: v.name, Address: v.address, Durable: durable}
@@ -27,20 +27,21 @@
 	v.finishEvent()
 }
 
-// HasLostIdentity reports whether this member has no identity of its own now: another process has it, or it was renounced.
+// HasLostIdentity reports whether this member currently has no identity: another process uses it, or it was renounced.
 func (v *View) HasLostIdentity() bool { return v.lostIdentity }
 
 // IsReplaced reports whether another process has taken over this one's identity and address, as Settings.HotRestart allows.
 func (v *View) IsReplaced() bool { return v.isReplaced }
 
-// handleOwnRecord takes a record of this member's identity that came over a link. An accusation is refuted with a greater
-// incarnation; a later process with the same identity ends the use of it here.
+// handleOwnRecord handles a record of this member's identity that came over a link. An accusation is refuted with a greater
+// incarnation. If a later process has the same identity, this one stops using it.
 func (v *View) handleOwnRecord(r Record) {
 	self := v.self
 	switch c := r.Version.Compare(self.Version); {
 	case v.lostIdentity || v.hasLeft && c <= 0:
 	case c > 0 && r.Version.Incarnation > self.Version.Incarnation+maxIncarnationLead:
-		// Danger: refutations of forged incarnations would run out of numbers, and without one this member stays accused.
+		// Danger: refuting a forged incarnation near the maximum would exhaust the incarnations, and a member that can't refute
+		// stays accused. It needs a new identity instead.
 		v.loseIdentity(r, reasonImpossibleIncarnation)
 	case c > 0 && r.Version.BootID != self.Version.BootID:
 		v.handleOtherProcess(r)
@@ -55,7 +56,7 @@
 	}
 }
 
-// handleOtherProcess takes a record of another process with this identity and a later version of it.
+// handleOtherProcess handles a record of another process that has this identity with a later version.
 func (v *View) handleOtherProcess(r Record) {
 	isSameAddress := r.Address == v.self.Address
 	switch {
@@ -69,7 +70,7 @@
 	}
 }
 
-// loseIdentity ends the use of the identity, whose record is another process's from now on, and asks for a new one.
+// loseIdentity stops using the identity, whose record belongs to another process from now on, and requests a new one.
 func (v *View) loseIdentity(r Record, reason string) {
 	v.lostIdentity = true
 	v.closeLinks()
@@ -77,7 +78,7 @@
 	v.actions.ReplaceIdentity(reason)
 }
 
-// Leave announces that this member leaves. Nothing is sent after it.
+// Leave announces that this member leaves. Nothing is sent after that.
 func (v *View) Leave(now float64) {
 	v.advanceClock(now)
 	if v.hasLeft || v.lostIdentity {
@@ -87,7 +88,7 @@
 	v.announceLeft()
 }
 
-// RenounceIdentity announces that this identity leaves for good. AdoptIdentity must follow.
+// RenounceIdentity announces that this identity leaves permanently. The caller must call AdoptIdentity next.
 func (v *View) RenounceIdentity(now float64) {
 	v.advanceClock(now)
 	if v.lostIdentity {
@@ -104,7 +105,7 @@
 	v.sendUpdates()
 }
 
-// Silence ends the use of the identity without an announcement: a replacement uses it from now on.
+// Silence stops using the identity without an announcement, since a replacement uses it from now on.
 func (v *View) Silence(now float64) {
 	v.advanceClock(now)
 	if !v.lostIdentity {
@@ -113,7 +114,7 @@
 	}
 }
 
-// closeLinks closes all links and drops queued updates, so that nothing more is sent about this member.
+// closeLinks closes all links and drops queued updates, so that nothing more is sent.
 func (v *View) closeLinks() {
 	for len(v.links) > 0 {
 		v.closeLink(v.links[0])
--- a/internal/decide/swim/links.go
+++ b/internal/decide/swim/links.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// LinkUp takes a link over which both ends have sent their Hello. number is chosen by the caller and above 0; address is the one that
-// was dialed, empty if the other end dialed. The View may close the link at once.
+// LinkUp handles a new link over which both ends have sent their Hello. The caller chooses number, which is above 0. address is the
+// dialed address, empty if the peer dialed. The View may close the link at once.
 func (v *View) LinkUp(now float64, number int, address string, hello Hello) {
 	v.advanceClock(now)
 	defer v.finishEvent()
@@ -26,7 +26,7 @@
 		return
 	}
 	if e := v.byID[hello.Self.ID]; e != nil && hello.Self.Version.Compare(e.Version) < 0 {
-		// The other end is a process that was replaced, or that started from an old copy of its state. The record tells it so.
+		// The peer is a process that was replaced, or that started from an old copy of its state. The record tells it so.
 		v.actions.Send(number, &Message{Records: []Record{v.recordOf(e)}})
 		v.actions.Close(number)
 		return
@@ -44,8 +44,8 @@
 	}
 }
 
-// installLink makes a link the one to its peer, and reports whether it is. If there are two links between the same processes, both
-// ends keep the one that the member with the lesser ID dialed; else the later one.
+// installLink makes a link the current one to its peer, and returns false if the existing one is kept instead. If both processes have
+// dialed each other, both ends keep the link that the member with the lower ID dialed. Otherwise the later link is kept.
 func (v *View) installLink(l *link) bool {
 	e := l.peer
 	if old := e.link; old != nil {
@@ -65,7 +65,8 @@
 	return true
 }
 
-// greet sends the first messages over a new link: a record that the peer must refute, a heartbeat, and digests if the views differ.
+// greet sends the first messages over a new link: the peer's record if the peer has to refute or update it, a heartbeat, and digests
+// if the views differ.
 func (v *View) greet(l *link, hello *Hello) {
 	e := l.peer
 	if e.State.IsDeadOrLeft() || e.State == Suspect || e.Version != hello.Self.Version {
@@ -77,14 +78,15 @@
 	}
 }
 
-// DialFailed takes the end of a dial that led to no link.
+// DialFailed handles a dial that ended without a link.
 func (v *View) DialFailed(now float64, address string) {
 	v.advanceClock(now)
 	v.dialEnded(address, 0)
 	v.finishEvent()
 }
 
-// dialEnded records the end of a dial, and who was found; 0: nobody. If it is not the expected member, the next dial backs off.
+// dialEnded records the end of a dial. found is the member at the address, 0 if there was none. If it is not the expected member, its
+// next dial is delayed by a backoff.
 func (v *View) dialEnded(address string, found ID) {
 	expected := v.dials[address]
 	delete(v.dials, address)
@@ -98,20 +100,20 @@
 	}
 }
 
-// LinkDown takes the end of a link that neither end announced.
+// LinkDown handles a link that broke, without a Closing message of either end.
 func (v *View) LinkDown(now float64, number int) {
 	v.advanceClock(now)
 	if l := v.linkByNumber(number); l != nil {
 		v.dropLink(l)
-		// Danger: a member that has no room for another link closes it as soon as it is up. When such links were dialed again at
-		// once, 1,500 members that started together dialed each other 85 times a second each.
+		// Danger: a member at its limit of links closes a new one as soon as it is up. When such links were redialed at once,
+		// each of 1,500 members that started together dialed 85 times a second.
 		l.peer.watchedUntil, l.peer.nextDial = v.now+watchGraceSeconds, max(l.peer.nextDial, v.now)
 		v.activate(l.peer)
 	}
 	v.finishEvent()
 }
 
-// linkByNumber returns the link with a number, or nil.
+// linkByNumber returns the link with a number, or nil if it is not up.
 func (v *View) linkByNumber(number int) *link {
 	if i := slices.IndexFunc(v.links, func(l *link) bool { return l.number == number }); i >= 0 {
 		return v.links[i]
@@ -134,7 +136,7 @@
 	v.dropLink(l)
 }
 
-// HandleMessage takes a message that came over a link. One over a link that is not up any more is ignored.
+// HandleMessage handles a message that came over a link. It ignores messages over links that are no longer up.
 func (v *View) HandleMessage(now float64, number int, m *Message) {
 	v.advanceClock(now)
 	defer v.finishEvent()
@@ -164,8 +166,8 @@
 	}
 }
 
-// handleHeartbeat compares digests. Views are compared bucket by bucket if they have differed for several heartbeats while nothing
-// changed here, or for maxSyncIntervalSeconds.
+// handleHeartbeat compares the digests of both views. It starts a comparison bucket by bucket if they have differed for minMismatches
+// heartbeats while this view has not changed, or if the last comparison was more than maxSyncIntervalSeconds ago.
 func (v *View) handleHeartbeat(l *link, h *Heartbeat) {
 	l.peerWants = h.Wanted
 	if h.Digest == v.digest {
@@ -180,7 +182,8 @@
 	}
 }
 
-// dial asks for a link to an address at which a member is expected; 0: whoever is there. There is one dial to an address at a time.
+// dial requests a link to an address. id is the member that is expected there, 0 for any. At most one dial to an address is in
+// progress at a time.
 func (v *View) dial(address string, id ID) {
 	if expected, inProgress := v.dials[address]; inProgress {
 		if expected == 0 {
@@ -194,8 +197,8 @@
 	v.actions.Dial(address)
 }
 
-// sendHeartbeat sends a heartbeat over a link, or closes the link if neither end wants it or the peer left or died. The message is the
-// same for all neighbors, and for all others; prepared holds both.
+// sendHeartbeat sends a heartbeat over a link, or closes the link if neither end wants it or the peer left or died. prepared caches the
+// two messages that are sent: one to all non-neighbors, one to all neighbors.
 func (v *View) sendHeartbeat(l *link, prepared *[2]*Message) {
 	e := l.peer
 	switch {
--- a/internal/decide/swim/members.go
+++ b/internal/decide/swim/members.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// indexOf returns the position of a member in entries, or where it belongs.
+// indexOf returns the index of a member in entries, or where to insert it and false.
 func (v *View) indexOf(id ID) (int, bool) {
 	return slices.BinarySearch(v.ids, id)
 }
 
-// insert adds a member that is not known.
+// insert adds a member that was not known.
 func (v *View) insert(e *entry) {
 	i, _ := v.indexOf(e.ID)
 	v.entries = slices.Insert(v.entries, i, e)
@@ -16,7 +16,7 @@
 	v.trackEntry(e)
 }
 
-// changeEntry applies a change to an entry and keeps digests, lists and neighbors consistent with it. known is false for an entry that
+// changeEntry applies a change to an entry and updates the digests, lists and neighbors accordingly. known is false for an entry that
 // was just inserted.
 func (v *View) changeEntry(e *entry, known bool, change func()) {
 	was := e.State
@@ -44,7 +44,7 @@
 	}
 }
 
-// activate has detectFailures check an entry with each tick.
+// activate makes detectFailures check an entry at each tick.
 func (v *View) activate(e *entry) {
 	if !e.isActive && e != v.self {
 		e.isActive = true
@@ -52,8 +52,8 @@
 	}
 }
 
-// sweep forgets members that have been dead or left for forgetAfterSeconds. digestMarginSeconds earlier they stop counting for
-// digests, so that members that forget at different times don't compare views for it.
+// sweep forgets members that have been dead or left for forgetAfterSeconds. They are excluded from digests digestMarginSeconds earlier:
+// members forget them at different times, and their views would differ meanwhile.
 func (v *View) sweep() {
 	v.nextSweep = v.now + sweepIntervalSeconds
 	for _, e := range slices.Clone(v.departed) {
@@ -71,7 +71,7 @@
 	})
 }
 
-// evictOldest removes the member that has been dead or left for longest, and reports whether there was one.
+// evictOldest removes the member that has been dead or left the longest, and reports whether there was one.
 func (v *View) evictOldest() bool {
 	var oldest *entry
 	for _, e := range v.departed {
--- a/internal/decide/swim/message.go
+++ b/internal/decide/swim/message.go
@@ -1,6 +1,6 @@
 package swim
 
-// Hello is the first message of each end of a link.
+// Hello is the first message that each end of a link sends.
 type Hello struct {
 	Self      Record    `msgpack:"Self"`
 	Heartbeat Heartbeat `msgpack:"Beat"`
@@ -16,9 +16,9 @@
 type Message struct {
 	Heartbeat     *Heartbeat `msgpack:"b,omitempty"`
 	Records       []Record   `msgpack:"r,omitempty"`
-	BucketDigests []uint64   `msgpack:"s,omitempty"` // of the sender's view; the receiver answers with what differs
-	WantedBuckets []uint64   `msgpack:"w,omitempty"` // one bit set: the buckets whose records the receiver is asked for
-	Closing       bool       `msgpack:"y,omitempty"` // the sender closes the link, for reasons that say nothing about its state
+	BucketDigests []uint64   `msgpack:"s,omitempty"` // of the sender's view; the receiver replies with the buckets that differ
+	WantedBuckets []uint64   `msgpack:"w,omitempty"` // one bit set, which holds the buckets whose records the receiver is to send
+	Closing       bool       `msgpack:"y,omitempty"` // the sender closes the link, which is no sign of a failure
 }
 
 // Hello returns the first message that this member sends over a link.
--- a/internal/decide/swim/neighbors.go
+++ b/internal/decide/swim/neighbors.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// noNeighbors is View.nearestLive of a member without neighbors.
+// noNeighbors is the value of View.nearestLive for a member without neighbors.
 var noNeighbors = func() (distances [ringCount]float64) {
 	for i := range distances {
 		distances[i] = math.Inf(1)
@@ -15,8 +15,8 @@
 	return distances
 }()
 
-// RequestLinks asks for links to these members, beside the neighbors on the rings and in place of those requested before. Members
-// beyond maxRequestedLinks are left out, and one that is dead or left gets none until it is alive again.
+// RequestLinks requests links to members in addition to the neighbors on the rings. It replaces the earlier request. Members beyond
+// maxRequestedLinks are ignored, and there is no link to a dead or left member until it is alive again.
 func (v *View) RequestLinks(now float64, ids []ID) {
 	v.advanceClock(now)
 	if ids = ids[:min(len(ids), maxRequestedLinks)]; !slices.Equal(ids, v.requested) {
@@ -25,8 +25,8 @@
 	v.finishEvent()
 }
 
-// chooseNeighbors chooses the neighbors anew: on each ring the next live member after this one and the suspect ones before it, so that
-// a fleet that loses many members at once is connected again soon; and the requested ones.
+// chooseNeighbors recomputes the neighbors: on each ring the next live member after this one and the suspect ones between them, and the
+// requested members. With the next live member, a fleet that loses many members at once is soon connected again.
 func (v *View) chooseNeighbors() {
 	for _, e := range v.neighbors {
 		if e.State.IsDeadOrLeft() {
@@ -61,7 +61,8 @@
 	return suspects
 }
 
-// chooseOnRing adds the neighbors on one ring, in the order of IDs: the next live member, and up to ringCount suspect ones before it.
+// chooseOnRing adds the neighbors on one ring, in the order of IDs: the next live member, and up to ringCount suspect ones before it on
+// the ring.
 func (v *View) chooseOnRing(ring int, suspects []*entry) {
 	own := ringPosition(v.self.ID, ring)
 	distance := func(id ID) float64 { return float64(ringPosition(id, ring) - own) }
@@ -92,7 +93,7 @@
 	}
 }
 
-// addNeighbor has this member keep a link to another and detect its silence.
+// addNeighbor makes a member a neighbor: this member keeps a link to it and detects its silence.
 func (v *View) addNeighbor(e *entry) {
 	if !e.isNeighbor {
 		v.restartSilence(e)
@@ -102,16 +103,16 @@
 	v.activate(e)
 }
 
-// restartSilence gives a member that was not watched, and to which there is no link, the full time until it is silent.
+// restartSilence restarts the silence timeout of a member that was not watched and to which there is no link.
 func (v *View) restartSilence(e *entry) {
 	if e.link == nil && v.now >= e.watchedUntil {
 		e.lastHeard, e.nextDial, e.failedDials = v.now, v.now, 0
 	}
 }
 
-// affectsNeighbors reports whether a change of an entry can change who the neighbors are: it is requested, or on some ring no farther
-// than the next live member. Danger: if neighbors were chosen anew with each change, a fleet that forms would cost by the cube of its
-// size.
+// affectsNeighbors reports whether a change of an entry can change the set of neighbors: it is requested, or on some ring it is no
+// farther than the next live member. Danger: if each change recomputed the neighbors, the cost of forming a fleet would grow with the
+// cube of its size.
 func (v *View) affectsNeighbors(e *entry) bool {
 	if slices.Contains(v.requested, e.ID) {
 		return true
--- a/internal/decide/swim/probe.go
+++ b/internal/decide/swim/probe.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// probeIfDue probes a member if it is time. While many members are suspect at once, their neighbors may be gone as well: then any
-// member is probed, at shorter intervals.
+// probeIfDue probes a member if a probe is due. While many members are suspect at once, the neighbors of failed members may have failed,
+// too. Any member may then be probed, at shorter intervals.
 func (v *View) probeIfDue() {
 	if v.now < v.nextProbe && v.now < v.nextMassFailureProbe {
 		return
@@ -22,7 +22,7 @@
 	v.nextMassFailureProbe = v.now + min(v.probeInterval, massFailureProbeIntervalSeconds)
 }
 
-// countSuspects returns the number of suspect members, and if there are any the number of live ones.
+// countSuspects returns the number of suspect members and, if there are any, the number of live members.
 func (v *View) countSuspects() (suspects, live int) {
 	for _, e := range v.active {
 		if e.State == Suspect {
@@ -35,10 +35,10 @@
 	return suspects, live
 }
 
-// probe dials a random member that is alive by the word of others and that this one was never linked to; with any also one that it
-// was. It is watched from then on for watchGraceSeconds. The interval to the next probe adapts to the result of the last one.
+// probe dials a random member that counts as alive and to which there was never a link, or with any also one to which there was. The
+// member is watched for watchGraceSeconds. The interval to the next probe depends on the result of the last one.
 func (v *View) probe(any bool) {
-	// Danger: probes of members that are only slow would slow them down more. Only those that can't be dialed shorten the interval.
+	// Danger: more probes would slow down members that are only slow. Only failed dials shorten the interval.
 	if e := v.probed; e != nil && e.failedDials > 0 {
 		v.probeInterval = max(v.probeInterval/4, minProbeIntervalSeconds)
 	} else if e == nil || e.link != nil || e.wasLinked {
@@ -57,8 +57,9 @@
 	}
 }
 
-// reconnect dials a dead member or a join address from time to time, so that the sides of a partition meet again. The interval grows
-// with the fleet: all members together dial reconnectsPerSecond. A member that knows nobody dials all at once.
+// reconnect dials a dead member or a join address from time to time, so that the sides of a partition find each other again. The
+// interval grows with the fleet: all members together make reconnectsPerSecond dials. A member that knows no live member dials all
+// addresses at once, if they are few.
 func (v *View) reconnect() {
 	if v.now < v.nextReconnect {
 		return
@@ -79,8 +80,8 @@
 	v.dial(addresses[v.rng.IntN(len(addresses))], 0)
 }
 
-// reconnectAddresses returns the addresses of dead members, in the order of IDs, and the join addresses at which nobody is known to
-// be alive.
+// reconnectAddresses returns the addresses of dead members, in the order of IDs, and the join addresses at which no live member is
+// known.
 func (v *View) reconnectAddresses() (addresses []string) {
 	dead := slices.DeleteFunc(slices.Clone(v.departed), func(e *entry) bool { return e.State != Dead || e.Address == v.address })
 	slices.SortFunc(dead, func(a, b *entry) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/decide/swim/record.go
+++ b/internal/decide/swim/record.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// ID is the identity of a member. It is kept with the member's state over restarts; a member without state draws a new one.
+// ID is the identity of a member. It is stored with the member's state and survives restarts; a member without state draws a new one.
 type ID uint64
 
 // String returns the identity as 16 hexadecimal digits.
@@ -18,17 +18,17 @@
 // State is the state of a member.
 type State uint8
 
-// The states. Their numbers are sent; of two records of one version the one with the greater state prevails.
+// The states. Their numbers are part of the protocol; of two records of one version the one with the greater state prevails.
 const (
 	Alive   State = iota
-	Suspect       // at least one member hears nothing from it, and it has not refuted that
+	Suspect       // at least one member receives nothing from it, and it has not refuted that
 	Dead
 	Left // announced by the member itself
 )
 
 var stateNames = [...]string{"alive", "suspected", "dead", "left"}
 
-// String returns the name of the state as operators read it; "unknown" for a number that is none.
+// String returns the name of the state as shown to operators, "unknown" for an invalid state.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -36,11 +36,11 @@
 	return "unknown"
 }
 
-// IsDeadOrLeft reports whether a member takes part no more.
+// IsDeadOrLeft reports whether a member no longer takes part.
 func (s State) IsDeadOrLeft() bool { return s >= Dead }
 
-// Version orders the records of one identity. Danger: two processes may have the same identity, from a copied state folder, and count
-// incarnations alike; the BootID tells them apart.
+// Version orders the records of one identity. Danger: if a state folder is copied, two processes have the same identity and may use the
+// same incarnations; the BootID distinguishes them.
 type Version struct {
 	Incarnation uint64 `msgpack:"i"` // grows with each start of the process, and with each refutation
 	BootID      uint64 `msgpack:"l"` // random, drawn at the start of the process
@@ -51,20 +51,20 @@
 	return cmp.Or(cmp.Compare(v.Incarnation, o.Incarnation), cmp.Compare(v.BootID, o.BootID))
 }
 
-// Record is what is known of one member, and the unit of dissemination. Merge joins two records of one identity; the order in which
-// records arrive makes no difference.
+// Record describes one member and is the unit of dissemination. Merge joins two records of one identity; the order in which records
+// arrive makes no difference.
 type Record struct {
 	ID         ID      `msgpack:"d"`
 	Version    Version `msgpack:"v"`
 	State      State   `msgpack:"s,omitempty"`
 	Name       string  `msgpack:"n,omitempty"`
 	Address    string  `msgpack:"a,omitempty"` // host and port to dial
-	Accusers   []ID    `msgpack:"b,omitempty"` // of a suspect member: who hears nothing from it, at most maxAccusers; of a dead one: who declared it
-	AgeSeconds float64 `msgpack:"t,omitempty"` // since it is dead or has left, added up over the senders' clocks
-	Durable    bool    `msgpack:"k,omitempty"` // its state outlives the process, so it can be a voter
+	Accusers   []ID    `msgpack:"b,omitempty"` // of a suspect member: the members that receive nothing from it, at most maxAccusers; of a dead one: the member that declared it dead
+	AgeSeconds float64 `msgpack:"t,omitempty"` // time since it died or left, added up over the clocks of the senders
+	Durable    bool    `msgpack:"k,omitempty"` // its state survives restarts, so it can be a voter
 }
 
-// Bounds of a record that is accepted from a peer.
+// Bounds of the records that are accepted from peers.
 const (
 	maxIncarnation      = 1 << 62
 	maxNameLen          = 128
@@ -88,7 +88,7 @@
 	case c > 0:
 		return b, true
 	}
-	durable := a.Durable || b.Durable // a sender of an older release doesn't know the field and omits it
+	durable := a.Durable || b.Durable // senders of older releases don't know the field and omit it
 	if b.State > a.State {
 		if b.State == Suspect {
 			b.Accusers = mergeAccusers(a.Accusers, b.Accusers)
@@ -106,7 +106,7 @@
 	return a, changed
 }
 
-// mergeAccusers returns the union of two sets in the order of IDs, cut to the first maxAccusers.
+// mergeAccusers returns the union of two sets in the order of IDs, truncated to maxAccusers.
 func mergeAccusers(a, b []ID) []ID {
 	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
--- a/internal/decide/swim/stablerank.go
+++ b/internal/decide/swim/stablerank.go
@@ -1,21 +1,21 @@
 package swim
 
-// DeadHoldSeconds is for how long a dead member still counts for ranks.
+// DeadHoldSeconds is how long a dead member still counts in ranks.
 const DeadHoldSeconds = 8.0
 
 const (
-	stableSeconds   = 2.0 // for which a new rank must hold before it is used
-	maxDelaySeconds = 6.0 // after which the latest one is used though it keeps changing
-	maxScale        = 32  // by which the live count may exceed the configured one, or fall short of it
+	stableSeconds   = 2.0 // how long a new rank must be stable before it is used
+	maxDelaySeconds = 6.0 // how long at most a changing rank is ignored; then the latest one is used
+	maxScale        = 32  // factor by which the live count may exceed the configured one or fall below it
 )
 
-// StableRank is the rank of a member and the count that it is out of, as decisions use them. It follows View.Rank with a delay: a
-// change of rank or count changes the subset of servers, and with it connections and what is known of them. It is not safe for
-// concurrent use.
+// StableRank is the rank of a member and the number of ranked members, as decisions use them. It follows View.Rank with a delay, because
+// a change of rank or count changes the subset of servers, which discards connections and what is known about servers. It is not safe
+// for concurrent use.
 type StableRank struct {
 	ConfiguredRank, ConfiguredCount int // used while no other member is known
 	current, candidate              rankOf
-	candidateSince, divergedSince   float64 // since when candidate has held, and since when the rank has differed from current
+	candidateSince, divergedSince   float64 // when candidate was first observed, and since when the observed rank has differed from current
 	isDiverging                     bool
 }
 
@@ -36,8 +36,8 @@
 // IsConfigured reports whether Current returns the configured values.
 func (r *StableRank) IsConfigured() bool { return r.current.isConfigured }
 
-// Update takes the observed rank and count, and reports whether Current changed. A member that knows no other one (a count of 1) is
-// isolated and uses its configured values.
+// Update records the observed rank and count, and reports whether Current changed. A member that knows no other one (a count of 1) uses
+// its configured values.
 func (r *StableRank) Update(now float64, rank, count int) bool {
 	isAlone := count <= 1
 	configured := max(r.ConfiguredCount, 1)
--- a/internal/decide/swim/suspicion.go
+++ b/internal/decide/swim/suspicion.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// detectFailures closes links that are silent, makes watched members suspect whose silence lasted too long, and suspect ones dead
-// that are due. Members that need no more watching become inactive.
+// detectFailures closes silent links, suspects watched members that have been silent for too long, and declares suspect members dead
+// whose timeout has expired. Members that need no further checks become inactive.
 func (v *View) detectFailures() {
 	for _, e := range slices.Clone(v.active) {
 		if e.link != nil && v.now-e.lastHeard > linkTimeoutSeconds*float64(1+v.healthScore) {
-			// Danger: over a path that was interrupted TCP retransmits ever later, where a new link would be up at once.
+			// Danger: after an interruption of the network TCP backs off and retransmits late, while a new link would work at once.
 			e.watchedUntil, e.nextDial = v.now+watchGraceSeconds, v.now
 			v.dropLink(e.link)
 		}
@@ -35,15 +35,15 @@
 	return e.isNeighbor || e.link != nil || now < e.watchedUntil
 }
 
-// isSilent reports whether nothing was heard from a member for too long.
+// isSilent reports whether nothing was received from a member for too long.
 func (v *View) isSilent(e *entry) bool {
 	multiplier := float64(1 + v.healthScore)
 	silence := v.now - e.lastHeard
 	return silence > silenceTimeoutSeconds*multiplier || e.failedDials >= 2 && silence > refusedTimeoutSeconds*multiplier
 }
 
-// suspectSilent accuses a silent member, unless this one has done so already, enough others have, or a recent accusation by this one
-// alone was refuted.
+// suspectSilent accuses a silent member, unless this one has done so already, enough others have, or this one has accused it recently
+// and it is alive again.
 func (v *View) suspectSilent(e *entry) {
 	if slices.Contains(e.Accusers, v.self.ID) && e.State == Suspect || len(e.Accusers) >= maxAccusers {
 		return
@@ -58,7 +58,7 @@
 	v.accuse(e)
 }
 
-// accuse makes a member suspect if it is alive, adds this one to its accusers, and sends the record to all.
+// accuse makes a member suspect if it is alive, adds this one to its accusers, and queues the record for all links.
 func (v *View) accuse(e *entry) {
 	v.stats.Accusations++
 	v.changeEntry(e, true, func() {
@@ -71,8 +71,8 @@
 	v.enqueueUpdate(e, 0)
 }
 
-// scheduleDeath sets when a suspect member will be dead; more accusers make it sooner. If this member hears nothing from it either,
-// it joins the accusers.
+// scheduleDeath sets when a suspect member will be declared dead; more accusers make it sooner. If this member also receives nothing
+// from it, it joins the accusers.
 func (v *View) scheduleDeath(e *entry) {
 	if e.State != Suspect || e == v.self {
 		return
@@ -82,14 +82,15 @@
 		e.deadAt = at
 	}
 	v.activate(e)
-	// Danger: mutedUntil guards against faults of this member's own link. A member that others accuse too is not muted.
+	// Danger: mutedUntil guards against faults of this member's own link, so it doesn't apply if others accuse the member, too.
 	if len(e.Accusers) < maxAccusers && e.isWatched(v.now) && v.isSilent(e) && !slices.Contains(e.Accusers, v.self.ID) {
 		v.accuse(e)
 	}
 }
 
-// suspicionTimeout returns for how many seconds a member with so many accusers stays suspect. As in Lifeguard it falls with the
-// logarithm of their number, from maxSuspicionSeconds for one to minSuspicionSeconds for all that can accuse, maxAccusers at most.
+// suspicionTimeout returns for how many seconds a member stays suspect, given its number of accusers. As in Lifeguard it falls with the
+// logarithm of that number, from maxSuspicionSeconds for one accuser to minSuspicionSeconds for maxAccusers, or for all live members if
+// they are fewer.
 func (v *View) suspicionTimeout(accusers int) float64 {
 	able := 0 // members that can accuse, up to maxAccusers
 	for _, e := range v.entries {
--- a/internal/decide/swim/updates.go
+++ b/internal/decide/swim/updates.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// handleRecord merges a record that came over a link, and passes on what is new.
+// handleRecord merges a record that came over a link, and forwards it if it is news.
 func (v *View) handleRecord(r Record, from int) {
 	if !isValid(&r) {
 		v.stats.Rejected++
@@ -13,8 +13,9 @@
 	}
 	e := v.byID[r.ID]
 	if v.isFirstLink(from) {
-		// Danger: in a large fleet the peers after the first one report as many members, and earlier. Against what a new member
-		// knew before, which is itself alone, most of them would exceed the limit on newcomers for ten seconds.
+		// Danger: in a large fleet, other peers report the same members as the first one, possibly earlier. The limit on newcomers
+		// depends on how many members were known before, which is one for a new member, so without this most of them would be
+		// rejected for newcomerWindowSeconds.
 		v.newcomersBase++
 	}
 	switch {
@@ -23,7 +24,7 @@
 	case e == v.self:
 		v.handleOwnRecord(r)
 	case r.State == e.State && r.State != Suspect && r.Version == e.Version && (e.Durable || !r.Durable):
-		// Most records have arrived over another link before.
+		// Nothing new: most records have already arrived over another link.
 	default:
 		v.mergeRecord(e, r, from)
 	}
@@ -45,8 +46,8 @@
 
 // mergeRecord merges a record into that of a known member.
 //
-// Danger: a member that was partitioned off declared others dead that could not refute it, and comes back with that. So the death of a
-// member that is alive here counts as an accusation, with the time to refute it that the member would have had.
+// Danger: a partitioned member declares others dead that can't refute it, and sends these records when the partition ends. So a record
+// that declares a member dead that is alive here counts as an accusation, and the member gets minSuspicionSeconds to refute it.
 func (v *View) mergeRecord(e *entry, r Record, from int) {
 	isLateDeath := r.State == Dead && e.State == Alive && r.Version.Compare(e.Version) >= 0
 	if isLateDeath {
@@ -63,7 +64,7 @@
 	}
 }
 
-// applyMerged replaces the record of a member and passes it on.
+// applyMerged replaces the record of a member by a merged one and forwards it.
 func (v *View) applyMerged(e *entry, merged Record, ageSeconds float64, from int) {
 	if merged.Version != e.Version {
 		e.wasLinked = false
@@ -79,16 +80,16 @@
 	if hasRisen && !e.State.IsDeadOrLeft() {
 		e.deadAt = 0
 		if e.link == nil {
-			e.lastHeard = max(e.lastHeard, v.now-silenceTimeoutSeconds/2) // others have heard from it just now
+			e.lastHeard = max(e.lastHeard, v.now-silenceTimeoutSeconds/2) // others have received messages from it just now
 		}
 	}
 	v.scheduleDeath(e)
 	v.enqueueUpdate(e, from)
 }
 
-// admitNewcomer reports whether a member that was not known is accepted on the word of a link. Danger: one broken sidecar can report
-// thousands of members that don't exist, each of which would have to be probed before it is dead. A member that has just joined
-// accepts everything from its first link.
+// admitNewcomer reports whether a member that was not known is accepted from a link. Danger: one faulty sidecar can report thousands of
+// members that don't exist, each of which would have to be probed before it is dead. A member that has just joined accepts all members
+// from its first link.
 func (v *View) admitNewcomer(from int) bool {
 	if v.now >= v.newcomersSince+newcomerWindowSeconds || v.newcomersSince == 0 {
 		v.newcomersSince, v.newcomersBase, v.newcomersAdmitted = v.now, len(v.entries), 0
@@ -105,7 +106,7 @@
 	return number != 0 && number == v.firstLink && v.now < v.firstLinkAt+firstLinkTrustSeconds
 }
 
-// enqueueUpdate has the record of an entry sent over all links but the one that it came by; 0: over all.
+// enqueueUpdate queues the record of an entry for all links except the one with number from, over which it came; 0 means for all.
 func (v *View) enqueueUpdate(e *entry, from int) {
 	if e.isQueued {
 		if e.sourceLink != from {
@@ -117,7 +118,7 @@
 	v.updates = append(v.updates, e)
 }
 
-// recordOf returns the record of an entry as it is sent now.
+// recordOf returns the record of an entry as it would be sent now.
 func (v *View) recordOf(e *entry) Record {
 	r := e.Record
 	if r.State.IsDeadOrLeft() {
@@ -126,14 +127,14 @@
 	return r
 }
 
-// sendUpdates sends the queued updates. Danger: a link may end while something is sent over it, and the nested call of LinkDown has
-// sent all updates over the other links by then.
+// sendUpdates sends the queued updates. Danger: if a link breaks during Send, the caller calls LinkDown from within Send, and this
+// nested call sends all updates over the other links and empties the queue.
 func (v *View) sendUpdates() {
 	if len(v.updates) == 0 {
 		return
 	}
 	if !v.lostIdentity {
-		var common []*Message // for links over which no update came, usually all but one
+		var common []*Message // for links over which none of the updates came, usually all but one
 		for _, l := range slices.Clone(v.links) {
 			if len(v.updates) == 0 {
 				return
@@ -156,7 +157,7 @@
 	v.updates = v.updates[:0]
 }
 
-// updateMessages returns messages with the queued updates, without those that came over a link.
+// updateMessages returns messages with the queued updates, except those that came over the excluded link; 0 excludes none.
 func (v *View) updateMessages(excluded int) (all []*Message) {
 	records := make([]Record, 0, min(len(v.updates), maxRecordsPerMessage))
 	for _, e := range v.updates {
--- a/internal/decide/swim/view_test.go
+++ b/internal/decide/swim/view_test.go
@@ -9,15 +9,16 @@
 )
 
 func drawRecord(t *rapid.T) Record {
-	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "life")},
-		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Durable: rapid.Bool().Draw(t, "keeps")}
+	r := Record{ID: 1, Version: Version{Incarnation: rapid.Uint64Range(1, 3).Draw(t, "incarnation"), BootID: rapid.Uint64Range(1, 2).Draw(t, "boot ID")},
+		State: State(rapid.IntRange(0, int(Left)).Draw(t, "state")), Address: "a", Durable: rapid.Bool().Draw(t, "durable")}
 	if r.State == Suspect {
-		r.Accusers = mergeAccusers(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "by"), nil)
+		r.Accusers = mergeAccusers(rapid.SliceOfN(rapid.Map(rapid.Uint64Range(1, 5), func(n uint64) ID { return ID(n) }), 1, 3).Draw(t, "accusers"), nil)
 	}
 	return r
 }
 
-// In whatever order and however often records are merged, the result is the same.
+// TestMergeIsAJoin checks that Merge is commutative, associative and idempotent: the result doesn't depend on the order in which records
+// arrive, nor on how often.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawRecord(t), drawRecord(t), drawRecord(t)
@@ -39,8 +40,8 @@
 	})
 }
 
-// A rank follows with a delay: a change that does not last moves nothing, a lasting one does, a rank that keeps changing does in the
-// end, and a member that knows no other one uses its configured rank.
+// TestStableRank checks that a short change of the rank has no effect, a lasting one is adopted, a rank that keeps changing is adopted
+// from time to time, and a member that knows no other one uses its configured rank.
 func TestStableRank(t *testing.T) {
 	p := NewStableRank(4, 5)
 	now := 100.0
@@ -60,7 +61,7 @@
 	place(4, 5)
 	assert.Zero(t, see(0, 1, 30), "alone")
 	assert.True(t, p.IsConfigured())
-	assert.Equal(t, 1, see(4, 5, 10), "a rank differs from the configured one even if the numbers are equal")
+	assert.Equal(t, 1, see(4, 5, 10), "an observed rank replaces the configured one even if the numbers are equal")
 	assert.False(t, p.IsConfigured())
 	for range 20 {
 		assert.Zero(t, see(3, 5, 1)+see(4, 5, 1))
@@ -71,7 +72,7 @@
 	for i := range 40 {
 		moves += see(7, 61+i, 0.5)
 	}
-	assert.InDelta(t, 3, moves, 1, "while it keeps changing, from time to time")
+	assert.InDelta(t, 3, moves, 1, "a rank that keeps changing is adopted from time to time")
 	see(7, 100, 5)
 	place(7, 100)
 	see(0, 1, 5)
@@ -83,7 +84,7 @@
 	assert.Less(t, r, c)
 }
 
-// noActions carries out nothing.
+// noActions ignores all actions and counts the sent messages.
 type noActions struct{ sent int }
 
 func (*noActions) Dial(string)                       {}
@@ -100,11 +101,11 @@
 
 func (d *dialRecorder) Dial(address string) { d.addresses[address] = true }
 
-// breakingLinks ends one link when a record is sent over it, before Send returns, as a network does.
+// breakingLinks breaks one link when a record is sent over it: it calls LinkDown before Send returns, as a network may do.
 type breakingLinks struct {
 	noActions
 	view    *View
-	breaks  int
+	breaks  int         // number of the link that breaks; 0 after it broke
 	updates map[int]int // messages with records, by link
 }
 
@@ -118,7 +119,7 @@
 	}
 }
 
-// A link that ends while updates are sent over it neither stops them nor gets them twice.
+// TestLinkEndsDuringUpdates checks that the other links still get the updates if a link breaks while they are sent.
 func TestLinkEndsDuringUpdates(t *testing.T) {
 	for breaks := 1; breaks <= 5; breaks++ {
 		do := &breakingLinks{updates: map[int]int{}}
@@ -135,11 +136,12 @@
 		for number := 1; number <= 4; number++ {
 			assert.Positive(t, do.updates[number], "link %d, %d breaks", number, breaks)
 		}
-		assert.Equal(t, breaks == 5, do.breaks == 5, "the update is not sent back")
+		assert.Equal(t, breaks == 5, do.breaks == 5, "an update is not sent over the link that it came over")
 	}
 }
 
-// Links are kept to the requested members, to at most 16, and to none that is dead or left.
+// TestRequestLinks checks that links are kept to the requested members, but to at most maxRequestedLinks, and to none that is dead or
+// left.
 func TestRequestLinks(t *testing.T) {
 	do := &dialRecorder{addresses: map[string]bool{}}
 	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, do)
@@ -186,7 +188,8 @@
 	assert.LessOrEqual(t, left, ringCount)
 }
 
-// Whatever a peer sends, no call panics, no live member is forgotten for it, and the number of members stays bounded.
+// TestViewBoundsWhatPeersClaim checks that whatever peers send, no call panics, and ranks, the own incarnation and the number of members
+// stay within their bounds.
 func TestViewBoundsWhatPeersClaim(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self := Record{ID: 1, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "self", Address: "self:1"}
@@ -208,11 +211,11 @@
 				v.RequestLinks(now, []ID{ID(rapid.Uint64Range(0, 6).Draw(t, "wanted"))})
 				v.LinkDown(now, rapid.IntRange(2, number+1).Draw(t, "link"))
 			default:
-				m := &Message{Closing: rapid.IntRange(0, 9).Draw(t, "bye") == 0, BucketDigests: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "sums"))}
+				m := &Message{Closing: rapid.IntRange(0, 9).Draw(t, "closing") == 0, BucketDigests: make([]uint64, rapid.SampledFrom([]int{0, 3, 64}).Draw(t, "digests"))}
 				for range rapid.IntRange(0, 5).Draw(t, "records") {
 					r := drawRecord(t)
 					r.ID, r.AgeSeconds = ID(rapid.Uint64Range(0, 6).Draw(t, "id")), rapid.Float64Range(-1, 700).Draw(t, "age")
-					r.Version.Incarnation = rapid.SampledFrom([]uint64{0, 1 << 32, 1<<32 + 1, 1 << 61, 1<<64 - 1}).Draw(t, "of")
+					r.Version.Incarnation = rapid.SampledFrom([]uint64{0, 1 << 32, 1<<32 + 1, 1 << 61, 1<<64 - 1}).Draw(t, "incarnation")
 					m.Records = append(m.Records, r)
 				}
 				v.HandleMessage(now, rapid.IntRange(1, number+1).Draw(t, "link"), m)
@@ -232,8 +235,9 @@
 	})
 }
 
-// A member that joins a fleet of more members than it accepts as newcomers still learns of newcomers at once, though other peers
-// reported the fleet before its first link did. Members beyond twice the fleet are not accepted from other links.
+// TestNewMemberOfLargeFleetLearnsOfNewcomers checks a member that joins a fleet larger than the limit on newcomers. It must accept
+// further newcomers at once, even if other peers reported the fleet before its first link did. Members beyond twice the fleet are not
+// accepted from other links.
 func TestNewMemberOfLargeFleetLearnsOfNewcomers(t *testing.T) {
 	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, &noActions{})
 	record := func(id ID) Record { return Record{ID: id, Version: Version{1 << 32, 1}, Address: id.String()} }
@@ -245,11 +249,11 @@
 		m.Records = append(m.Records, record(id))
 	}
 	v.HandleMessage(100.1, 2, m)
-	require.Less(t, v.LiveCount(), maxNewcomers+10, "from other links alone")
+	require.Less(t, v.LiveCount(), maxNewcomers+10, "only from other links")
 	v.HandleMessage(100.2, 1, m)
 	require.Equal(t, 3+maxNewcomers+500, v.LiveCount())
 	v.HandleMessage(100.3, 2, &Message{Records: []Record{record(5000)}})
-	require.Equal(t, 4+maxNewcomers+500, v.LiveCount(), "a newcomer that another link reports first")
+	require.Equal(t, 4+maxNewcomers+500, v.LiveCount(), "a newcomer reported by another link")
 	for id := ID(10_000); id < 16_000; id++ {
 		v.HandleMessage(100.4, 2, &Message{Records: []Record{record(id)}})
 	}
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -16,7 +16,7 @@
 	return Record{ID: 0x0123456789abcdef, Version: Version{Incarnation: 5<<32 + 1, BootID: 7}, State: state, Name: "n1", Address: "127.0.0.1:7000", Accusers: []ID{3, 4}, AgeSeconds: 12.5, Durable: true}
 }
 
-// requireComplete fails where a field of a value, at any depth, is zero.
+// requireComplete fails if a field of a value, at any depth, is zero.
 func requireComplete(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	require.False(t, v.IsZero(), "%s is not set", path)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Messages keep their encoded form: processes of the release before are at the other end.
+// TestWireForm compares the encoding of messages with golden files, since peers may run the previous release.
 func TestWireForm(t *testing.T) {
 	for name, value := range map[string]any{
 		"hello":   Hello{Self: wireRecord(Suspect), Heartbeat: Heartbeat{Digest: 9, Wanted: true}},
@@ -54,7 +54,7 @@
 	}
 }
 
-// The counts keep the form in which the admin endpoint answers with them.
+// TestFiguresForm compares the JSON encoding of Stats, which the admin endpoint returns, with a golden file.
 func TestFiguresForm(t *testing.T) {
 	value := Stats{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Rejected: 5, Syncs: 6}
 	requireComplete(t, "figures", reflect.ValueOf(value))
@@ -68,7 +68,7 @@
 	assert.Equal(t, value, decoded)
 }
 
-// The numbers of states are sent, and their names and that of an identity are shown.
+// TestWireNumbersAndNames checks the numbers of states, which are sent, and the strings of states and IDs, which are shown to operators.
 func TestWireNumbersAndNames(t *testing.T) {
 	assert.Equal(t, []State{0, 1, 2, 3}, []State{Alive, Suspect, Dead, Left})
 	var names []string
