--- a/internal/decide/tokenlease/bench_test.go
+++ b/internal/decide/tokenlease/bench_test.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// BenchmarkRequest pays requests of so many tenants in turn, with lessors that reply at once.
+// BenchmarkRequest admits requests of several tenants in turn, with lessors that reply at once.
 func BenchmarkRequest(b *testing.B) {
 	for _, tenants := range []int{1, 16, 200} {
 		b.Run(fmt.Sprint(tenants, " tenants"), func(b *testing.B) {
--- a/internal/decide/tokenlease/calls.go
+++ b/internal/decide/tokenlease/calls.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// buildCall returns the next request to a share's lessor. It is needed where waiters need tokens, or something is to be reported or renewed; it then carries what can
-// be reported anyway.
+// buildCall returns the next request to a share's lessor, if one is needed: waiters need tokens, or something has to be reported or renewed.
+// The request then contains everything else that can be reported.
 func (l *Lessee) buildCall(now float64, share int) (call Call, isNeeded bool) {
 	state := &l.shares[share]
 	if state.isCalling || state.unavailableUntil > now {
@@ -29,7 +29,7 @@
 	return Call{request, now}, true
 }
 
-// buildReport returns the report of a tenant's lease of a share, if there is something to be reported, renewed or asked for.
+// buildReport returns the report of a tenant's lease of a share, if there is something to report, renew or ask for.
 func (l *Lessee) buildReport(now float64, funds *wallet, share int) (report Report, isNeeded bool) {
 	state := &l.shares[share]
 	need := l.needFrom(now, funds, share)
@@ -47,7 +47,7 @@
 	return Report{Tenant: funds.tenant, LeaseID: entry.id, Spent: entry.spent, Returned: entry.returned, Need: need, Reserve: reserve}, true
 }
 
-// dueAt returns when the lease is to be reported or renewed.
+// dueAt returns when the lease has to be reported or renewed.
 func (l *lease) dueAt() float64 {
 	if l.hasUnreported() {
 		return min(l.unreportedSince+reportSeconds, l.renewAt())
@@ -55,7 +55,7 @@
 	return l.renewAt()
 }
 
-// renewAt returns when the lease is to be renewed, never if it holds nothing.
+// renewAt returns when the lease has to be renewed, +Inf if it holds no tokens.
 func (l *lease) renewAt() float64 {
 	if l.balance() <= 0 {
 		return math.Inf(1)
@@ -63,7 +63,8 @@
 	return l.validUntil - (1-renewFraction)*LeaseSeconds
 }
 
-// needFrom returns the tokens that a tenant's waiters need from a share: what no other lessor was asked for in time, if this one is to be asked next.
+// needFrom returns the tokens that a tenant's waiters need from a share. These are 0 if another share is to be asked next, and don't include
+// what calls have asked for within the last hedgeSeconds.
 func (l *Lessee) needFrom(now float64, funds *wallet, share int) int64 {
 	if len(funds.waiters) == 0 || l.nextShare(now, funds) != share {
 		return 0
@@ -71,8 +72,8 @@
 	return max(funds.waiting()-funds.askedInTime(&l.shares, now-hedgeSeconds), 0)
 }
 
-// reserveFrom returns the tokens that are wanted from a share for requests to come: from the home share, and from one that is asked for what waiters need since the
-// home share has none.
+// reserveFrom returns the tokens that are wanted from a share for future requests. Only the home share is asked for them, and a share that is
+// asked for what waiters need in its place.
 func (l *Lessee) reserveFrom(now float64, funds *wallet, share int, need int64) int64 {
 	if share != l.home && need == 0 || funds.refused[share].until > now {
 		return 0
@@ -88,21 +89,21 @@
 func (l *Lessee) HandleReply(now float64, call Call, reply *Reply) {
 	state := l.endCall(call)
 	if reply.Token < state.token {
-		return // of a lessor that was replaced
+		return // the lessor was replaced
 	}
 	state.token = reply.Token
 	if call.Request.Token != 0 && call.Request.Token != reply.Token {
-		return // the leases are of the lessor before: new ones are begun with the next call
+		return // the leases are of the previous lessor; the next call begins new ones
 	}
-	// Danger: the lessor counts what it has granted as outstanding for LeaseSeconds and a margin from the receipt on. Nothing may be spent of a reply that
-	// took longer.
+	// Danger: the lessor counts what it grants as outstanding for LeaseSeconds plus a margin after it received the request. If the reply took
+	// longer, nothing of it may be spent.
 	validUntil := call.sentAt + LeaseSeconds
 	if now >= validUntil {
 		return
 	}
 	reports := call.Request.Reports
 	for _, grant := range reply.Grants {
-		// Grants are in the order of the reports; those of some tenants may be missing.
+		// Grants have the order of the reports, but tenants may be missing.
 		i := slices.IndexFunc(reports, func(r Report) bool { return r.Tenant == grant.Tenant })
 		funds := l.byTenant[grant.Tenant]
 		if i >= 0 && funds != nil && reports[i].LeaseID == grant.LeaseID {
@@ -114,7 +115,7 @@
 	l.noteChange(now)
 }
 
-// applyGrant applies the answer to a report of a lease.
+// applyGrant applies the grant that answers a report.
 func (w *wallet) applyGrant(now float64, share int, token uint64, validUntil float64, report Report, grant Grant) {
 	w.refused[share] = refusal{}
 	if grant.RetrySeconds > 0 {
@@ -138,13 +139,13 @@
 	}
 }
 
-// HandleNoReply handles that a call was not answered, or by a process that is not the lessor.
+// HandleNoReply handles a call without a reply from the share's lessor: it timed out, or the process that was called is not the lessor.
 func (l *Lessee) HandleNoReply(now float64, call Call) {
 	l.endCall(call).unavailableUntil = now + unavailableSeconds
 	l.noteChange(now)
 }
 
-// endCall notes that a call is no longer in flight.
+// endCall records that a call is no longer in flight.
 func (l *Lessee) endCall(call Call) *shareState {
 	state := &l.shares[call.Request.Share]
 	state.isCalling = false
@@ -156,8 +157,8 @@
 	return state
 }
 
-// nextDecision returns when something can be done for the waiters if nothing else happens, +Inf for never: a request's time is over, or another lessor can be asked
-// since one is slow or can be asked again.
+// nextDecision returns when Step can next do something for the waiters if no other call comes before, +Inf if never: a deadline passes, a
+// call becomes slow so that another lessor may be asked, or a lessor may be asked again.
 func (l *Lessee) nextDecision(now float64) float64 {
 	next := math.Inf(1)
 	if len(l.waiting) == 0 {
--- a/internal/decide/tokenlease/export_test.go
+++ b/internal/decide/tokenlease/export_test.go
@@ -1,6 +1,6 @@
 package tokenlease
 
-// Spendable returns the tokens of a tenant that the lessee can still spend.
+// Spendable returns the tokens of a tenant that the lessee can still spend, including those reserved for requests.
 func (l *Lessee) Spendable(now float64, tenant string) (sum int64) {
 	funds := l.byTenant[tenant]
 	if funds == nil {
--- a/internal/decide/tokenlease/lessee.go
+++ b/internal/decide/tokenlease/lessee.go
@@ -6,39 +6,39 @@
 )
 
 const (
-	// reportSeconds is how long spent or returned tokens may stay unreported. Until then they count as outstanding.
+	// reportSeconds is how long spent or returned tokens may stay unreported. Until they are reported, the lessor counts them as outstanding.
 	reportSeconds = 0.3
-	// hedgeSeconds is how long waiters wait for the reply of one lessor before another one is asked as well.
+	// hedgeSeconds is how long waiters wait for the reply of one lessor before another one is asked, too.
 	hedgeSeconds = 0.03
 	// unavailableSeconds is how long a lessor that has not replied is not asked.
 	unavailableSeconds = 0.25
-	// renewFraction is the part of a lease after which it is renewed, if it holds tokens.
+	// renewFraction is the fraction of its duration after which a lease that holds tokens is renewed.
 	renewFraction = 0.5
-	// renewAheadSeconds is how long before that it is renewed with a call that is made anyway.
+	// renewAheadSeconds is how much earlier a lease is renewed if a call to its lessor is made anyway.
 	renewAheadSeconds = 0.5
-	// maintainSeconds is how long after a change the leases are looked through for what has become due.
+	// maintainSeconds is the delay between a change and the call of maintain that follows it.
 	maintainSeconds = 0.1
 )
 
 // Ticket identifies a request that waits for its decision.
 type Ticket uint64
 
-// Refusal is why a request is not admitted.
+// Refusal is the reason why a request is not admitted.
 type Refusal int
 
 // The refusals.
 const (
 	Admitted     Refusal = iota // it is not refused
-	OverLimit                   // its tenant is at its limit, as all lessors have said
-	NotAvailable                // a lessor could not be asked, or doesn't know yet whether the tenant is at its limit
+	OverLimit                   // its tenant is at its limit, as most lessors have replied
+	NotAvailable                // too few lessors have replied or know yet whether the tenant is at its limit
 )
 
 // Decision is the decision about a request.
 type Decision struct {
 	Ticket       Ticket
 	Refusal      Refusal
-	Payment      Payment // of an admitted request: it has to be passed to Commit or Refund
-	RetrySeconds float64 // of a refused one: when there may be tokens again
+	Payment      Payment // of an admitted request; the host must pass it to Commit or Refund
+	RetrySeconds float64 // of a refused request: the time until there may be tokens again
 }
 
 // Payment is the tokens that a request was paid with.
@@ -53,33 +53,33 @@
 	tokens  int64
 }
 
-// Lessee pays requests from tokens that it has leased. Its host calls Step after each other call, sends the requests that Step returns, and passes their replies to
-// HandleReply or HandleNoReply.
+// Lessee pays for requests with tokens that it has leased. Its host calls Step after each call of another method, sends the requests that Step
+// returns, and calls HandleReply or HandleNoReply for each.
 type Lessee struct {
 	name        string
 	home        int
-	wallets     []*wallet          // of the tenants with leases, waiters or demand
-	byTenant    map[string]*wallet // the same
-	waiting     []*wallet          // those with waiters
+	wallets     []*wallet          // one for each tenant with leases, waiters or recent demand
+	byTenant    map[string]*wallet // wallets by tenant
+	waiting     []*wallet          // the wallets with waiters
 	shares      [Shares]shareState
 	lastLeaseID uint64
 	lastTicket  Ticket
 	decided     []Decision // since the last Step
-	// unavailableAt is when a request was last refused since a lessor could not be asked; 0: never.
+	// unavailableAt is when a request was last refused as NotAvailable; 0 if never.
 	unavailableAt float64
-	maintainAt    float64 // when maintain is due, +Inf: never
+	maintainAt    float64 // when maintain is due; +Inf if it is not
 }
 
-// shareState is what a lessee knows of a share's lessor.
+// shareState is what a lessee knows of the lessor of a share.
 type shareState struct {
 	token            uint64 // highest fencing token of a reply
-	isDue            bool   // there is something to be reported or renewed
+	isDue            bool   // there is something to report or renew
 	isCalling        bool   // a request is in flight
 	calledAt         float64
 	unavailableUntil float64
 }
 
-// Call is a request to be sent, at most one for each share at a time.
+// Call is a request to send. At most one per share is in flight.
 type Call struct {
 	Request Request
 	sentAt  float64
@@ -89,18 +89,19 @@
 type Output struct {
 	Calls     []Call
 	Decisions []Decision
-	WaitUntil float64 // time of the next Step, if nothing else happens before; 0: none is needed
+	WaitUntil float64 // when to call Step next if nothing else happens before; 0 if that is not needed
 }
 
-// NewLessee returns a lessee without leases. name is that of the run of a process, which no other run has.
+// NewLessee returns a lessee without leases. name must be unique for each run of a process.
 func NewLessee(name string) *Lessee {
 	return &Lessee{name: name, byTenant: map[string]*wallet{}, maintainAt: math.Inf(1)}
 }
 
-// SetHome sets the share that is asked first. Lessees are to be spread evenly over the shares.
+// SetHome sets the share that is asked first. The hosts should distribute their lessees evenly over the shares.
 func (l *Lessee) SetHome(share int) { l.home = share % Shares }
 
-// Admit has a request wait for cost tokens of its tenant until the deadline. A Step returns the decision, most often the next one.
+// Admit enqueues a request that needs cost tokens of its tenant and may wait until the deadline. Step returns the decision, usually the next
+// one.
 func (l *Lessee) Admit(now float64, tenant string, cost int64, deadline float64) Ticket {
 	funds := l.byTenant[tenant]
 	if funds == nil {
@@ -117,15 +118,15 @@
 	return l.lastTicket
 }
 
-// ExpectsAdmission reports whether a request of a tenant that waits is most likely to be admitted: none of its tenant was refused lately, and none at all for want of
-// a lessor.
+// ExpectsAdmission reports whether a waiting request of a tenant is likely to be admitted: recently, no request of the tenant was refused, and
+// no request at all as NotAvailable.
 func (l *Lessee) ExpectsAdmission(now float64, tenant string) bool {
 	funds := l.byTenant[tenant]
 	isRefused := funds != nil && funds.refusedAt > 0 && now-funds.refusedAt < competitorSeconds
 	return !isRefused && (l.unavailableAt == 0 || now-l.unavailableAt >= competitorSeconds)
 }
 
-// Cancel ends the wait of a request without a decision. It returns false where the decision was made.
+// Cancel removes a waiting request without a decision. It returns false if the decision was already made.
 func (l *Lessee) Cancel(tenant string, ticket Ticket) bool {
 	funds := l.byTenant[tenant]
 	if funds == nil {
@@ -136,7 +137,7 @@
 	return len(funds.waiters) < waiting
 }
 
-// Commit has the tokens of a payment count as spent: its request may reach a server.
+// Commit counts the tokens of a payment as spent, because its request may reach a server.
 func (l *Lessee) Commit(now float64, payment Payment) {
 	l.noteChange(now)
 	l.forEachPart(payment, func(paid *lease, tokens int64) {
@@ -146,9 +147,9 @@
 	})
 }
 
-// Refund has the tokens of a payment be available again, as far as their leases have not ended: its request reaches no server.
+// Refund makes the tokens of a payment available again, unless their leases have ended, because its request reaches no server.
 func (l *Lessee) Refund(payment Payment) {
-	l.maintainAt = math.Inf(-1) // with the next Step
+	l.maintainAt = math.Inf(-1) // at the next Step
 	l.forEachPart(payment, func(paid *lease, tokens int64) { paid.reserved -= tokens })
 }
 
@@ -165,7 +166,7 @@
 	}
 }
 
-// ReturnAll returns all that is not spent, with the calls of the next Step. It is for a process that shuts down.
+// ReturnAll returns all unspent tokens with the calls of the next Step. It is for a process that shuts down.
 func (l *Lessee) ReturnAll(now float64) {
 	for _, funds := range l.wallets {
 		for _, entry := range funds.leases {
@@ -176,10 +177,10 @@
 	l.maintainAt = now
 }
 
-// noteChange has the leases looked through soon.
+// noteChange schedules a call of maintain.
 func (l *Lessee) noteChange(now float64) { l.maintainAt = min(l.maintainAt, now+maintainSeconds) }
 
-// Step decides what can be decided at a time, and returns the requests to be sent.
+// Step makes all decisions that can be made now, and returns them and the requests to send.
 func (l *Lessee) Step(now float64) Output {
 	if now >= l.maintainAt {
 		l.maintain(now)
@@ -187,7 +188,7 @@
 	l.waiting = slices.DeleteFunc(l.waiting, func(funds *wallet) bool {
 		funds.dropEnded(now)
 		l.decide(now, funds)
-		if len(funds.waiters) == 0 && funds.returnUnkept(now) {
+		if len(funds.waiters) == 0 && funds.returnRecoveryGrants(now) {
 			l.maintainAt = now
 		}
 		return len(funds.waiters) == 0
@@ -208,19 +209,19 @@
 	return out
 }
 
-// maintain ends leases, returns what is not needed, and notes which shares have something to be reported or renewed.
+// maintain drops ended leases and idle wallets, returns tokens that are not needed, and marks the shares with something to report or renew.
 func (l *Lessee) maintain(now float64) {
 	l.maintainAt = math.Inf(1)
 	l.wallets = slices.DeleteFunc(l.wallets, func(funds *wallet) bool {
 		funds.dropEnded(now)
 		if len(funds.waiters) == 0 {
-			funds.returnUnkept(now)
+			funds.returnRecoveryGrants(now)
 			funds.returnSurplus(now, l.home)
 		}
 		for _, entry := range funds.leases {
 			state := &l.shares[entry.share]
 			switch due := entry.dueAt(); {
-			case entry.token != state.token: // its lessor is gone
+			case entry.token != state.token: // its lessor was replaced
 			case due <= now:
 				state.isDue = true
 			default:
@@ -235,7 +236,8 @@
 	})
 }
 
-// decide admits the waiters of a tenant whose tokens are there, in their order, and refuses those for whom no lessor can have any in time.
+// decide admits the waiters of a tenant in their order while there are tokens, and refuses those whose deadline has passed or for whom there is
+// no lessor left to ask.
 func (l *Lessee) decide(now float64, funds *wallet) {
 	for len(funds.waiters) > 0 {
 		first := funds.waiters[0]
@@ -257,7 +259,7 @@
 	}
 }
 
-// isAwaiting reports whether a call is in flight that asks for a tenant's tokens.
+// isAwaiting reports whether a call in flight asks for tokens for a tenant's waiters.
 func (l *Lessee) isAwaiting(funds *wallet) bool {
 	for share := range l.shares {
 		if l.shares[share].isCalling && funds.asked[share] > 0 {
@@ -267,8 +269,8 @@
 	return false
 }
 
-// explainRefusal returns why a tenant's request is refused, and when there may be tokens again. The tenant counts as at its limit where most lessors have
-// said so lately: the others may be gone, or may have been about to be asked.
+// explainRefusal returns why a tenant's request is refused, and the time until there may be tokens again. The tenant counts as at its limit if
+// most lessors have recently said so: the others may be unavailable, or may not have been asked yet.
 func (l *Lessee) explainRefusal(now float64, funds *wallet) (reason Refusal, retrySeconds float64) {
 	atLimit, retrySeconds := 0, maxRetrySeconds
 	for _, refused := range funds.refused {
@@ -287,8 +289,9 @@
 	return reason, max(retrySeconds, minRetrySeconds)
 }
 
-// nextShare returns the share to ask for a tenant's tokens next: the home share, or those after it where it has refused or doesn't reply. It returns -1 where there
-// is none to ask. A share with a call in flight counts, since its lessor can be asked soon.
+// nextShare returns the share to ask next for a tenant's tokens: the home share, or the first one after it that has not refused and whose lessor
+// replies. It returns -1 if there is none. A share with a call in flight may be returned while the call is not slow, since its lessor can be
+// asked again soon.
 func (l *Lessee) nextShare(now float64, funds *wallet) int {
 	for i := range Shares {
 		share := (l.home + i) % Shares
--- a/internal/decide/tokenlease/lessee_test.go
+++ b/internal/decide/tokenlease/lessee_test.go
@@ -9,13 +9,13 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// pair is a lessee with the lessors of all shares, which reply at once.
+// pair is a lessee and the lessors of all shares, which reply at once.
 type pair struct {
 	t       *testing.T
 	lessee  *tokenlease.Lessee
-	lessors [tokenlease.Shares]*tokenlease.Lessor // nil: it does not reply
+	lessors [tokenlease.Shares]*tokenlease.Lessor // nil for one that doesn't reply
 	calls   int
-	lost    bool // replies are lost
+	lost    bool // all replies are lost
 }
 
 func newPair(t *testing.T) *pair {
@@ -26,7 +26,7 @@
 	return p
 }
 
-// step calls Step until it has nothing to send, and returns the decisions.
+// step calls Step and executes its calls until there are none, and returns the decisions.
 func (p *pair) step(now float64) (decisions []tokenlease.Decision) {
 	p.t.Helper()
 	for range 20 {
@@ -48,11 +48,11 @@
 			}
 		}
 	}
-	require.Fail(p.t, "it calls again and again")
+	require.Fail(p.t, "Step returns calls without end")
 	return nil
 }
 
-// answer has the lessor of a call's share handle it.
+// answer passes a call to the lessor of its share.
 func (p *pair) answer(now float64, call tokenlease.Call) (*tokenlease.Reply, error) {
 	lessor := p.lessors[call.Request.Share]
 	if lessor == nil {
@@ -61,7 +61,7 @@
 	return lessor.Handle(now, &call.Request, func(string) tokenlease.Limit { return testLimit })
 }
 
-// ask has a request arrive, and returns its decision.
+// ask admits a request and returns its decision.
 func (p *pair) ask(now float64, cost int64) tokenlease.Decision {
 	p.t.Helper()
 	ticket := p.lessee.Admit(now, "acme", cost, now+waitSeconds)
@@ -76,73 +76,73 @@
 
 func TestRequestIsPaidFromAllSharesTogether(t *testing.T) {
 	p := newPair(t)
-	assert.Equal(t, tokenlease.Admitted, p.ask(grownUp, 750*tokenlease.Shares).Refusal)
-	assert.Equal(t, tokenlease.OverLimit, p.ask(grownUp, 750*tokenlease.Shares).Refusal)
+	assert.Equal(t, tokenlease.Admitted, p.ask(recoveredAt, 750*tokenlease.Shares).Refusal)
+	assert.Equal(t, tokenlease.OverLimit, p.ask(recoveredAt, 750*tokenlease.Shares).Refusal)
 }
 
-func TestRefusalSaysWhy(t *testing.T) {
+func TestRefusalReason(t *testing.T) {
 	p := newPair(t)
 	for share := range 3 {
 		p.lessors[share] = nil
 	}
-	decision := p.ask(grownUp, 750*tokenlease.Shares)
-	assert.Equal(t, tokenlease.NotAvailable, decision.Refusal, "nobody knows that the tenant is at its limit")
+	decision := p.ask(recoveredAt, 750*tokenlease.Shares)
+	assert.Equal(t, tokenlease.NotAvailable, decision.Refusal, "too few lessors know that the tenant is at its limit")
 	p = newPair(t)
-	assert.Equal(t, tokenlease.NotAvailable, p.ask(0.1, 700).Refusal, "nor do lessors that have begun a moment ago")
+	assert.Equal(t, tokenlease.NotAvailable, p.ask(0.1, 700).Refusal, "lessors that have just started don't know it either")
 	p = newPair(t)
 	p.lessors[0] = nil
-	decision = p.ask(grownUp, 750*tokenlease.Shares)
-	assert.Equal(t, tokenlease.OverLimit, decision.Refusal, "most say that it is at its limit")
+	decision = p.ask(recoveredAt, 750*tokenlease.Shares)
+	assert.Equal(t, tokenlease.OverLimit, decision.Refusal, "most lessors say that it is at its limit")
 	assert.Positive(t, decision.RetrySeconds)
 }
 
 func TestLostReplyLosesNoTokens(t *testing.T) {
 	p := newPair(t)
 	p.lost = true
-	require.Equal(t, tokenlease.NotAvailable, p.ask(grownUp, 700*tokenlease.Shares).Refusal)
+	require.Equal(t, tokenlease.NotAvailable, p.ask(recoveredAt, 700*tokenlease.Shares).Refusal)
 	p.lost = false
-	assert.Equal(t, tokenlease.Admitted, p.ask(grownUp+0.5, 700*tokenlease.Shares).Refusal, "what was granted then comes with the next reply")
+	assert.Equal(t, tokenlease.Admitted, p.ask(recoveredAt+0.5, 700*tokenlease.Shares).Refusal, "tokens of the lost reply arrive with the next one")
 }
 
 func TestNothingIsSpentOfALeaseThatHasEnded(t *testing.T) {
 	p := newPair(t)
-	paid := p.ask(grownUp, 500)
+	paid := p.ask(recoveredAt, 500)
 	p.lessee.Refund(paid.Payment)
 	p.lessors = [tokenlease.Shares]*tokenlease.Lessor{}
-	assert.Equal(t, tokenlease.Admitted, p.ask(grownUp+0.9*tokenlease.LeaseSeconds, 400).Refusal, "cut off, it spends what it holds")
-	assert.Equal(t, tokenlease.NotAvailable, p.ask(grownUp+tokenlease.LeaseSeconds, 10).Refusal)
+	assert.Equal(t, tokenlease.Admitted, p.ask(recoveredAt+0.9*tokenlease.LeaseSeconds, 400).Refusal, "without lessors it can spend what it holds")
+	assert.Equal(t, tokenlease.NotAvailable, p.ask(recoveredAt+tokenlease.LeaseSeconds, 10).Refusal)
 }
 
 func TestRefundedTokensAreThereForTheNextRequest(t *testing.T) {
 	p := newPair(t)
 	for i := range 20 {
-		now := grownUp + 0.001*float64(i)
+		now := recoveredAt + 0.001*float64(i)
 		decision := p.ask(now, 3000)
 		require.Equal(t, tokenlease.Admitted, decision.Refusal)
 		p.lessee.Refund(decision.Payment)
 	}
-	assert.EqualValues(t, 3000, p.lessee.Spendable(grownUp+0.1, "acme"))
+	assert.EqualValues(t, 3000, p.lessee.Spendable(recoveredAt+0.1, "acme"))
 }
 
 func TestSurplusIsHandedBack(t *testing.T) {
 	p := newPair(t)
-	decision := p.ask(grownUp, 3000)
+	decision := p.ask(recoveredAt, 3000)
 	p.lessee.Refund(decision.Payment)
-	for now := grownUp + 0.2; now < grownUp+20; now += 0.2 {
+	for now := recoveredAt + 0.2; now < recoveredAt+20; now += 0.2 {
 		p.step(now)
 	}
-	assert.Zero(t, p.lessee.Spendable(grownUp+20, "acme"))
+	assert.Zero(t, p.lessee.Spendable(recoveredAt+20, "acme"))
 	for _, lessor := range p.lessors {
-		assert.InDelta(t, 1000, lessor.Grantable(grownUp+20, "acme", testLimit), 1)
+		assert.InDelta(t, 1000, lessor.Grantable(recoveredAt+20, "acme", testLimit), 1)
 	}
 	calls := p.calls
-	for now := grownUp + 20; now < grownUp+60; now += 0.2 {
+	for now := recoveredAt + 20; now < recoveredAt+60; now += 0.2 {
 		p.step(now)
 	}
-	assert.Equal(t, calls, p.calls, "a tenant without requests costs no messages")
+	assert.Equal(t, calls, p.calls, "there are no calls for a tenant without requests")
 }
 
-func TestGrantsOfALessorThatHasJustBegunAreNotKept(t *testing.T) {
+func TestGrantsOfARecoveringLessorAreReturned(t *testing.T) {
 	p := newPair(t)
 	decision := p.ask(0.2, 500)
 	require.Equal(t, tokenlease.Admitted, decision.Refusal)
@@ -156,71 +156,71 @@
 	assert.InDelta(t, 200*tokenlease.Shares, sum, 1)
 }
 
-func TestReturnAllIsForShutdown(t *testing.T) {
+func TestReturnAllReturnsUnspentTokens(t *testing.T) {
 	p := newPair(t)
-	decision := p.ask(grownUp, 3000)
+	decision := p.ask(recoveredAt, 3000)
 	p.lessee.Refund(decision.Payment)
-	p.lessee.ReturnAll(grownUp + 0.01)
-	p.step(grownUp + 0.01)
+	p.lessee.ReturnAll(recoveredAt + 0.01)
+	p.step(recoveredAt + 0.01)
 	for _, lessor := range p.lessors {
-		assert.InDelta(t, 1000, lessor.Grantable(grownUp+0.01, "acme", testLimit), 1)
+		assert.InDelta(t, 1000, lessor.Grantable(recoveredAt+0.01, "acme", testLimit), 1)
 	}
 }
 
-func TestDelayedReplyProlongsNoLease(t *testing.T) {
+func TestDelayedReplyDoesNotExtendTheLease(t *testing.T) {
 	p := newPair(t)
-	p.lessee.Admit(grownUp, "acme", 500, grownUp+10)
-	out := p.lessee.Step(grownUp)
+	p.lessee.Admit(recoveredAt, "acme", 500, recoveredAt+10)
+	out := p.lessee.Step(recoveredAt)
 	require.Len(t, out.Calls, 1)
-	reply, err := p.answer(grownUp, out.Calls[0])
+	reply, err := p.answer(recoveredAt, out.Calls[0])
 	require.NoError(t, err)
-	p.lessee.HandleReply(grownUp+2.9, out.Calls[0], reply)
-	assert.EqualValues(t, 500, p.lessee.Spendable(grownUp+2.9, "acme"))
-	assert.Zero(t, p.lessee.Spendable(grownUp+tokenlease.LeaseSeconds, "acme"), "it ends by the time of the request")
+	p.lessee.HandleReply(recoveredAt+2.9, out.Calls[0], reply)
+	assert.EqualValues(t, 500, p.lessee.Spendable(recoveredAt+2.9, "acme"))
+	assert.Zero(t, p.lessee.Spendable(recoveredAt+tokenlease.LeaseSeconds, "acme"), "the lease is measured from the time of the request")
 
 	p = newPair(t)
-	p.lessee.Admit(grownUp, "acme", 500, grownUp+10)
-	out = p.lessee.Step(grownUp)
-	reply, err = p.answer(grownUp, out.Calls[0])
+	p.lessee.Admit(recoveredAt, "acme", 500, recoveredAt+10)
+	out = p.lessee.Step(recoveredAt)
+	reply, err = p.answer(recoveredAt, out.Calls[0])
 	require.NoError(t, err)
-	p.lessee.HandleReply(grownUp+tokenlease.LeaseSeconds, out.Calls[0], reply)
-	assert.Zero(t, p.lessee.Spendable(grownUp+tokenlease.LeaseSeconds, "acme"))
+	p.lessee.HandleReply(recoveredAt+tokenlease.LeaseSeconds, out.Calls[0], reply)
+	assert.Zero(t, p.lessee.Spendable(recoveredAt+tokenlease.LeaseSeconds, "acme"))
 }
 
 func TestReplyOfAReplacedLessorGrantsNothing(t *testing.T) {
 	p := newPair(t)
-	p.lessee.Admit(grownUp, "acme", 500, grownUp+10)
-	old := p.lessee.Step(grownUp).Calls[0]
-	late, err := p.answer(grownUp, old)
+	p.lessee.Admit(recoveredAt, "acme", 500, recoveredAt+10)
+	old := p.lessee.Step(recoveredAt).Calls[0]
+	late, err := p.answer(recoveredAt, old)
 	require.NoError(t, err)
-	p.lessee.HandleNoReply(grownUp+0.1, old)
+	p.lessee.HandleNoReply(recoveredAt+0.1, old)
 	p.lessors[0] = tokenlease.NewLessor(8, testAllowance, 0, 0)
-	decisions := p.step(grownUp + 0.5)
+	decisions := p.step(recoveredAt + 0.5)
 	require.Len(t, decisions, 1)
-	held := p.lessee.Spendable(grownUp+0.5, "acme")
-	p.lessee.HandleReply(grownUp+0.6, old, late)
-	assert.Equal(t, held, p.lessee.Spendable(grownUp+0.6, "acme"))
+	held := p.lessee.Spendable(recoveredAt+0.5, "acme")
+	p.lessee.HandleReply(recoveredAt+0.6, old, late)
+	assert.Equal(t, held, p.lessee.Spendable(recoveredAt+0.6, "acme"))
 }
 
 func TestNewLessorIsAskedWithNewLeases(t *testing.T) {
 	p := newPair(t)
-	require.Equal(t, tokenlease.Admitted, p.ask(grownUp, 500).Refusal)
+	require.Equal(t, tokenlease.Admitted, p.ask(recoveredAt, 500).Refusal)
 	for share := range p.lessors {
 		p.lessors[share] = tokenlease.NewLessor(8, testAllowance, 0, 0)
 	}
-	assert.Equal(t, tokenlease.Admitted, p.ask(grownUp+1, 500).Refusal)
+	assert.Equal(t, tokenlease.Admitted, p.ask(recoveredAt+1, 500).Refusal)
 }
 
 func TestRequestsOfATenantAreDecidedInTheirOrder(t *testing.T) {
 	p := newPair(t)
-	large := p.lessee.Admit(grownUp, "acme", 750*tokenlease.Shares+1, grownUp+waitSeconds)
-	small := p.lessee.Admit(grownUp, "acme", 10, grownUp+waitSeconds)
-	decisions := append(p.step(grownUp), p.step(grownUp+waitSeconds)...)
+	large := p.lessee.Admit(recoveredAt, "acme", 750*tokenlease.Shares+1, recoveredAt+waitSeconds)
+	small := p.lessee.Admit(recoveredAt, "acme", 10, recoveredAt+waitSeconds)
+	decisions := append(p.step(recoveredAt), p.step(recoveredAt+waitSeconds)...)
 	require.Len(t, decisions, 2)
 	assert.Equal(t, []tokenlease.Ticket{large, small}, []tokenlease.Ticket{decisions[0].Ticket, decisions[1].Ticket})
 	assert.Equal(t, tokenlease.OverLimit, decisions[0].Refusal)
-	assert.Equal(t, tokenlease.Admitted, decisions[1].Refusal, "what is too much for one serves the others")
-	gone := p.lessee.Admit(grownUp+1, "acme", 10, grownUp+2)
+	assert.Equal(t, tokenlease.Admitted, decisions[1].Refusal, "tokens that don't suffice for one request are left for the others")
+	gone := p.lessee.Admit(recoveredAt+1, "acme", 10, recoveredAt+2)
 	assert.True(t, p.lessee.Cancel("acme", gone))
 	assert.False(t, p.lessee.Cancel("acme", gone))
 }
--- a/internal/decide/tokenlease/lessor.go
+++ b/internal/decide/tokenlease/lessor.go
@@ -5,30 +5,30 @@
 	"maps"
 )
 
-// sweepSeconds is the time between two searches for accounts that can be forgotten.
+// sweepSeconds is the interval at which accounts are removed that are not needed.
 const sweepSeconds = 5.0
 
-// Lessor grants the tokens of one share of all tenants' limits. Accounts are kept for tenants whose requests were executed lately.
+// Lessor grants the tokens of one share of all tenants' limits. It keeps accounts of tenants with recent requests.
 type Lessor struct {
-	token     uint64 // fencing token under which it has the share
+	token     uint64 // fencing token under which the share was acquired
 	allowance Allowance
 	startedAt float64
-	idleSince float64
+	idleSince float64 // see NewLessor
 	sweptAt   float64
 	accounts  map[string]*account // by tenant
 }
 
-// NewLessor returns the lessor of a share that another one may have had, with the fencing token under which it was acquired. What the other one has granted is not
-// known: buckets hold what has come in since idleSince, from which on nobody can have granted anything.
+// NewLessor returns the lessor of a share with the fencing token under which it was acquired. What an earlier lessor of the share has granted is
+// not known. Buckets start with the tokens that have accrued since idleSince; no lessor can have granted any of the share's tokens since then.
 func NewLessor(token uint64, allowance Allowance, now, idleSince float64) *Lessor {
 	return &Lessor{token: token, allowance: allowance, startedAt: now, idleSince: idleSince, sweptAt: now, accounts: map[string]*account{}}
 }
 
-// ErrReplaced rejects a request of a lessee that knows a newer lessor of the share.
+// ErrReplaced is the error for a request of a lessee that knows a newer lessor of the share.
 var ErrReplaced = errors.New("the share has another lessor")
 
-// Handle handles a request, and grants what is needed as far as there is. limitOf returns the limit of a tenant by the configuration in force; reports about
-// tenants without one are not answered.
+// Handle handles a request, and grants what is needed and available. limitOf returns the limit of a tenant in the current configuration; reports
+// about tenants without a limit get no grant.
 func (l *Lessor) Handle(now float64, request *Request, limitOf func(tenant string) Limit) (*Reply, error) {
 	if request.Token > l.token {
 		return nil, ErrReplaced
@@ -46,7 +46,7 @@
 	return reply, nil
 }
 
-// handleReport handles a report of a lessee about its lease of a tenant's tokens.
+// handleReport handles a lessee's report about its lease of a tenant's tokens.
 func (l *Lessor) handleReport(now float64, lessee string, report Report, limit Limit) Grant {
 	entry := l.refilled(now, report.Tenant, limit)
 	grant := Grant{Tenant: report.Tenant, LeaseID: report.LeaseID, IsRecovering: l.isRecovering(now)}
@@ -66,7 +66,7 @@
 	return grant
 }
 
-// refilled returns the account of a tenant, up to date. One that is not known has been filling since the lessor began.
+// refilled returns the refilled account of a tenant. The bucket of a new account has been filling since idleSince.
 func (l *Lessor) refilled(now float64, tenant string, limit Limit) *account {
 	entry := l.accounts[tenant]
 	if entry == nil {
@@ -78,10 +78,10 @@
 	return entry
 }
 
-// isRecovering reports whether leases of the lessor before may not have ended yet.
+// isRecovering reports whether leases of the previous lessor may not have ended yet.
 func (l *Lessor) isRecovering(now float64) bool { return now-l.startedAt < countedLeaseSeconds }
 
-// sweep forgets the accounts that are as a new one would be: full and without loans.
+// sweep removes the accounts that equal new ones: full and without loans.
 func (l *Lessor) sweep(now float64) {
 	if now-l.sweptAt < sweepSeconds {
 		return
@@ -98,10 +98,10 @@
 	Tenant  string
 	Limit   Limit // of the share
 	Granted int64 // tokens
-	Refused int64 // tokens that requests have waited for in vain; those of one request may be counted at each share
+	Refused int64 // tokens that waiting requests did not get; those of one request may be counted once for each share
 }
 
-// TakeUsage returns the usage of the tenants that were refused tokens, and starts the sums of all tenants anew.
+// TakeUsage returns the usage of the tenants that were refused tokens, and resets the sums of all tenants.
 func (l *Lessor) TakeUsage() (refused []Usage) {
 	for tenant, entry := range l.accounts {
 		if entry.refusedSum > 0 {
--- a/internal/decide/tokenlease/limit.go
+++ b/internal/decide/tokenlease/limit.go
@@ -2,57 +2,58 @@
 
 import "strconv"
 
-// Shares is the number of shares into which each limit is divided. All processes of a fleet, also those of different versions, must agree on it.
+// Shares is the number of shares into which each limit is divided. It must be the same for all processes of a fleet, whatever their version.
 const Shares = 5
 
 const (
-	// LeaseSeconds is how long a lease lasts after the sending of the last request that was answered: a lessee that is cut off spends so long, and a new
-	// lessor holds back so long.
+	// LeaseSeconds is how long a lease lasts after the last answered request was sent. A disconnected lessee can spend its tokens for this long,
+	// and a new lessor holds back a part of the capacity for slightly longer.
 	LeaseSeconds = 3.0
-	// maxClockDrift is the fraction by which the steady clocks of two processes may run apart.
+	// maxClockDrift is the fraction by which the monotonic clocks of two processes may drift apart.
 	maxClockDrift = 0.01
 	// countedLeaseSeconds is how long a lessor counts the tokens of a lease as outstanding.
 	countedLeaseSeconds = LeaseSeconds * (1 + 2*maxClockDrift)
-	// usedAllowance is the fraction of what may be spent beyond a limit that capacities use.
+	// usedAllowance is the fraction of the Allowance, what may be spent beyond a limit, that is added to capacities.
 	usedAllowance = 0.85
-	// minCapacitySeconds of a limit's rate are the least capacity, for limits without a burst where nothing may be spent beyond them.
+	// minCapacitySeconds sets the minimum capacity: what accrues at the limit's rate in this time. It matters for limits without a burst and
+	// without an allowance.
 	minCapacitySeconds = 0.25
 )
 
-// Limit is what a tenant may spend: Rate tokens a second, and Burst tokens beyond that at once.
+// Limit is what a tenant may spend: Rate tokens per second, and Burst tokens in addition at once.
 type Limit struct {
 	Rate  float64
 	Burst float64
 }
 
-// IsUnlimited reports whether the tenant may spend what it likes.
+// IsUnlimited reports whether the tenant has no limit.
 func (l Limit) IsUnlimited() bool { return l.Rate <= 0 }
 
-// share returns the part of the limit that one share has.
+// share returns the limit of one share.
 func (l Limit) share() Limit { return Limit{l.Rate / Shares, l.Burst / Shares} }
 
-// Allowance is by how much the operators' bound exceeds limits, for what can't be counted exactly.
+// Allowance says by how much spending may exceed limits according to the operators, since tokens can't be counted exactly across processes.
 type Allowance struct {
-	WindowSeconds float64 // over which spent tokens are summed up
+	WindowSeconds float64 // length of the window over which spent tokens are summed
 	Overage       float64 // fraction of what the limit allows in a window
-	Slack         float64 // tokens
+	Slack         float64 // tokens per window
 }
 
-// MaxSpent returns how many tokens may be spent in any window, over all processes.
+// MaxSpent returns how many tokens all processes together may spend in any window.
 func (a Allowance) MaxSpent(limit Limit) float64 {
 	return (limit.Rate*a.WindowSeconds+limit.Burst)*(1+a.Overage) + a.Slack
 }
 
-// Capacity returns how many tokens all shares of a limit may have in buckets and leases together. With what comes in during a window, by a clock that
-// runs fast, it stays below MaxSpent.
+// Capacity returns how many tokens all shares of a limit together may have in buckets and leases. Capacity and the tokens that accrue in a
+// window by a fast clock stay below MaxSpent together.
 func (a Allowance) Capacity(limit Limit) float64 {
 	inWindow := limit.Rate * a.WindowSeconds
 	room := a.MaxSpent(limit) - inWindow - limit.Burst
 	return max(limit.Burst+max(usedAllowance*room-maxClockDrift*inWindow, 0), minCapacitySeconds*limit.Rate)
 }
 
-// MaxCost returns the most tokens that one request can be paid with. One that costs more would take all tokens of its tenant out of the buckets and be refused all
-// the same.
+// MaxCost returns the maximum cost of a request that can be admitted. A request that costs more would take all tokens of its tenant out of the
+// buckets and still be refused.
 func (a Allowance) MaxCost(limit Limit) int64 { return int64(maxLoanedFraction * a.Capacity(limit)) }
 
 // Role returns the name of the singleton role of a share's lessor.
--- a/internal/decide/tokenlease/simchecks_test.go
+++ b/internal/decide/tokenlease/simchecks_test.go
@@ -7,9 +7,9 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// checkLedger checks that no more than the capacity of a limit can be spent at once, whatever lessees and lessors believe.
-func (s *simulation) checkLedger() {
-	s.after(ledgerInterval, s.checkLedger)
+// checkSpendable checks at regular intervals that the tokens that lessees hold and lessors can grant don't exceed the capacity of a limit.
+func (s *simulation) checkSpendable() {
+	s.after(spendableCheckInterval, s.checkSpendable)
 	for _, t := range s.tenants {
 		held, available := int64(0), 0.0
 		for _, h := range s.hosts {
@@ -25,24 +25,24 @@
 			}
 		}
 		window := s.plan.allowance.WindowSeconds
-		capacity := t.maxOver(s.now, s.now, window, func(limit tokenlease.Limit) float64 { return orAny(limit, s.plan.allowance.Capacity(limit)) })
+		capacity := t.maxOver(s.now, s.now, window, func(limit tokenlease.Limit) float64 { return orInf(limit, s.plan.allowance.Capacity(limit)) })
 		if float64(held)+available > capacity+1 && s.problem == "" {
-			s.problem = fmt.Sprintf("seed %d: %s at %.3f s: %d tokens are held and %.0f can be granted, %.0f are allowed", s.plan.seed, t.name, s.now, held, available,
+			s.problem = fmt.Sprintf("seed %d: %s at %.3f s: lessees hold %d tokens and lessors can grant %.0f, together at most %.0f are allowed", s.plan.seed, t.name, s.now, held, available,
 				capacity)
 		}
 	}
 }
 
-// orAny returns a bound, +Inf where the limit is none.
-func orAny(limit tokenlease.Limit, bound float64) float64 {
+// orInf returns a bound, or +Inf if the tenant is unlimited.
+func orInf(limit tokenlease.Limit, bound float64) float64 {
 	if limit.IsUnlimited() {
 		return math.Inf(1)
 	}
 	return bound
 }
 
-// checkBound returns what is wrong with the most that was spent, "" if nothing is. It has to be below the operators' bound, and below the sum of the design,
-// which is less.
+// checkBound returns the first violation, "" if there is none. In each window, spent tokens must not exceed Allowance.MaxSpent, nor the capacity
+// and the tokens that accrue in the window, which are less.
 func (s *simulation) checkBound() string {
 	if s.problem != "" {
 		return s.problem
@@ -55,12 +55,12 @@
 	return ""
 }
 
-// checkWindows checks each window that begins with a payment of a tenant.
+// checkWindows checks each window that starts with a payment of a tenant.
 func (s *simulation) checkWindows(t *tenant) string {
 	window := s.plan.allowance.WindowSeconds
 	allowedFor := func(limit tokenlease.Limit) float64 {
 		bySum := s.plan.allowance.Capacity(limit) + limit.Rate*window*(1+clockDrift)
-		return orAny(limit, min(s.plan.allowance.MaxSpent(limit), bySum))
+		return orInf(limit, min(s.plan.allowance.MaxSpent(limit), bySum))
 	}
 	sum, next := int64(0), 0
 	for _, first := range t.payments {
@@ -69,7 +69,7 @@
 			next++
 		}
 		if allowed := t.maxOver(first.at, first.at+window, window, allowedFor); float64(sum) > allowed {
-			return fmt.Sprintf("seed %d: %s (%.0f a second, %.0f at once) spent %d tokens in a window from %.3f s on, %.0f are allowed", s.plan.seed, t.name,
+			return fmt.Sprintf("seed %d: %s (rate %.0f, burst %.0f) spent %d tokens in the window from %.3f s, %.0f are allowed", s.plan.seed, t.name,
 				t.limit.Rate, t.limit.Burst, sum, first.at, allowed)
 		}
 		sum -= first.tokens
--- a/internal/decide/tokenlease/simdemand_test.go
+++ b/internal/decide/tokenlease/simdemand_test.go
@@ -7,11 +7,11 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// tenant is a tenant with its demand and what was paid for it.
+// tenant is a tenant with its requests and payments.
 type tenant struct {
 	name     string
-	limit    tokenlease.Limit // the first
-	changes  []limitChange    // in their order
+	limit    tokenlease.Limit // the limit at the start
+	changes  []limitChange    // in the order of their times
 	payments []payment
 	arrivals []arrival
 }
@@ -19,10 +19,10 @@
 // limitChange gives a tenant another limit.
 type limitChange struct {
 	at    float64
-	limit tokenlease.Limit // unlimited ones as well
+	limit tokenlease.Limit // may be unlimited
 }
 
-// limitFor returns the limit that a process knows: changes reach it after a while, which is drawn for it.
+// limitFor returns the limit that a process knows: changes reach it after its configDelay.
 func (t *tenant) limitFor(now float64, p *process) tokenlease.Limit {
 	limit := t.limit
 	for _, change := range t.changes {
@@ -33,8 +33,8 @@
 	return limit
 }
 
-// maxOver returns the largest value of a function of the limits that may be in force from one time to another, or that were so lately that they still bind or that
-// tokens of them may be left. A lower limit binds one window after it is known everywhere.
+// maxOver returns the maximum of a function over the limits that apply at some time between from and until. A limit applies until one window
+// after its successor is known everywhere, since tokens of it may be left.
 func (t *tenant) maxOver(from, until, window float64, value func(limit tokenlease.Limit) float64) float64 {
 	most, limit := 0.0, t.limit
 	for i := 0; ; i++ {
@@ -55,7 +55,7 @@
 	tokens int64
 }
 
-// arrival is a request with what has become of it.
+// arrival is a request with its result.
 type arrival struct {
 	at         float64
 	tokens     int64
@@ -63,10 +63,10 @@
 	refusal    tokenlease.Refusal
 }
 
-// demand is a tenant's requests for a while: a multiple of its rate, at some lessees.
+// demand describes a tenant's requests in a period: a multiple of its rate, at some lessees.
 type demand struct {
 	from, until float64
-	factor      float64 // of the rate of the limit
+	factor      float64 // multiple of the limit's rate
 	lessees     []int
 	meanTokens  float64
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-// drawChanges has the limit of some tenants raised, lowered, taken away and given back.
+// drawChanges draws changes of the limit for some tenants: it is raised, lowered, removed and restored.
 func (s *simulation) drawChanges(t *tenant) {
 	if s.rng.IntN(3) > 0 {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// drawDemands draws tenants whose demands change: from one lessee to all, from nothing to far beyond the limit.
+// drawDemands draws tenants with changing demands: at one lessee up to all, from none to far above the limit.
 func (s *simulation) drawDemands() {
 	for i := range s.plan.tenants {
 		rate := math.Exp(s.uniform(math.Log(5_000), math.Log(600_000)))
@@ -115,31 +115,31 @@
 	}
 }
 
-// drawPress has a tenant ask for what its limit is, so that lessees hold tokens, then for little or nothing while there are faults, and then for far more
-// than its limit.
-func (s *simulation) drawPress() {
+// drawOverload draws a tenant with a demand near its limit, so that lessees hold tokens, then with little or none while there are faults, and then
+// far above its limit.
+func (s *simulation) drawOverload() {
 	rate := math.Exp(s.uniform(math.Log(20_000), math.Log(600_000)))
 	t := &tenant{name: "pressing", limit: tokenlease.Limit{Rate: rate, Burst: rate * s.uniform(0, 1.5)}}
 	s.tenants = append(s.tenants, t)
 	s.drawChanges(t)
 	quietFrom := s.uniform(4, 8)
-	pressFrom := quietFrom + s.uniform(0, 6)
+	overloadFrom := quietFrom + s.uniform(0, 6)
 	everywhere := s.rng.Perm(len(s.lessees))
 	meanTokens := rate / s.uniform(30, 100)
 	s.addDemand(t, demand{0, quietFrom, s.uniform(0.6, 1), everywhere, meanTokens})
-	s.addDemand(t, demand{quietFrom, pressFrom, s.uniform(0, 0.2), everywhere, meanTokens})
-	s.addDemand(t, demand{pressFrom, s.plan.seconds, s.uniform(3, 10), everywhere, meanTokens})
+	s.addDemand(t, demand{quietFrom, overloadFrom, s.uniform(0, 0.2), everywhere, meanTokens})
+	s.addDemand(t, demand{overloadFrom, s.plan.seconds, s.uniform(3, 10), everywhere, meanTokens})
 	kind := s.drawFaultKind()
 	for range s.rng.IntN(4) {
-		s.addFault(kind, s.uniform(quietFrom-0.3, pressFrom+0.3), s.uniform(0.05, 7), s.rng.IntN(len(s.lessees))/2+1)
+		s.addFault(kind, s.uniform(quietFrom-0.3, overloadFrom+0.3), s.uniform(0.05, 7), s.rng.IntN(len(s.lessees))/2+1)
 	}
 	if s.rng.IntN(2) == 0 {
-		s.addFault(kind, s.uniform(pressFrom, s.plan.seconds), s.uniform(0.05, 4), 1)
+		s.addFault(kind, s.uniform(overloadFrom, s.plan.seconds), s.uniform(0.05, 4), 1)
 	}
 }
 
-// drawTurns has the requests of a tenant go from one group of lessees to the next again and again, in bursts that leave it below or above its limit.
-func (s *simulation) drawTurns() {
+// drawMovingBursts draws a tenant whose requests come in bursts, each at another group of lessees. Its mean demand is below or above its limit.
+func (s *simulation) drawMovingBursts() {
 	rate := math.Exp(s.uniform(math.Log(20_000), math.Log(600_000)))
 	t := &tenant{name: "taking turns", limit: tokenlease.Limit{Rate: rate, Burst: rate * s.uniform(0, 1.5)}}
 	s.tenants = append(s.tenants, t)
--- a/internal/decide/tokenlease/simevents_test.go
+++ b/internal/decide/tokenlease/simevents_test.go
@@ -4,16 +4,16 @@
 	"container/heap"
 )
 
-// clock is a steady clock of a process.
+// clock is the monotonic clock of a process.
 type clock struct{ offset, rate float64 }
 
-// read returns the time that the clock shows at a true time.
+// read returns the time that the clock shows at the true time now.
 func (c clock) read(now float64) float64 { return c.offset + c.rate*now }
 
-// trueTime returns the true time at which the clock shows a time.
+// trueTime returns the true time at which the clock shows the given time.
 func (c clock) trueTime(shown float64) float64 { return (shown - c.offset) / c.rate }
 
-// event is something that happens at a time.
+// event is a function to call at a time. order breaks ties.
 type event struct {
 	at    float64
 	order int
@@ -34,14 +34,14 @@
 	return last
 }
 
-// at has do called at a time.
+// at schedules a call of do at a time.
 func (s *simulation) at(time float64, do func()) {
 	s.order++
 	heap.Push(&s.events, event{time, s.order, do})
 }
 
-// after has do called in a while.
+// after schedules a call of do after some seconds.
 func (s *simulation) after(seconds float64, do func()) { s.at(s.now+seconds, do) }
 
-// uniform draws a number.
+// uniform draws a uniformly distributed number.
 func (s *simulation) uniform(from, to float64) float64 { return from + (to-from)*s.rng.Float64() }
--- a/internal/decide/tokenlease/simfaults_test.go
+++ b/internal/decide/tokenlease/simfaults_test.go
@@ -1,6 +1,6 @@
 package tokenlease_test
 
-// faultKind is a kind of fault that addFault knows.
+// faultKind is a kind of fault; see addFault.
 type faultKind int
 
 const (
@@ -13,19 +13,19 @@
 	allRestart
 	lesseesAreDoubled
 	lessorsRestartRepeatedly
-	faultKinds // their number
+	faultKindCount
 )
 
-func (s *simulation) drawFaultKind() faultKind { return faultKind(s.rng.IntN(int(faultKinds))) }
+func (s *simulation) drawFaultKind() faultKind { return faultKind(s.rng.IntN(int(faultKindCount))) }
 
-// drawFaults draws faults over the time of the run.
+// drawFaults draws faults at random times of the run.
 func (s *simulation) drawFaults() {
 	for range s.plan.faults {
 		s.addFault(s.drawFaultKind(), s.uniform(0, s.plan.seconds), s.uniform(0.05, 7), 1+s.rng.IntN(len(s.lessees)/4+1))
 	}
 }
 
-// addFault adds a fault of up to count lessees, of a lessor, or of all.
+// addFault schedules a fault of up to count lessees, of a lessor, or of all processes.
 func (s *simulation) addFault(kind faultKind, at, lasts float64, count int) {
 	forLessees := func(do func(index int)) {
 		s.at(at, func() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// restartLessor kills a control process and starts it again.
+// restartLessor kills a control process and restarts it.
 func (s *simulation) restartLessor(index int, down float64) {
 	h := s.lessors[index]
 	h.isDown = true
@@ -73,16 +73,16 @@
 	s.after(down, func() { h.isDown = false })
 }
 
-// restartLessee kills a proxy and starts it again.
+// restartLessee kills a proxy and restarts it with an empty state.
 func (s *simulation) restartLessee(index int, down float64) {
-	s.lessees[index].isGone = true // dead, whatever it held
+	s.lessees[index].isGone = true // its tokens are lost
 	next := s.newLessee(index)
 	next.isDown = true
 	s.lessees[index] = next
 	s.after(down, func() { next.isDown = false })
 }
 
-// doubleLessee starts a second run of a proxy, while the first one goes on with the requests of the next seconds.
+// doubleLessee starts a second run of a proxy, while the first one still gets some requests for three seconds.
 func (s *simulation) doubleLessee(index int) {
 	old, next := s.lessees[index], s.newLessee(index)
 	s.lessees[index] = next
@@ -101,7 +101,7 @@
 	}
 }
 
-// restartAll kills all processes and starts them again.
+// restartAll kills all processes and restarts them.
 func (s *simulation) restartAll(down float64) {
 	for i := range s.lessors {
 		s.restartLessor(i, down+s.uniform(0, 0.5))
--- a/internal/decide/tokenlease/simlessors_test.go
+++ b/internal/decide/tokenlease/simlessors_test.go
@@ -11,57 +11,57 @@
 type lessorHost struct {
 	process
 	run       int
-	startedAt float64 // this run
+	startedAt float64 // start of this run
 	shares    map[int]*heldShare
 }
 
-// heldShare is a share that a process believes to have.
+// heldShare is a share whose lessor a process believes to be.
 type heldShare struct {
 	token    uint64
 	lessor   *tokenlease.Lessor
-	actUntil float64 // by its own clock
+	actUntil float64 // by the clock of its process
 }
 
-// role is the register's grant of a share.
+// role is the grant of a share's singleton role in the register.
 type role struct {
 	token       uint64
-	holder      int // index of the lessor host, -1: nobody
+	holder      int // index of the lessor host; -1 if there is none
 	holderRun   int
 	silentSince float64
 }
 
-// checkRole has a share's lessor confirm its role, or another process take it, as election does.
+// checkRole lets a share's lessor confirm its role, or another process acquire it, as package election does.
 func (s *simulation) checkRole(share int) {
 	s.after(roleInterval, func() { s.checkRole(share) })
 	r := &s.roles[share]
 	if r.holder >= 0 {
 		holder := s.lessors[r.holder]
-		isAble := !holder.isDown && !holder.isFrozen(s.now) && !holder.isCut(s.now)
+		isResponsive := !holder.isDown && !holder.isFrozen(s.now) && !holder.isCut(s.now)
 		switch held := holder.shares[share]; {
-		case isAble && held != nil && held.token == r.token && holder.run == r.holderRun:
+		case isResponsive && held != nil && held.token == r.token && holder.run == r.holderRun:
 			held.actUntil = holder.clock.read(s.now) + actSeconds
 			r.silentSince = s.now
 			return
-		case isAble: // it has started again, and takes the share back at once
+		case isResponsive: // it has restarted, and acquires the share again at once
 			s.acquire(share, r.holder)
 			return
 		case s.now-r.silentSince < vacancySeconds:
 			return
 		}
 	}
-	var able []int
+	var responsive []int
 	for i, h := range s.lessors {
 		if !h.isDown && !h.isFrozen(s.now) && !h.isCut(s.now) {
-			able = append(able, i)
+			responsive = append(responsive, i)
 		}
 	}
-	if len(able) > len(s.lessors)/2 {
-		s.rng.Shuffle(len(able), func(i, j int) { able[i], able[j] = able[j], able[i] })
-		s.acquire(share, slices.MinFunc(able, func(a, b int) int { return cmp.Compare(s.held(a), s.held(b)) }))
+	if len(responsive) > len(s.lessors)/2 {
+		s.rng.Shuffle(len(responsive), func(i, j int) { responsive[i], responsive[j] = responsive[j], responsive[i] })
+		s.acquire(share, slices.MinFunc(responsive, func(a, b int) int { return cmp.Compare(s.held(a), s.held(b)) }))
 	}
 }
 
-// held returns how many shares a process has.
+// held returns the number of shares of a process.
 func (s *simulation) held(index int) (count int) {
 	for _, r := range s.roles {
 		if r.holder == index {
@@ -78,7 +78,7 @@
 	idleSince := now
 	switch {
 	case r.holder < 0 || r.holder == index && r.holderRun != h.run:
-		idleSince = h.clock.read(h.startedAt) // nobody else has had it since this run began
+		idleSince = h.clock.read(h.startedAt) // no other process has had it since this run began
 	case r.holder != index:
 		idleSince = now - roleLeaseSeconds
 	}
@@ -87,7 +87,7 @@
 	h.shares[share] = &heldShare{r.token, tokenlease.NewLessor(r.token, s.plan.allowance, now, idleSince), now + actSeconds}
 }
 
-// handle handles a request as the lessor's host does. It returns false where it is not the lessor.
+// handle handles a request as the host of a lessor does. It returns false if the process is not the lessor or was replaced.
 func (h *lessorHost) handle(s *simulation, request tokenlease.Request) (*tokenlease.Reply, bool) {
 	held := h.shares[request.Share]
 	now := h.clock.read(s.now)
--- a/internal/decide/tokenlease/simnetwork_test.go
+++ b/internal/decide/tokenlease/simnetwork_test.go
@@ -4,7 +4,7 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// delay draws how long a message takes, -1 where it is lost.
+// delay draws the delay of a message, -1 if it is lost.
 func (s *simulation) delay() float64 {
 	switch {
 	case s.rng.Float64() < s.plan.loss:
@@ -16,7 +16,8 @@
 	}
 }
 
-// deliver has do called when a message arrives, or twice, or never. Who is frozen handles it afterwards; who is cut off never does.
+// deliver calls do when a message arrives, which may happen twice or never. A frozen receiver handles it when it resumes. A message from or to a
+// partitioned process is lost.
 func (s *simulation) deliver(from, to *process, do func()) {
 	copies := 1
 	if s.rng.Float64() < s.plan.double {
@@ -40,7 +41,7 @@
 	}
 }
 
-// send sends a call to who has the share by the register, now and then to one that had it.
+// send sends a call to the share's lessor according to the register, and sometimes to a random process.
 func (s *simulation) send(h *lesseeHost, call tokenlease.Call) {
 	isOver := false
 	end := func(handle func()) {
@@ -73,7 +74,7 @@
 				end(func() { h.lessee.HandleNoReply(h.clock.read(s.now), call) })
 				return
 			}
-			// A reply that comes after the host has given the call up is dropped by it; one that the host has not noticed to be late is not.
+			// Half of the hosts drop a reply that comes after the timeout. The others have not noticed the timeout and pass the reply on.
 			if s.rng.Float64() < 0.5 {
 				end(func() { h.lessee.HandleReply(h.clock.read(s.now), call, reply) })
 			} else if !h.isGone && !h.isDown {
--- a/internal/decide/tokenlease/simulation_test.go
+++ b/internal/decide/tokenlease/simulation_test.go
@@ -8,62 +8,62 @@
 	"hazelwheel/internal/decide/tokenlease"
 )
 
-// The simulated fleet: lessees with requests of tenants, processes that may be the lessors of shares, a network that loses, doubles and delays messages,
-// clocks that run apart, and faults of all of them. Everything is drawn from the seed.
+// This file simulates a fleet: lessees with requests of tenants, processes that may be lessors of shares, a network that loses, duplicates and
+// delays messages, clocks that drift apart, and faults of all of them. All random choices come from one seed.
 
 const (
-	clockDrift = 0.01 // by which clocks run faster or slower at most, half of it each way
-	// The times of a singleton role, as package election has them: for how long a lessor acts after a majority has replied to it, and after which
-	// silence another one takes its share.
+	clockDrift = 0.01 // maximum difference between the rates of two clocks
+	// The times of a singleton role, as in package election: for how long a lessor acts after a majority has replied to it, and after how long a
+	// silence another process acquires its share.
 	actSeconds     = 1.4
 	vacancySeconds = 4.5
-	// roleLeaseSeconds is for how long at least nobody has acted in a role before another one takes it.
-	roleLeaseSeconds = 3.0
-	roleInterval     = 0.3 // between two checks of a role
-	callTimeout      = 0.4 // of a lessee's host
-	waitSeconds      = 0.1 // that a request waits at most
-	ledgerInterval   = 0.1 // between two checks of what can be spent
-	// configApplySeconds is within which a configuration is known everywhere.
+	// roleLeaseSeconds is for how long at least no process has acted in a role before another one acquires it.
+	roleLeaseSeconds       = 3.0
+	roleInterval           = 0.3 // between two checks of a role
+	callTimeout            = 0.4 // of a lessee's host
+	waitSeconds            = 0.1 // how long a request waits at most
+	spendableCheckInterval = 0.1 // between two checks of what can be spent
+	// configApplySeconds is the time after which a configuration is known everywhere.
 	configApplySeconds = 2.5
 )
 
-// simulation is one run.
+// simulation is one simulated run of a fleet.
 type simulation struct {
 	plan    plan
 	rng     *rand.Rand
 	now     float64 // true time
 	events  eventQueue
-	order   int
+	order   int // of the last event
 	tenants []*tenant
 	lessees []*lesseeHost
 	lessors []*lessorHost
 	roles   [tokenlease.Shares]role
 	runs    int
 	hosts   []*lesseeHost // all lessees that have ever run
-	problem string        // the first that was found during the run
+	problem string        // the first violation that was found during the run
 }
 
-// plan is what is drawn for a run.
+// plan contains the random parameters of a run.
 type plan struct {
-	seed      uint64
-	lessees   int
-	lessors   int
-	tenants   int
-	seconds   float64
-	allowance tokenlease.Allowance
-	faults    int     // how many
-	loss      float64 // fraction of messages that are lost
-	late      float64 // fraction of messages that arrive late, up to seconds
-	double    float64 // fraction of messages that arrive twice
-	slow      float64 // most seconds that an ordinary message takes
-	isPress   bool    // the tenant is made to have as much as it can, and then asks for far more
+	seed       uint64
+	lessees    int
+	lessors    int
+	tenants    int
+	seconds    float64
+	allowance  tokenlease.Allowance
+	faults     int     // number of faults
+	loss       float64 // fraction of messages that are lost
+	late       float64 // fraction of messages that arrive late, up to seconds
+	double     float64 // fraction of messages that arrive twice
+	slow       float64 // maximum delay of an ordinary message, in seconds
+	isOverload bool    // lessees get as many tokens as they can hold, and then the demand is far above the limit
 }
 
-// drawPlan draws a plan.
+// drawPlan draws the plan of a seed.
 func drawPlan(seed uint64) plan {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := plan{seed: seed, lessees: 3 + rng.IntN(58), lessors: 3 + rng.IntN(5), tenants: 1 + rng.IntN(3), seconds: 22,
-		allowance: deployedAllowance, faults: rng.IntN(14), isPress: rng.IntN(2) == 0, slow: 0.004}
+		allowance: deployedAllowance, faults: rng.IntN(14), isOverload: rng.IntN(2) == 0, slow: 0.004}
 	if rng.IntN(2) == 0 {
 		p.allowance = tokenlease.Allowance{WindowSeconds: 8, Overage: 0.02 + 0.1*rng.Float64()}
 	}
@@ -73,25 +73,25 @@
 	if rng.IntN(4) == 0 {
 		p.slow = 0.15
 	}
-	if p.isPress {
+	if p.isOverload {
 		p.tenants, p.lessees, p.seconds = 1, 3+rng.IntN(30), 24
 	}
 	return p
 }
 
-// process is what lessees and lessors have in common.
+// process is the common part of lessees and lessors.
 type process struct {
 	clock       clock
-	configDelay float64 // until it knows a configuration
+	configDelay float64 // time after which it knows a new configuration
 	isDown      bool
 	frozenUntil float64
-	cutUntil    float64 // from all others
+	cutUntil    float64 // until when it is partitioned from all others
 }
 
 func (p *process) isFrozen(now float64) bool { return now < p.frozenUntil }
 func (p *process) isCut(now float64) bool    { return now < p.cutUntil }
 
-// lesseeHost is a proxy: it drives a Lessee as the program does.
+// lesseeHost is a proxy: it drives a Lessee as the real host does.
 type lesseeHost struct {
 	process
 	index     int
@@ -111,7 +111,7 @@
 	return process{clock: clock{s.uniform(0, 1e6), 1 + s.uniform(-clockDrift/2, clockDrift/2)}, configDelay: s.uniform(0, configApplySeconds)}
 }
 
-// newSimulation returns a fleet whose lessors begin at time 0. Demand and faults are left to the caller.
+// newSimulation returns a fleet whose lessors start at time 0. The caller adds demand and faults.
 func newSimulation(p plan) *simulation {
 	s := &simulation{plan: p, rng: rand.New(rand.NewPCG(p.seed, 2))}
 	for i := range p.lessees {
@@ -125,7 +125,7 @@
 		s.roles[share].holder = -1
 		s.after(s.uniform(0, roleInterval), func() { s.checkRole(share) })
 	}
-	s.after(ledgerInterval, s.checkLedger)
+	s.after(spendableCheckInterval, s.checkSpendable)
 	return s
 }
 
@@ -139,7 +139,7 @@
 	return h
 }
 
-// run runs until a time.
+// run executes all events until a time.
 func (s *simulation) run(until float64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		next := heap.Pop(&s.events).(event)
@@ -149,7 +149,7 @@
 	s.now = until
 }
 
-// step calls Step and does what it returns.
+// step calls Step and executes what it returns.
 func (s *simulation) step(h *lesseeHost) {
 	if h.isDown || h.isGone {
 		return
@@ -174,7 +174,7 @@
 	}
 }
 
-// applyDecision records a decision. The requests of some payments reach no server.
+// applyDecision records a decision. Some admitted requests reach no server, and their payments are refunded.
 func (s *simulation) applyDecision(h *lesseeHost, decision tokenlease.Decision) {
 	waiting := h.waiting[decision.Ticket]
 	delete(h.waiting, decision.Ticket)
@@ -202,7 +202,7 @@
 	})
 }
 
-// request has a tenant's request arrive at a lessee.
+// request delivers a tenant's request to a lessee.
 func (s *simulation) request(t *tenant, index int, tokens int64) {
 	h := s.lessees[index]
 	if h.isDown || h.isFrozen(s.now) {
@@ -220,14 +220,14 @@
 	s.step(h)
 }
 
-// runSeed runs the drawn plan of a seed.
+// runSeed runs the plan of a seed.
 func runSeed(seed uint64) *simulation {
 	s := newSimulation(drawPlan(seed))
 	switch {
-	case s.plan.isPress && s.rng.IntN(3) == 0:
-		s.drawTurns()
-	case s.plan.isPress:
-		s.drawPress()
+	case s.plan.isOverload && s.rng.IntN(3) == 0:
+		s.drawMovingBursts()
+	case s.plan.isOverload:
+		s.drawOverload()
 	default:
 		s.drawDemands()
 		s.drawFaults()
--- a/internal/decide/tokenlease/tokenlease_test.go
+++ b/internal/decide/tokenlease/tokenlease_test.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	seeds     = flag.Uint64("seeds", 60, "how many random runs are made")
+	seeds     = flag.Uint64("seeds", 60, "number of random runs")
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first random run")
 )
 
@@ -22,7 +22,7 @@
 	}
 }
 
-// newCalmSimulation returns a fleet without faults and one tenant, whose limit is that much a second and at once.
+// newCalmSimulation returns a fleet without faults, and its only tenant, whose rate and burst are equal.
 func newCalmSimulation(lessees int, rate float64) (*simulation, *tenant) {
 	s := newSimulation(plan{seed: 3, lessees: lessees, lessors: 5, slow: 0.004, allowance: deployedAllowance})
 	t := &tenant{name: "acme", limit: tokenlease.Limit{Rate: rate, Burst: rate}}
@@ -30,7 +30,7 @@
 	return s, t
 }
 
-// outcome sums up what has become of a tenant's requests from one time to another, in tokens but for the refusals.
+// outcome sums the results of a tenant's requests in a period. All are in tokens, except refusals, which counts requests.
 type outcome struct {
 	asked, admitted, refused int64
 	refusals                 int
@@ -52,10 +52,10 @@
 	return sum
 }
 
-// deployedAllowance is that of the deployments with tenants.
+// deployedAllowance is the allowance of the deployments with tenants.
 var deployedAllowance = tokenlease.Allowance{WindowSeconds: 8, Overage: 0.1, Slack: 140000}
 
-// The limits and sizes of requests of a deployment with tenants: the largest and the smallest tenant.
+// deployed holds the rates and mean request sizes of the largest and the smallest tenant of a deployment.
 var deployed = []struct{ rate, meanTokens float64 }{{585_000, 4_000}, {36_000, 4_000}}
 
 func TestDemandBelowTheLimitIsServed(t *testing.T) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// admittedByOneCount returns the tokens that a single bucket for the whole fleet would have admitted from one time to another.
-func (t *tenant) admittedByOneCount(from, until float64) (sum int64) {
+// admittedByOneBucket returns the tokens that a single bucket for the whole fleet would have admitted in a period.
+func (t *tenant) admittedByOneBucket(from, until float64) (sum int64) {
 	level, filledAt := t.limit.Burst, from
 	for _, request := range t.arrivals {
 		if request.at < from || request.at >= until {
@@ -90,7 +90,7 @@
 	return sum
 }
 
-// The demand moves from one lessee to another each second. What one exact count would admit is admitted.
+// TestDemandThatMovesIsServed moves the demand to another lessee each second. At least 99% of what a single bucket would admit must be admitted.
 func TestDemandThatMovesIsServed(t *testing.T) {
 	for _, limit := range deployed {
 		for _, factor := range []float64{0.5, 0.8, 0.95} {
@@ -99,13 +99,14 @@
 				s.addDemand(tenant, demand{at, at + 1, factor, []int{s.rng.IntN(58)}, limit.meanTokens})
 			}
 			s.run(40 + waitSeconds)
-			exact := tenant.admittedByOneCount(14, 40)
+			exact := tenant.admittedByOneBucket(14, 40)
 			assert.GreaterOrEqual(t, tenant.outcome(14, 40).admitted, exact-exact/100, "%.0f a second, %.2f of it", limit.rate, factor)
 		}
 	}
 }
 
-// Whatever has happened: once roles and leases are over, a tenant has its limit again.
+// TestNothingIsLostForLongerThanALease checks that a tenant gets its full limit again after faults, once vacant roles are acquired and leases have
+// ended.
 func TestNothingIsLostForLongerThanALease(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		p := drawPlan(seed)
@@ -119,15 +120,16 @@
 		calm := s.now + vacancySeconds + 2*tokenlease.LeaseSeconds
 		tenant := s.tenants[0]
 		tenant.changes = nil
-		tenant.limit.Burst = tenant.limit.Rate // a single request may be larger than a lower one
+		tenant.limit.Burst = tenant.limit.Rate // a single request may be larger than a smaller burst
 		s.addDemand(tenant, demand{calm, calm + 6, 0.7, s.rng.Perm(p.lessees), max(tenant.limit.Rate/50, 10)})
 		s.run(calm + 7)
 		require.Zero(t, tenant.outcome(calm, calm+6).refusals, "seed %d", seed)
 	}
 }
 
-// The table of the design note: the part of a limit that is used, where more is asked for than it allows.
-func TestPartOfTheLimitThatIsUsed(t *testing.T) {
+// TestUsedFractionOfTheLimit checks and logs which fraction of a limit is used while the demand is above it, also after a lessor and a lessee have
+// died. The design note has these figures in a table.
+func TestUsedFractionOfTheLimit(t *testing.T) {
 	for _, limit := range deployed {
 		for _, lessees := range []int{1, 10, 58} {
 			s, tenant := newCalmSimulation(58, limit.rate)
@@ -138,12 +140,12 @@
 			part := func(from, until float64) float64 {
 				return float64(tenant.outcome(from, until).admitted) / limit.rate / (until - from)
 			}
-			t.Logf("%.0f a second, asked at %d: first second %.2f, then %.2f; a lessor dies: %.2f for 5 s, then %.2f; a lessee dies: %.2f for 5 s, then %.2f", limit.rate, lessees,
+			t.Logf("rate %.0f, demand at %d lessees: first second %.2f, then %.2f; a lessor dies: %.2f for 5 s, then %.2f; a lessee dies: %.2f for 5 s, then %.2f", limit.rate, lessees,
 				part(14, 15), part(16, 24), part(24, 29), part(35, 55), part(55, 60), part(60, 66))
-			assert.Greater(t, part(16, 24), 0.97, "all of the limit")
+			assert.Greater(t, part(16, 24), 0.97, "the whole limit is used")
 			lentByOne := 0.75 * s.plan.allowance.Capacity(tenant.limit) / tokenlease.Shares
-			assert.Greater(t, part(24, 29), 0.8-lentByOne/limit.rate/5, "a fifth less, and what its leases held")
-			assert.Greater(t, part(35, 55), 0.97, "its share has another one")
+			assert.Greater(t, part(24, 29), 0.8-lentByOne/limit.rate/5, "a fifth less, minus the tokens that its leases held")
+			assert.Greater(t, part(35, 55), 0.97, "the share has another lessor")
 		}
 	}
 }
--- a/internal/decide/tokenlease/wallet.go
+++ b/internal/decide/tokenlease/wallet.go
@@ -6,54 +6,54 @@
 )
 
 const (
-	// reserveSeconds is how much of a tenant's demand a lessee wants to hold beforehand. It asks for more once it holds less than the fraction
-	// refillBelow of that, and returns what is beyond returnAbove times of it.
+	// reserveSeconds sets the target of a lessee's reserve: the tenant's mean demand in this time. The lessee asks for more if it holds less than
+	// refillBelow times the target, and returns tokens down to the target if it holds more than returnAbove times the target.
 	reserveSeconds = 1.5
 	refillBelow    = 0.5
 	returnAbove    = 2.0
 	// demandSeconds is the time constant of the mean demand.
 	demandSeconds = 1.5
-	// minDemand is the demand below which none is left, in tokens a second.
+	// minDemand is the demand, in tokens per second, below which a tenant counts as idle.
 	minDemand = 1.0
 )
 
-// wallet is a lessee's leases of one tenant's tokens, with the requests that wait for more.
+// wallet holds a lessee's leases of one tenant's tokens and the requests that wait for more.
 type wallet struct {
 	tenant  string
 	leases  []*lease
 	waiters []waiter        // in the order of their arrival
 	refused [Shares]refusal // by share
-	asked   [Shares]int64   // needed by waiters, in the call in flight to each share
+	asked   [Shares]int64   // by share: tokens for waiters that the call in flight asks for
 
-	refusedAt float64 // when a request was last refused; 0: never
+	refusedAt float64 // when a request was last refused; 0 if never
 
-	demand   float64 // mean tokens a second
-	demandAt float64 // time of demand
+	demand   float64 // mean demand at demandAt, in tokens per second
+	demandAt float64 // time of the last request
 }
 
-// lease is a lessee's part in one lease. The amounts are sums since it began.
+// lease is the lessee's side of a lease. The amounts are sums since the lease began.
 type lease struct {
 	share      int
 	id         uint64
-	token      uint64 // fencing token of the lessor, 0: it hasn't answered yet
+	token      uint64 // fencing token of the lessor; 0 if it hasn't replied yet
 	begunAt    float64
-	validUntil float64 // 0: it hasn't answered yet
-	// isRecovering says that the lessor had begun a moment ago when it answered last.
+	validUntil float64 // 0 if the lessor hasn't replied yet
+	// isRecovering says that the lessor was recovering when it replied last; see Grant.
 	isRecovering bool
 
 	granted  int64
 	spent    int64
 	returned int64
-	reserved int64 // paid for requests that have reached no server yet
+	reserved int64 // paid for requests whose payment is neither committed nor refunded
 
-	reportedSpent, reportedReturned int64   // that the lessor has answered
-	unreportedSince                 float64 // since when there is more than that
+	reportedSpent, reportedReturned int64   // what the lessor has acknowledged
+	unreportedSince                 float64 // since when there are unreported tokens
 }
 
-// refusal is that a lessor has not granted all that was needed.
+// refusal records that a lessor has not granted all the needed tokens.
 type refusal struct {
-	at           float64 // 0: it has granted all
-	until        float64 // when it is worth asking again
+	at           float64 // 0 if it has granted all
+	until        float64 // when to ask again
 	isRecovering bool    // the lessor didn't know whether the tenant is at its limit
 }
 
@@ -64,11 +64,11 @@
 	deadline float64
 }
 
-// balance returns the tokens that can be spent.
+// balance returns the tokens of the lease that can be spent.
 func (l *lease) balance() int64 { return l.granted - l.spent - l.returned - l.reserved }
 
-// hasEnded reports whether nothing of the lease may be spent any more. Danger: the lessor's lease of its role, and the count of what it has outstanding, rest on
-// this; it has to be asked with the time of the moment, not with that of the last event.
+// hasEnded reports whether the lease has ended and its tokens must not be spent. Danger: the lessor's count of outstanding tokens and the takeover
+// of its role rely on this. now must be the current time, not that of the last event.
 func (l *lease) hasEnded(now float64) bool {
 	if l.validUntil == 0 {
 		return now-l.begunAt >= LeaseSeconds
@@ -76,12 +76,12 @@
 	return now >= l.validUntil
 }
 
-// hasUnreported reports whether the lessor doesn't know all that was spent and returned.
+// hasUnreported reports whether spent or returned tokens are not yet known to the lessor.
 func (l *lease) hasUnreported() bool {
 	return l.spent > l.reportedSpent || l.returned > l.reportedReturned
 }
 
-// noteUnreported notes that there is something to be reported.
+// noteUnreported records since when there are unreported tokens. It must be called before the amounts change.
 func (l *lease) noteUnreported(now float64) {
 	if !l.hasUnreported() {
 		l.unreportedSince = now
@@ -96,12 +96,12 @@
 	}
 }
 
-// dropEnded forgets the leases that have ended.
+// dropEnded removes the leases that have ended.
 func (w *wallet) dropEnded(now float64) {
 	w.leases = slices.DeleteFunc(w.leases, func(l *lease) bool { return l.hasEnded(now) })
 }
 
-// balance returns the tokens that can be spent, of all leases.
+// balance returns the tokens of all leases that can be spent.
 func (w *wallet) balance() (sum int64) {
 	for _, l := range w.leases {
 		sum += l.balance()
@@ -109,7 +109,7 @@
 	return sum
 }
 
-// find returns the lease with an ID, nil where it has ended.
+// find returns the lease with an ID, or nil if it has ended.
 func (w *wallet) find(id uint64) *lease {
 	for _, l := range w.leases {
 		if l.id == id {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// current returns the lease of a share under its newest known lessor, nil where there is none.
+// current returns the lease of a share from the lessor with the given fencing token, or nil if there is none.
 func (w *wallet) current(share int, token uint64) *lease {
 	for _, l := range w.leases {
 		if l.share == share && (l.token == token || l.token == 0) {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// pay reserves the tokens of a request that is covered. The leases that end first pay first.
+// pay reserves cost tokens, which the balance must cover. The leases that end first are used first.
 func (w *wallet) pay(cost int64) (parts []part) {
 	slices.SortStableFunc(w.leases, func(a, b *lease) int { return compareEnds(a, b) })
 	for _, l := range w.leases {
@@ -144,7 +144,7 @@
 	return parts
 }
 
-// compareEnds orders leases by their ends; those without one hold nothing.
+// compareEnds orders leases by their ends. Those without an end come first and hold no tokens.
 func compareEnds(a, b *lease) int {
 	switch {
 	case a.validUntil < b.validUntil:
@@ -162,12 +162,12 @@
 	w.demandAt = now
 }
 
-// demandNow returns the mean demand, in tokens a second.
+// demandNow returns the mean demand, in tokens per second.
 func (w *wallet) demandNow(now float64) float64 {
 	return w.demand * math.Exp((w.demandAt-now)/demandSeconds)
 }
 
-// reserveTarget returns how many tokens are to be held for requests to come.
+// reserveTarget returns how many tokens to hold for future requests.
 func (w *wallet) reserveTarget(now float64) int64 {
 	demand := w.demandNow(now)
 	if demand < minDemand {
@@ -176,7 +176,7 @@
 	return int64(reserveSeconds * demand)
 }
 
-// waiting returns the tokens that waiters need beyond the balance.
+// waiting returns the tokens that waiters need in addition to the balance.
 func (w *wallet) waiting() int64 {
 	sum := -w.balance()
 	for _, waiting := range w.waiters {
@@ -185,7 +185,7 @@
 	return max(sum, 0)
 }
 
-// askedInTime returns what was asked for in calls that were sent after a time.
+// askedInTime returns the tokens for waiters that calls in flight have asked for, of calls sent after a time.
 func (w *wallet) askedInTime(shares *[Shares]shareState, since float64) (sum int64) {
 	for i := range shares {
 		if shares[i].isCalling && shares[i].calledAt > since {
@@ -195,11 +195,11 @@
 	return sum
 }
 
-// returnUnkept returns at once what lessors that have begun a moment ago have granted and no request waits for. Danger: where a share's lessor is replaced again and
-// again, nobody counts what the ones between have granted. Tokens that were kept would add up beyond the capacity.
+// returnRecoveryGrants returns at once the tokens from recovering lessors that no request needs. Danger: if a share's lessor is replaced repeatedly,
+// none counts what its predecessors have granted, so tokens that lessees kept could add up to more than the capacity.
 //
-// It reports whether there was something.
-func (w *wallet) returnUnkept(now float64) (hasReturned bool) {
+// It reports whether there were any.
+func (w *wallet) returnRecoveryGrants(now float64) (hasReturned bool) {
 	for _, l := range w.leases {
 		if tokens := l.balance(); l.isRecovering && tokens > 0 {
 			l.giveBack(now, tokens)
@@ -210,8 +210,8 @@
 	return hasReturned
 }
 
-// returnSurplus returns what is far beyond the reserve, of other shares than the home share first, and what would have to be renewed at those. It is for a wallet
-// without waiters.
+// returnSurplus returns tokens far above the target of the reserve, first those of shares other than the home share. It also returns the tokens of
+// such shares whose leases would have to be renewed. It is called for wallets without waiters.
 func (w *wallet) returnSurplus(now float64, home int) {
 	for _, l := range w.leases {
 		if l.share != home && l.renewAt() <= now+reportSeconds {
