--- a/internal/decide/register/simulation_test.go
+++ b/internal/decide/register/simulation_test.go
@@ -10,11 +10,11 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// hostFaults are faults of a host that the checks must detect.
+// hostFaults are deliberate faults of the host that the checks must detect.
 type hostFaults struct {
-	answersBeforeSync      bool // a reply is sent before the state is on disk
-	keepsIdentityAfterWipe bool // a disk that was lost keeps its identity
-	reusesBallots          bool // a restart begins with the ballots of the incarnation before
+	repliesBeforeSync      bool // a reply is sent before the state is on disk
+	keepsIdentityAfterWipe bool // a replica keeps its identity when its disk is lost
+	reusesBallots          bool // a replica uses ballots of earlier incarnations again
 	readsAtMinority        bool // a read returns the first reply
 	forgetsAcceptedChanges bool // accepted configuration changes are not remembered
 }
@@ -23,15 +23,15 @@
 	address       string
 	durable       register.State
 	acceptor      *register.Acceptor
-	up            bool
+	isUp          bool
 	incarnation   int
 	highestBallot uint64
 	knownVoters   register.Value  // the newest voters that this replica knows
-	knownChosen   register.Ballot // at which this incarnation has found a value chosen
+	knownChosen   register.Ballot // ballot at which this incarnation has found a value chosen
 	op            *operation
 }
 
-// operation is one call at a replica.
+// operation is one call to the register, made by a replica.
 type operation struct {
 	id                   int
 	node                 *replica
@@ -59,7 +59,7 @@
 	acceptReply  *register.AcceptReply
 }
 
-// simulation is a network of replicas with disks, all drawn from one seed.
+// simulation is a network of replicas with disks. All random choices come from one seed.
 type simulation struct {
 	rng     *rand.Rand
 	faults  hostFaults
@@ -68,8 +68,8 @@
 	nextOp  int
 
 	acknowledged       []register.Digest
-	acknowledgedByBase map[uint64]register.Digest // the change that was acknowledged on top of a version
-	highestVersion     uint64                     // version that any call has returned
+	acknowledgedByBase map[uint64]register.Digest // by base version: the change that was acknowledged on top of it
+	highestVersion     uint64                     // the highest version that any call has returned
 	newestEpoch        register.Value             // the chosen value with the highest epoch
 
 	newestChosenAt register.Ballot // the highest ballot at which a value is known to be chosen
@@ -88,7 +88,7 @@
 		value.Voters = append(value.Voters, register.Voter{ID: "founder@" + address, Address: address})
 	}
 	for _, voter := range value.Voters {
-		n := &replica{address: voter.Address, up: true, knownVoters: value}
+		n := &replica{address: voter.Address, isUp: true, knownVoters: value}
 		n.durable = register.State{ID: voter.ID, Value: value}
 		n.acceptor = register.NewAcceptor(n.durable)
 		s.nodes = append(s.nodes, n)
@@ -130,7 +130,7 @@
 	}
 }
 
-// deliver delivers a random packet, now and then twice or never.
+// deliver delivers a random packet. It drops some, and leaves some queued so that they are delivered again.
 func (s *simulation) deliver() {
 	i := s.rng.IntN(len(s.packets))
 	p := s.packets[i]
@@ -141,7 +141,7 @@
 		return
 	}
 	n := s.replicaAt(p.to)
-	if !n.up {
+	if !n.isUp {
 		return
 	}
 	if p.prepareReply != nil || p.acceptReply != nil {
@@ -167,7 +167,7 @@
 	}
 	if next != nil {
 		n.acceptor.MarkPersisted(*next)
-		if !s.faults.answersBeforeSync || s.rng.IntN(2) == 0 {
+		if !s.faults.repliesBeforeSync || s.rng.IntN(2) == 0 {
 			n.durable = *next
 		}
 	}
@@ -194,6 +194,7 @@
 	s.carryOut(op, op.proposal.HandleAcceptReply(p.voter, *p.acceptReply))
 }
 
+// carryOut sends the messages of a step, or ends the call.
 func (s *simulation) carryOut(op *operation, step register.Step) {
 	for _, voter := range step.SendPrepare {
 		s.send(op, packet{voter: voter, ballot: op.ballot, isRead: op.quorumRead != nil})
@@ -214,7 +215,7 @@
 // startCall starts a call at a random replica, if it has none in progress.
 func (s *simulation) startCall() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if !n.up || n.op != nil {
+	if !n.isUp || n.op != nil {
 		return
 	}
 	if own := n.acceptor.State().Value; own.Epoch > n.knownVoters.Epoch {
@@ -272,7 +273,7 @@
 	var candidates []register.Candidate
 	for _, other := range s.nodes {
 		voter := register.Voter{ID: other.durable.ID, Address: other.address}
-		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.up, CaughtUp: s.isCaughtUp(other)})
+		candidates = append(candidates, register.Candidate{Voter: voter, Alive: other.isUp, CaughtUp: s.isCaughtUp(other)})
 	}
 	next, changed := register.NextVoters(n.knownVoters.Voters, candidates, len(s.nodes))
 	if !changed {
@@ -286,10 +287,10 @@
 	return n.durable.Accepted.Compare(s.newestChosenAt) >= 0
 }
 
-// learn has a random replica learn the newest value that a call has returned, as its host does when it lags.
+// learn has a random replica learn the newest value that a call has returned, as the host of a lagging replica does.
 func (s *simulation) learn() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if !n.up || s.newestChosenAt == (register.Ballot{}) {
+	if !n.isUp || s.newestChosenAt == (register.Ballot{}) {
 		return
 	}
 	if next, _ := n.acceptor.HandleLearn(s.newestChosenAt, s.newestChosen.Clone(), true); next != nil {
@@ -341,7 +342,7 @@
 	return outcome == register.Chosen || outcome == register.Rejected || outcome == register.Confirmed
 }
 
-// checkResult compares a returned value with all that was acknowledged before the call.
+// checkResult checks that a returned value contains everything that was acknowledged before the call started.
 func (s *simulation) checkResult(op *operation, value register.Value) {
 	if value.ConfigVersion < op.highestVersionBefore {
 		s.reportViolation("call %d returns version %d after %d was seen", op.id, value.ConfigVersion, op.highestVersionBefore)
@@ -363,7 +364,7 @@
 	}
 }
 
-// loseReply fails a message of a random call.
+// loseReply reports a lost message to a random call.
 func (s *simulation) loseReply() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if n.op == nil {
@@ -392,15 +393,15 @@
 func (s *simulation) crash() {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	s.recordUnknown(n.op)
-	n.up, n.op = false, nil
+	n.isUp, n.op = false, nil
 }
 
 func (s *simulation) restart() {
 	for _, n := range s.nodes {
-		if n.up {
+		if n.isUp {
 			continue
 		}
-		n.up = true
+		n.isUp = true
 		n.incarnation++
 		n.highestBallot, n.knownChosen = 0, register.Ballot{}
 		n.acceptor = register.NewAcceptor(n.durable)
@@ -413,14 +414,14 @@
 func (s *simulation) votersAtRestart(n *replica) register.Value {
 	known := n.durable.Value
 	for _, other := range s.nodes {
-		if other.up && other.knownVoters.Epoch > known.Epoch {
+		if other.isUp && other.knownVoters.Epoch > known.Epoch {
 			known = other.knownVoters
 		}
 	}
 	return known
 }
 
-// wipeDisk loses a replica's disk if all voters still have theirs: one may be lost at a time.
+// wipeDisk loses a random replica's disk, unless a voter's disk is lost already: only one may be lost at a time.
 func (s *simulation) wipeDisk() {
 	if len(s.newestEpoch.OutgoingVoters) > 0 {
 		return
@@ -438,14 +439,14 @@
 	}
 	value := n.knownVoters
 	s.recordUnknown(n.op)
-	n.up, n.op = false, nil
+	n.isUp, n.op = false, nil
 	n.durable = register.State{ID: id}
 	if s.faults.keepsIdentityAfterWipe {
 		n.durable.Value = register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 	}
 }
 
-// simulate executes steps until there is a violation or enough of them.
+// simulate executes a number of random steps and stops at the first violation.
 func simulate(seed uint64, nodes, steps int, f hostFaults) *simulation {
 	s := newSimulation(seed, nodes, f)
 	for range steps {
