--- a/internal/control/catchup.go
+++ b/internal/control/catchup.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// minCatchUpPause is the pause after a failed attempt, while no newer value is known; it doubles up to maxCatchUpPause.
+	// minCatchUpPause is the pause after the first failed attempt to catch up with a value. It doubles after each further one, up to
+	// maxCatchUpPause.
 	minCatchUpPause = 150 * time.Millisecond
 	maxCatchUpPause = 1200 * time.Millisecond
 )
 
-// notify wakes the receiver of a channel with room for one signal. It never blocks.
+// notify sends a signal on a channel that buffers one, unless a signal is pending already. It never blocks.
 func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -36,7 +37,7 @@
 // newChosenTracker returns a tracker that has observed nothing.
 func newChosenTracker() *chosenTracker { return &chosenTracker{wake: make(chan struct{}, 1)} }
 
-// observe notes a chosen value; an older one than the latest is ignored.
+// observe records a chosen value. It ignores a value that is older than the latest one.
 func (t *chosenTracker) observe(observed chosenValue) {
 	t.mu.Lock()
 	isNewer := observed.Ballot.Compare(t.value.Ballot) > 0
@@ -49,8 +50,8 @@
 	}
 }
 
-// observeOwnRound notes a value that a round of calls of this process has found chosen. The first one becomes the value that this process
-// must hold before it may vote: a round that began after the start of the process finds whatever was acknowledged before the start.
+// observeOwnRound records a value that a round of this process has found chosen. This process may vote once it holds the first such value
+// or a newer one: a round that began after the process started finds everything that was acknowledged before the start.
 func (t *chosenTracker) observeOwnRound(observed chosenValue) {
 	t.mu.Lock()
 	if t.joinTarget == (register.Ballot{}) {
@@ -60,7 +61,7 @@
 	t.observe(observed)
 }
 
-// mayJoin reports whether a process that holds the value of a ballot may vote. Before the first round of its own it may not.
+// mayJoin reports whether this process may vote when it holds the value of a ballot. It may not before its first own round has ended.
 func (t *chosenTracker) mayJoin(held register.Ballot) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +75,8 @@
 	return t.value
 }
 
-// runCatchUp publishes and stores each newer value that chosenTracker holds, and retries until it has. No request of an operator and no
-// round waits for it; a failed attempt leaves its chunks in the fetcher for the next one.
+// runCatchUp publishes and stores each newer value that chosenTracker receives, and retries until both have succeeded. Neither requests of
+// operators nor rounds wait for it. After a failed attempt the fetcher keeps the chunks that have arrived for the next one.
 func (c *Control) runCatchUp(ctx context.Context) {
 	for {
 		select {
@@ -101,8 +102,8 @@
 	}
 }
 
-// catchUp publishes a chosen value's configuration and then stores the value. Publishing comes first: proxies need the configuration also
-// where this disk is full.
+// catchUp publishes a chosen value's configuration and then stores the value. Publishing comes first: proxies need the configuration
+// even if this process's disk is full.
 func (c *Control) catchUp(ctx context.Context, value chosenValue) error {
 	gossipState, _ := c.node.State()
 	isPublished := value.ConfigVersion == 0 || gossipState.Table != nil &&
@@ -135,9 +136,9 @@
 	return err
 }
 
-// handleLearn answers the request of a voter that considers this process for the set of voters (see queryLearner). It stores the chosen
-// value where the configuration's bytes are here, and else has runCatchUp fetch them. The reply says whether the stored value is recent
-// enough to vote.
+// handleLearn answers a voter that considers adding this process to the set of voters (see queryLearner). It stores the chosen value if the
+// bytes of its configuration are in memory; otherwise runCatchUp fetches them. The reply says whether the stored value is recent enough for
+// this process to vote.
 func (c *Control) handleLearn(_ context.Context, request *message.LearnRequest) (*message.LearnReply, error) {
 	if request.To != c.proposer.self.ID {
 		return nil, Error.New("%q is not the identity of this disk", request.To)
--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -15,22 +15,21 @@
 )
 
 const (
-	// maxConfigBytes bounds a configuration, and the body of a request.
+	// maxConfigBytes bounds the size of a configuration and of a request's body.
 	maxConfigBytes = 8 << 20
 	// changeTimeout bounds a request that changes the register, readTimeout one that reads it.
 	changeTimeout = 2500 * time.Millisecond
 	readTimeout   = 1500 * time.Millisecond
-	// minorityTimeout bounds both where no majority of the voters is reachable: the client learns soon that it has to try another
-	// process.
+	// minorityTimeout replaces both while no majority of the voters is reachable, so that the client soon tries another process.
 	minorityTimeout = 350 * time.Millisecond
-	// ignoredFieldsInterval is the least time between two looks for fields of accepted configurations that this version ignores.
+	// ignoredFieldsInterval is the minimum time between two searches for fields of accepted configurations that this version ignores.
 	ignoredFieldsInterval = time.Minute
 	jsonType              = "application/json"
 )
 
 // changeResult is the response to a change.
 type changeResult struct {
-	status  int    // of HTTP
+	status  int    // HTTP status code
 	message string // the reason, where status is not 200
 }
 
@@ -40,7 +39,7 @@
 // invalidChange is the response to a change that no process would accept.
 func invalidChange(err error) changeResult { return changeResult{http.StatusBadRequest, err.Error()} }
 
-// unavailableChange is the response where nothing is known of the change: it may be chosen yet, and the client has to send it again.
+// unavailableChange is the response when the outcome of the change is unknown: it may still be chosen, and the client has to send it again.
 func unavailableChange(err error) changeResult {
 	return changeResult{http.StatusServiceUnavailable, err.Error()}
 }
@@ -51,7 +50,7 @@
 	base uint64 // version of the configuration that the change is based on
 }
 
-// parseChange reads a request's body and its If-Match field. Where they are invalid it responds itself and returns false.
+// parseChange reads a request's body and its If-Match field. If they are invalid, it writes the error response and returns false.
 func parseChange(w http.ResponseWriter, r *http.Request) (changeRequest, bool) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
@@ -114,8 +113,8 @@
 }
 
 // applyPatch applies a patch to the configuration that it is based on, and proposes the result. The identity of the change is the digest of
-// the patch and its base: when the patch is sent again its base may no longer exist, so that the resulting configuration can't be built
-// again for a comparison.
+// the patch and its base: when the patch is sent again, its base may no longer exist, so the resulting configuration can't be rebuilt for
+// a comparison.
 func (c *Control) applyPatch(ctx context.Context, patch *routeconfig.Patch, request changeRequest) changeResult {
 	identity := patchIdentity(request)
 	isApplicable := func(value register.Value) bool {
@@ -131,7 +130,7 @@
 	if value.ConfigVersion == 0 {
 		return changeResult{http.StatusBadRequest, "there is no configuration yet that could be changed"}
 	}
-	// Whatever is rejected from here on is rejected by each process alike, since the base version names these very bytes.
+	// From here on every process rejects the same patches, since the base version identifies the exact bytes of the configuration.
 	patched, err := patch.Apply(current)
 	if err != nil {
 		return invalidChange(err)
@@ -148,7 +147,7 @@
 	return register.DigestOf(append([]byte("PATCH "+strconv.FormatUint(request.base, 10)+" "), request.data...))
 }
 
-// callTimeout returns the time-out of a request: the given one, or minorityTimeout where no majority of the voters is reachable.
+// callTimeout returns the timeout of a request: the given one, or minorityTimeout while no majority of the voters is reachable.
 func (c *Control) callTimeout(timeout time.Duration) time.Duration {
 	if c.reachesMajority() {
 		return timeout
@@ -156,7 +155,7 @@
 	return minorityTimeout
 }
 
-// proposeConfig proposes a configuration on top of the version that it is based on. identity recognizes the change where it is sent again.
+// proposeConfig proposes a configuration on top of the version that it is based on. identity identifies the change when it is sent again.
 func (c *Control) proposeConfig(ctx context.Context, table *routeconfig.Table, request changeRequest, identity register.Digest) changeResult {
 	change := register.SetConfigWithIdentity(table.Version, request.base, register.DigestOf(request.data), identity)
 	value, outcome, err := c.proposer.propose(ctx, change, request.data)
@@ -171,16 +170,16 @@
 	return rejection(value.Value, value.CheckConfig(table.Version, request.base, identity))
 }
 
-// logIgnoredFields logs what the operator has configured and this version ignores. Danger: a configuration is accepted with such fields, so that
-// processes of two versions can run beside one another; without this line nobody learns that a part of it has no effect.
+// logIgnoredFields logs the fields that the operator has set and that this version ignores. Danger: configurations with such fields are
+// accepted, so that processes of two versions can run side by side; without this line nobody learns that a part of them has no effect.
 func (c *Control) logIgnoredFields(version uint64, config []byte) {
 	if names := routeconfig.IgnoredFields(config); len(names) > 0 {
 		c.log.WithFields(logrus.Fields{"version": version, "fields": names}).Warn("configuration asks for what this version does not do")
 	}
 }
 
-// rejection returns the response to a change that was not made on top of a value, by its verdict there. A change that was accepted before
-// is answered as accepted.
+// rejection returns the response to a change that was not applied to a value, by the verdict of CheckConfig on it. A repeated change that
+// was accepted before gets changeAccepted.
 func rejection(value register.Value, verdict register.ConfigVerdict) changeResult {
 	current := strconv.FormatUint(value.ConfigVersion, 10)
 	switch verdict {
@@ -210,5 +209,5 @@
 	}
 	w.Header().Set("Content-Type", jsonType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_, _ = w.Write(data) // a client that has disconnected asks again
+	_, _ = w.Write(data) // a client that has disconnected retries
 }
--- a/internal/control/configcache.go
+++ b/internal/control/configcache.go
@@ -20,7 +20,7 @@
 type cachedConfig struct {
 	digest      register.Digest
 	data        []byte
-	requestedAt time.Time // of the last chunk that another process has requested, zero: none
+	requestedAt time.Time // when another process last requested a chunk, zero if none has
 }
 
 // cacheConfig adds a configuration as the newest one and evicts older ones beyond the limits. Danger: the configuration of the accepted
@@ -39,7 +39,7 @@
 	}
 }
 
-// configBytes returns a configuration's bytes, nil where they are not in memory. The caller must not change them.
+// configBytes returns a configuration's bytes, or nil if they are not in memory. The caller must not change them.
 func (r *replica) configBytes(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// lendConfig is configBytes for another process's request, which defers the eviction of the configuration.
-func (r *replica) lendConfig(digest register.Digest) []byte {
+// serveConfig is configBytes for a request of another process. It defers the eviction of the configuration (see requestedRetention).
+func (r *replica) serveConfig(digest register.Digest) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	i := r.configIndex(digest)
@@ -61,7 +61,7 @@
 	return r.configs[i].data
 }
 
-// configIndex returns the index of a configuration, -1 where it is not in memory. The caller holds mu.
+// configIndex returns the index of a configuration, or -1 if it is not in memory. The caller holds mu.
 func (r *replica) configIndex(digest register.Digest) int {
 	return slices.IndexFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
 }
--- a/internal/control/configfetch.go
+++ b/internal/control/configfetch.go
@@ -20,21 +20,21 @@
 // and the next fetch of the same configuration resumes there: on a slow link no single call may last long enough. It is safe for
 // concurrent use; one call fetches at a time, so that no chunk is transferred twice.
 type configFetcher struct {
-	busy chan struct{} // a semaphore of one, which guards what follows
+	busy chan struct{} // a semaphore of one that guards the fields below
 
 	digest register.Digest // of the configuration that is being fetched
 	data   []byte          // its first bytes, as far as they have arrived
 	order  reconfiguration.FetchOrder
 }
 
-// newConfigFetcher returns a fetcher without bytes.
+// newConfigFetcher returns a fetcher that has fetched nothing.
 func newConfigFetcher() *configFetcher { return &configFetcher{busy: make(chan struct{}, 1)} }
 
 // chunkRequester requests a chunk from a control process.
 type chunkRequester func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error)
 
-// fetch returns the bytes with this digest. It asks one source after the other, those last whose previous call failed. After an error the chunks that have
-// arrived are kept for the next call.
+// fetch returns the bytes with this digest. It tries one source after the other; sources whose previous call failed come last.
+// After an error the chunks that have arrived are kept for the next call.
 func (f *configFetcher) fetch(ctx context.Context, digest register.Digest, sources []register.Voter, request chunkRequester) ([]byte, error) {
 	select {
 	case f.busy <- struct{}{}:
@@ -81,7 +81,7 @@
 	return len(f.data) == reply.Size, nil
 }
 
-// takeVerified returns the complete bytes if they match the digest. They are not kept in either case.
+// takeVerified returns the complete bytes if they match the digest. The fetcher drops them in either case.
 func (f *configFetcher) takeVerified() ([]byte, error) {
 	data := f.data
 	f.data = nil
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -42,15 +42,15 @@
 	platform *gossip.PlatformClient
 	chosen   *chosenTracker
 	table    *currentTable
-	// tenantLessors are the lessors of the limits by tenant, by share.
+	// tenantLessors are the lessors of the tenants' rate limits, one for each share.
 	tenantLessors []*tenantLessor
 
 	ignoredFieldsLog rate.Sometimes // limits the lines about fields that this version ignores
 }
 
 // Run runs a control process until the context ends; then it announces that it leaves, waits until another process votes in its place
-// (see awaitReplacement), and shuts its servers down. Settings from reload replace the seeds. It returns an error where the disk can't be
-// opened or an address can't be listened at.
+// (see awaitReplacement), and shuts its servers down. Settings from reload replace the seeds. It returns an error if the disk
+// can't be opened or it can't listen at an address.
 func Run(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	replica, err := openReplica(settings, log)
 	if err != nil {
@@ -96,8 +96,8 @@
 	}
 }
 
-// newControl returns the process of a replica that is open. The client carries its calls to other processes; tests put a faulty network
-// there.
+// newControl returns the control process for an open replica. The client makes its calls to other processes; tests pass one with a faulty
+// network.
 func newControl(settings *nodeconfig.Settings, replica *replica, client *transport.Client, log *logrus.Entry) *Control {
 	self := register.Voter{ID: replica.state().ID, Address: settings.InternalAddress(settings.IP, nodeconfig.ControlPort)}
 	control := &Control{settings: settings, log: log, replica: replica, platform: gossip.NewPlatformClient(settings.Cloud.Address),
@@ -110,7 +110,7 @@
 	control.table = &currentTable{control: control}
 	control.tenantLessors = newTenantLessors(control)
 	if state := replica.state(); state.Accepted == (register.Ballot{}) {
-		control.node.MergeRegisterValue(state.Value) // the founders; a value accepted later may not have been chosen
+		control.node.MergeRegisterValue(state.Value) // the founding value; one that was accepted later may not have been chosen
 	}
 	return control
 }
@@ -138,13 +138,13 @@
 	return router
 }
 
-// gossipVoters returns the value with the newest set of voters that gossip has brought.
+// gossipVoters returns the value with the newest set of voters that was received by gossip.
 func (c *Control) gossipVoters() register.Value {
 	gossipState, _ := c.node.State()
 	return gossipState.Voters
 }
 
-// handleChosen publishes the voters of a value that a round of this process has found chosen, and has runCatchUp publish and store the
+// handleChosen publishes the voters of a value that a round of this process has found chosen. runCatchUp then publishes and stores the
 // rest. It may be called from any goroutine, with older values too.
 func (c *Control) handleChosen(value chosenValue) {
 	c.node.MergeRegisterValue(value.Value)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 }
 
 var _ = Describe("a partitioned control process", func() {
-	It("answers 503 to reads and changes, soon once it has noticed, and the newest configuration after it is reachable again", func() {
+	It("answers 503 to reads and changes, quickly once it has detected the partition, and the newest configuration after it is reachable again", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.network.setPartitioned(s.ip(2), true)
@@ -62,7 +62,7 @@
 })
 
 var _ = Describe("two operators", func() {
-	It("are not both acknowledged on one base version, and a repeated change is answered as before", func() {
+	It("are not both acknowledged on one base version, and a repeated change gets the same response", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		for base := 1; base < 12; base++ {
@@ -76,13 +76,13 @@
 			}
 			Expect([]int{<-statuses, <-statuses}).To(ConsistOf(http.StatusOK, http.StatusPreconditionFailed))
 		}
-		taken, refused := http.StatusOK, http.StatusPreconditionFailed
-		again := []int{s.put(2, 1, testConfig(2, 2)), s.put(2, 1, testConfig(2, 3))}
-		Expect(again).To(ConsistOf(taken, refused), "ten versions later, at a third process")
+		accepted, rejected := http.StatusOK, http.StatusPreconditionFailed
+		repeated := []int{s.put(2, 1, testConfig(2, 2)), s.put(2, 1, testConfig(2, 3))}
+		Expect(repeated).To(ConsistOf(accepted, rejected), "ten versions later, at a third process")
 		Expect(s.put(2, 12, testConfig(12, 9))).To(Equal(http.StatusBadRequest), "a version that is not above the current one")
 	})
 
-	It("get the same answer after a restart of all processes", func() {
+	It("get the same response after a restart of all processes", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		Expect(s.put(1, 1, testConfig(5, 0))).To(Equal(http.StatusOK))
@@ -114,7 +114,7 @@
 		}
 	})
 
-	It("are replaced by a new voter before one that leaves has ended", func() {
+	It("are replaced by a new voter before a leaving voter has ended", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.start(3, false)
@@ -128,20 +128,20 @@
 		Eventually(func() int { return s.put(3, 1, testConfig(2, 0)) }, waitTimeout).Should(Equal(http.StatusOK))
 	})
 
-	It("have a voter that leaves wait for its replacement, also where gossip has not brought it the new voter", func() {
+	It("have a leaving voter wait for its replacement, even if it has not learned of the new voter by gossip", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
-		unaware := func() *Control { // a process that knows no other, and only the first set of voters
+		isolated := func() *Control { // a process that knows no other process, and only the first set of voters
 			m := s.machines[1]
 			c := newControl(m.control.settings, m.control.replica, m.control.proposer.client, m.control.log)
 			c.node.MergeRegisterValue(foundingValue(m.control.settings.SeedAddresses()))
 			return c
 		}
-		Expect(unaware().isReplaceable()).To(BeFalse(), "three voters")
+		Expect(isolated().isReplaceable()).To(BeFalse(), "three voters")
 		s.start(3, false)
 		Eventually(func() bool { return s.isVoter(3) }, waitTimeout).Should(BeTrue())
-		Expect(unaware().countStaying()).To(BeZero())
-		Expect(unaware().isReplaceable()).To(BeTrue(), "four voters")
+		Expect(isolated().countStaying()).To(BeZero())
+		Expect(isolated().isReplaceable()).To(BeTrue(), "four voters")
 	})
 })
 
@@ -164,7 +164,7 @@
 })
 
 var _ = Describe("a disk", func() {
-	It("that held something does not found the register, though the settings still say that this is the first start", func() {
+	It("that has held data does not found the register, even if the settings still say that this is the first start", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.stop(0)
@@ -213,47 +213,47 @@
 		value := c.replica.state().Value
 		Expect(c.replica.configBytes(value.ConfigDigest)).To(HaveLen(len(data)))
 		Eventually(func() int { return s.storedVersion(1) }, waitTimeout).Should(Equal(2))
-		fetched := newConfigFetcher()
+		fetcher := newConfigFetcher()
 		calls := 0
-		ask := func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
+		requestChunk := func(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 			if calls++; calls == 3 {
 				return nil, errPartitioned
 			}
 			return c.replica.handleConfigRequest(ctx, request)
 		}
-		got, err := fetched.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], ask)
+		got, err := fetcher.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], requestChunk)
 		Expect(err).To(HaveOccurred())
 		Expect(got).To(BeNil())
-		got, err = fetched.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], ask)
+		got, err = fetcher.fetch(context.Background(), value.ConfigDigest, value.Voters[:1], requestChunk)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal(data))
 		Expect(calls).To(Equal((len(data)+chunkSize-1)/chunkSize+1), "no chunk is fetched twice")
 	})
 })
 
-// A machine that caught up under steady changes asked a voter that was gone first, each time, and the others had dropped the bytes when it came
-// to them; a reader got 503 for bytes that nobody had any longer. (Simulated control side with bytes, three voters, seeds 89 and 74.)
+// A machine that caught up while changes kept coming asked a failed voter first each time. By the time it asked the others they had evicted the
+// bytes, and readers got 503 for bytes that no voter had any longer. (Seen in the simulated control plane, three voters, seeds 89 and 74.)
 var _ = Describe("bytes of a configuration while changes keep coming", func() {
-	It("are asked of a voter that has failed last", func() {
-		gone, alive := register.Voter{ID: "a", Address: "a"}, register.Voter{ID: "b", Address: "b"}
+	It("are requested last from a voter whose previous call failed", func() {
+		failed, alive := register.Voter{ID: "a", Address: "a"}, register.Voter{ID: "b", Address: "b"}
 		data := testConfig(1, 0)
-		var asked []register.Voter
-		ask := func(_ context.Context, from register.Voter, _ *message.ConfigRequest) (*message.ConfigReply, error) {
-			asked = append(asked, from)
-			if from == gone {
+		var requested []register.Voter
+		requestChunk := func(_ context.Context, from register.Voter, _ *message.ConfigRequest) (*message.ConfigReply, error) {
+			requested = append(requested, from)
+			if from == failed {
 				return nil, errPartitioned
 			}
 			return &message.ConfigReply{Data: data, Size: len(data)}, nil
 		}
 		fetcher := newConfigFetcher()
 		for range 2 {
-			_, err := fetcher.fetch(context.Background(), register.DigestOf(data), []register.Voter{gone, alive}, ask)
+			_, err := fetcher.fetch(context.Background(), register.DigestOf(data), []register.Voter{failed, alive}, requestChunk)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(asked).To(Equal([]register.Voter{gone, alive, alive}))
+		Expect(requested).To(Equal([]register.Voter{failed, alive, alive}))
 	})
 
-	It("are those of the newest version where nobody has the ones before any longer", func() {
+	It("are those of the newest version when no voter has the earlier ones any longer", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		for _, m := range s.machines {
@@ -282,18 +282,18 @@
 		s.commitFirstConfig()
 		for i := range 3 {
 			Eventually(func(g Gomega) {
-				answer, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + statusPath)
+				response, err := http.Get("http://" + s.machines[i].control.proposer.self.Address + statusPath)
 				g.Expect(err).NotTo(HaveOccurred())
-				defer func() { _ = answer.Body.Close() }()
-				var told replicaStatus
-				g.Expect(json.NewDecoder(answer.Body).Decode(&told)).To(Succeed())
-				g.Expect(told.Identity).To(Equal(s.machines[i].control.proposer.self.ID))
-				g.Expect(told.IsVoter).To(BeTrue())
-				g.Expect(told.ReachesMajority).To(BeTrue())
-				g.Expect(told.ConfigVersion).To(BeEquivalentTo(1))
-				g.Expect(told.ConfigBytes).To(Equal(len(testConfig(1, 0))))
-				g.Expect(told.PublishedVersion).To(BeEquivalentTo(1))
-				g.Expect(told.Voters).To(HaveLen(3))
+				defer func() { _ = response.Body.Close() }()
+				var status replicaStatus
+				g.Expect(json.NewDecoder(response.Body).Decode(&status)).To(Succeed())
+				g.Expect(status.Identity).To(Equal(s.machines[i].control.proposer.self.ID))
+				g.Expect(status.IsVoter).To(BeTrue())
+				g.Expect(status.ReachesMajority).To(BeTrue())
+				g.Expect(status.ConfigVersion).To(BeEquivalentTo(1))
+				g.Expect(status.ConfigBytes).To(Equal(len(testConfig(1, 0))))
+				g.Expect(status.PublishedVersion).To(BeEquivalentTo(1))
+				g.Expect(status.Voters).To(HaveLen(3))
 			}, waitTimeout).Should(Succeed())
 		}
 	})
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -5,14 +5,14 @@
 // # Register
 //
 // The operator's configuration, the set of voters and the lease grants form one value, a replicated register whose rounds are Paxos's
-// (package register, which is pure). Two parts here do its I/O:
+// (package register, which does no I/O). Two parts of this package do the I/O:
 //
 //   - replica is the acceptor with its disk. A promise or an accepted value is on disk before the reply is sent, and after a write has
 //     failed the state in memory is the one that was written last. So an acceptor never forgets what it has answered.
 //   - proposer runs rounds and reads against the voters. Each process draws a proposer ID of its own, so that no two processes, and no two
 //     runs of one, ever use the same ballot.
 //
-// Bytes of configurations travel apart from values where they are large: a value names them by their digest, and a process that lacks them
+// A value holds only the digest of its configuration. The bytes are sent separately if they are large, and a process that lacks them
 // fetches them from the voters in chunks (configFetcher).
 //
 // # Tasks
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// listReadInterval is the age of the endpoint list at which the control process of rank 0 reads it again.
+	// listReadInterval is the age of the endpoint list at which the control process of rank 0 reads it anew.
 	listReadInterval = 900 * time.Millisecond
 	// listCheckInterval is the time between checks of the list's age.
 	listCheckInterval = 100 * time.Millisecond
@@ -19,7 +19,8 @@
 )
 
 // runListReader reads the platform's endpoint list whenever it is older than maxListAge of this process's rank, and publishes it by gossip.
-// Calls to the platform count against one rate limit, so one process reads for all, and the others take over by the age of their list.
+// Calls to the platform count against one rate limit, so one process reads for all; the others take over, in the order of their
+// ranks, when the list that they hold is too old.
 func (c *Control) runListReader(ctx context.Context) {
 	for sleep(ctx, listCheckInterval) == nil {
 		gossipState, _ := c.node.State()
@@ -30,7 +31,7 @@
 		instances, err := c.platform.Instances(ctx)
 		if err != nil {
 			c.log.WithError(err).Debug("reading the endpoint list failed")
-			_ = sleep(ctx, rand.N(listReadInterval/2)) // the loop sees the end of the context
+			_ = sleep(ctx, rand.N(listReadInterval/2)) // the loop checks whether the context has ended
 			continue
 		}
 		c.node.SetEndpoints(instances, startedAt)
--- a/internal/control/identity.go
+++ b/internal/control/identity.go
@@ -9,9 +9,9 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// newState returns the first state of a disk that holds none. A founder, whose settings say so, starts with the founding value. Any other
-// process starts without a value and with a random identity, which is in no set of voters. Danger: founding takes an unused disk. A disk
-// that has lost its state may have promised something under the founder's identity.
+// newState returns the first state of a disk that holds none. A founder (see nodeconfig.Settings.Bootstrap) starts with the founding
+// value. Any other process starts without a value and with a random identity, which is in no set of voters. Danger: only an unused disk may
+// be a founder's. A disk that has lost its state may have promised something under the founder's identity.
 func newState(settings *nodeconfig.Settings, isUnusedDisk bool) register.State {
 	address := settings.InternalAddress(settings.IP, nodeconfig.ControlPort)
 	founders := settings.SeedAddresses()
--- a/internal/control/joining_test.go
+++ b/internal/control/joining_test.go
@@ -12,15 +12,14 @@
 	"hazelwheel/internal/transport"
 )
 
-// A machine that had voted was removed, started again and voted, with a version older than what had been acknowledged before it started.
-// The voter that asked whether it had caught up took the value of its own first question, which it had kept from the machine's earlier
-// stay: "asks n5 target 200, newest 278", twelve seconds after it had begun to ask with 200. (Simulated control side, five voters, seed
-// 7649.) What a process must hold is therefore found by a round of its own.
+// A voter was removed, restarted and added again while it held an older version than had been acknowledged before the restart. The voter
+// that queried it still used the target ballot from before the removal: 200, when the newest was 278, twelve seconds later. (Seen in the
+// simulated control plane, five voters, seed 7649.) A process therefore finds by a round of its own what it must hold before it votes.
 var _ = Describe("a control process that a voter considers for the set of voters", func() {
-	// Disks were replaced one after the other, each as soon as the one before was told to vote. It was told so while the voters were changing;
-	// the next disk was the second one of three outgoing voters that was lost, and for 30 s no change was accepted ("voters changed before=3",
-	// then "the voters could not be changed: context deadline exceeded" again and again).
-	It("is told to vote once the change of the voters is complete", func() {
+	// Disks were replaced one after the other, each as soon as the status of the previous one said that it votes. The status said so during
+	// the reconfiguration; replacing the next disk then lost the second of three outgoing voters, and for 30 s no change was accepted (the log
+	// showed "voters changed before=3", then repeatedly "the voters could not be changed: context deadline exceeded").
+	It("has the status of a voter once the reconfiguration is complete", func() {
 		c := idleControl()
 		voters := []register.Voter{c.proposer.self, {ID: "b", Address: "127.0.5.11:20000"}}
 		outgoing := []register.Voter{{ID: "a", Address: c.proposer.self.Address}, voters[1]}
@@ -45,7 +44,7 @@
 		c.handleChosen(value(7))
 		Expect(isUpToDate(value(5))).To(BeFalse(), "the disk holds less than the first round has found")
 		c.handleChosen(value(9))
-		Expect(isUpToDate(value(7))).To(BeTrue(), "later changes don't move what it must hold")
+		Expect(isUpToDate(value(7))).To(BeTrue(), "later changes don't raise what it must hold")
 	})
 })
 
--- a/internal/control/leaving.go
+++ b/internal/control/leaving.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// leaveFraction is the part of the grace period for which a voter that leaves waits for its replacement.
+	// leaveFraction is the part of the grace period for which a leaving voter waits for its replacement.
 	leaveFraction      = 0.4
 	leaveCheckInterval = 50 * time.Millisecond
-	// leaveReadTimeout bounds the read of the voters by a process that leaves.
+	// leaveReadTimeout bounds a leaving process's read of the set of voters.
 	leaveReadTimeout = 500 * time.Millisecond
 )
 
-// awaitReplacement waits, after this process has announced that it leaves, until it is no longer a voter. It returns at once where too few
-// voters would be left without it, since then no other process will replace it.
+// awaitReplacement waits, after this process has announced that it leaves, until it is no longer a voter. It returns at once if too few
+// voters would remain without it, since then no other process will replace it.
 func (c *Control) awaitReplacement() {
 	deadline := time.Now().Add(nodeconfig.FromSeconds(leaveFraction * c.settings.Bounds.GraceSeconds))
 	for time.Now().Before(deadline) {
@@ -28,8 +28,8 @@
 	}
 }
 
-// isReplaceable reports whether targetVoters processes are left without this one. Where it knows too few it reads the register: a voter that
-// joined a moment ago may be unknown here, and this process must not end before that one has replaced it.
+// isReplaceable reports whether enough processes (targetVoters) remain without this one. If it knows too few, it reads the register: a voter
+// that joined a moment ago may be unknown here, and this process must not end before that voter has replaced it.
 func (c *Control) isReplaceable() bool {
 	if c.countStaying() >= c.targetVoters() {
 		return true
--- a/internal/control/patch_test.go
+++ b/internal/control/patch_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// patchText is a patch that sets the time of the route of testConfig and adds another route.
+// patchText returns a patch that adds or replaces one of seven routes; mark selects the route and its timeout.
 func patchText(version, mark int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Upsert":{"Routes":[{"Name":"p%d","Host":"h","PathPrefix":"/p%d/","RouteType":"idempotent",`+
 		`"TimeoutMs":%d,"Service":"s"}]}}`, version, mark%7, mark%7, 1000+mark)
@@ -31,17 +31,17 @@
 // configText returns the configuration that a process answers with, once it has read it from a majority.
 func (s *testCluster) configText(i int) (text string) {
 	Eventually(func() int {
-		answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
+		response, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
 		if err != nil {
 			return 0
 		}
-		defer func() { _ = answer.Body.Close() }()
-		data, err := io.ReadAll(answer.Body)
+		defer func() { _ = response.Body.Close() }()
+		data, err := io.ReadAll(response.Body)
 		if err != nil {
 			return 0
 		}
 		text = string(data)
-		return answer.StatusCode
+		return response.StatusCode
 	}, waitTimeout).Should(Equal(http.StatusOK))
 	return text
 }
@@ -54,15 +54,15 @@
 }
 
 var _ = Describe("a patch of the configuration", func() {
-	It("is accepted on its base version, acknowledged again after later changes, and otherwise rejected with nothing changed", func() {
+	It("is accepted on its base version, acknowledged again after later changes, and otherwise rejected without any change", func() {
 		s := newTestCluster(3)
-		Eventually(func() int { return s.patch(0, 0, patchText(1, 1)) }, waitTimeout).Should(Equal(http.StatusBadRequest), "there is none yet")
+		Eventually(func() int { return s.patch(0, 0, patchText(1, 1)) }, waitTimeout).Should(Equal(http.StatusBadRequest), "there is no configuration yet")
 		s.commitFirstConfig()
 		first := patchText(3, 1)
 		Expect(s.patchUntilDecided(0, 1, first)).To(Equal(http.StatusOK))
 		Expect(s.patchUntilDecided(1, 1, first)).To(Equal(http.StatusOK), "repeated")
 		Expect(s.patchUntilDecided(2, 1, patchText(4, 2))).To(Equal(http.StatusPreconditionFailed))
-		Expect(s.patchUntilDecided(2, 3, patchText(3, 2))).To(Equal(http.StatusBadRequest), "its version is not above")
+		Expect(s.patchUntilDecided(2, 3, patchText(3, 2))).To(Equal(http.StatusBadRequest), "its version is not above the current one")
 		Expect(s.patchUntilDecided(2, 3, first)).To(Equal(http.StatusBadRequest), "the same bytes on another base are another change")
 		for _, bad := range []string{`{`, `{"Version":9,"Remove":{"Routes":["none"]}}`, `{"Version":9,"Remove":{"Services":["s"]}}`, `{"Version":9,"Upsert":{"X":[]}}`} {
 			Expect(s.patchUntilDecided(1, 3, []byte(bad))).To(Equal(http.StatusBadRequest), bad)
@@ -73,10 +73,10 @@
 		Expect(s.configVersion(0)).To(Equal(5))
 	})
 
-	It("results in the configuration that a PUT of the result gives, with two operators and lost answers", func() {
+	It("gives the same configuration as a PUT of its result, with two operators and lost responses", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
-		var confirmed sync.Map // text by version, built by the test alone
+		var confirmed sync.Map // acknowledged configurations by version, as built by the test
 		var operators sync.WaitGroup
 		for operator := range 2 {
 			operators.Go(func() {
@@ -95,8 +95,8 @@
 	})
 })
 
-// runOperator makes changes on top of what it reads, by patches or by complete configurations, and sends each twice as if the first response
-// had been lost.
+// runOperator makes changes on top of what it reads, by patches or by complete configurations, and sends each twice as if the first response had
+// been lost.
 func (s *testCluster) runOperator(rng *rand.Rand, operator int, confirmed *sync.Map) {
 	for n := range 25 {
 		var current map[string]any
@@ -104,24 +104,24 @@
 		base := int(current["Version"].(float64))
 		version := base + 1 + rng.IntN(3)
 		patch := patchText(version, 2*n+operator)
-		made := applyPatchByHand(current, patch)
+		patched := applyPatchByHand(current, patch)
 		send := func() int { return s.patch(rng.IntN(3), base, patch) }
 		if rng.IntN(3) == 0 {
-			send = func() int { return s.put(rng.IntN(3), base, made) }
+			send = func() int { return s.put(rng.IntN(3), base, patched) }
 		}
-		first, again := send(), send()
+		first, repeated := send(), send()
 		Expect(first).To(BeElementOf(http.StatusOK, http.StatusPreconditionFailed, http.StatusServiceUnavailable))
 		if first == http.StatusOK {
-			Expect(again).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable), "an acknowledged change is not rejected")
+			Expect(repeated).To(BeElementOf(http.StatusOK, http.StatusServiceUnavailable), "an acknowledged change is not rejected")
 		}
-		if first == http.StatusOK || again == http.StatusOK {
-			_, twice := confirmed.LoadOrStore(version, string(made))
-			Expect(twice).To(BeFalse(), "version %d was acknowledged to both", version)
+		if first == http.StatusOK || repeated == http.StatusOK {
+			_, isDuplicate := confirmed.LoadOrStore(version, string(patched))
+			Expect(isDuplicate).To(BeFalse(), "version %d was acknowledged to both", version)
 		}
 	}
 }
 
-// applyPatchByHand builds the result of a patch without the code under test.
+// applyPatchByHand builds the result of a patch independently of the code under test.
 func applyPatchByHand(current map[string]any, text []byte) []byte {
 	var patch struct {
 		Version int
@@ -131,20 +131,20 @@
 	current["Version"] = patch.Version
 	list := current["Routes"].([]any)
 	for _, route := range patch.Upsert.Routes {
-		place := -1
+		index := -1
 		for i, other := range list {
 			if other.(map[string]any)["Name"] == route["Name"] {
-				place = i
+				index = i
 			}
 		}
-		if place >= 0 {
-			list[place] = route
+		if index >= 0 {
+			list[index] = route
 		} else {
 			list = append(list, route)
 		}
 	}
 	current["Routes"] = list
-	made, err := json.Marshal(current)
+	patched, err := json.Marshal(current)
 	Expect(err).NotTo(HaveOccurred())
-	return made
+	return patched
 }
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -24,34 +24,34 @@
 )
 
 const (
-	// voteTimeout bounds the wait for one voter's reply, without the transfer of a configuration.
+	// voteTimeout bounds the wait for one voter's reply, not counting the transfer of a configuration.
 	voteTimeout = 900 * time.Millisecond
-	// refetchPause is the pause before a value is read again whose configuration no voter had.
+	// refetchPause is the pause before the value is read again, after no voter had the bytes of its configuration.
 	refetchPause = 20 * time.Millisecond
 	// maxInlineConfigBytes is the largest configuration that is sent with each accept request. A larger one goes only to the voters that
 	// reply that they lack it.
 	maxInlineConfigBytes = 64 << 10
-	// transferMargin multiplies the time that bytes would take alone on the link, since they go to several voters at once.
+	// transferMargin multiplies the time that the bytes would take on an idle link, since they are sent to several voters at once.
 	transferMargin = 6
 )
 
-// errUnknownVoters is returned until the set of voters is known, from the own disk or from gossip.
+// errUnknownVoters is returned until the set of voters is known, from the local disk or from gossip.
 var errUnknownVoters = errors.New("the voters are not known yet")
 
 // proposer changes and reads the register by rounds with the voters. Its methods are safe for concurrent use; each call runs rounds of
 // its own.
 type proposer struct {
 	self         register.Voter
-	proposerID   string // part of each ballot; drawn anew with each start of the process
+	proposerID   string // part of each ballot; drawn at random at each start of the process
 	replica      *replica
 	client       *transport.Client
 	fetcher      *configFetcher
-	linkMbps     float64                   // capacity of the own link, 0: unknown
-	gossipVoters func() register.Value     // the newest set of voters that gossip has brought
+	linkMbps     float64                   // capacity of the local link, 0: unknown
+	gossipVoters func() register.Value     // the newest set of voters that was received by gossip
 	isReachable  func(register.Voter) bool // whether a voter has answered this process recently
 	onChosen     func(chosenValue)         // called with each value that was found chosen, from any goroutine
 
-	mu            sync.Mutex      // guards what follows
+	mu            sync.Mutex      // guards the fields below
 	highestNumber uint64          // of the highest ballot that was observed
 	lastChosen    register.Ballot // highest ballot at which this process has found a value chosen
 }
@@ -62,8 +62,8 @@
 	Ballot register.Ballot
 }
 
-// knownVoters returns the set of voters of the newest epoch, from the own disk or from gossip, in a value without other content. A round
-// may find a newer set, and goes on with that.
+// knownVoters returns the set of voters of the newest known epoch, from the local disk or from gossip, in a value without other content. A
+// round that finds a newer set continues with that one.
 func (p *proposer) knownVoters() (register.Value, error) {
 	known := p.gossipVoters()
 	if stored := p.replica.state().Value; stored.Epoch >= known.Epoch {
@@ -75,10 +75,12 @@
 	return register.Value{Epoch: known.Epoch, Voters: known.Voters, OutgoingVoters: known.OutgoingVoters}, nil
 }
 
-// propose runs rounds until the change is chosen or refused, or the context ends. It returns the value that is chosen then, with the
-// outcome Chosen where the change is in it and Rejected where the change does not apply. Danger: after an error nothing is known of the
-// change, which may be chosen yet; a caller that repeats it needs a change that recognizes itself. config holds the bytes of the
-// configuration that the change names, nil where it names none.
+// propose runs rounds until the change is chosen or rejected, or the context ends. It returns the value that is chosen then, with the
+// outcome Chosen if the change is part of it and Rejected if the change does not apply. config holds the bytes of the configuration that the
+// change names, nil if it names none.
+//
+// Danger: after an error the outcome of the change is unknown, and it may still be chosen. A caller that retries needs a change that detects
+// that it was applied already.
 func (p *proposer) propose(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	var backoff register.Backoff
 	pause := time.Duration(0)
@@ -104,7 +106,7 @@
 	}
 }
 
-// sleep returns nil after the pause, or the context's error as soon as it has ended.
+// sleep returns nil after the pause, or the context's error as soon as the context ends.
 func sleep(ctx context.Context, pause time.Duration) error {
 	if pause == 0 {
 		return ctx.Err()
@@ -127,14 +129,14 @@
 	return register.Ballot{Number: p.highestNumber, Proposer: p.proposerID}
 }
 
-// observeBallot notes a ballot of another proposer, for nextBallot to pass.
+// observeBallot records a ballot of another proposer, so that nextBallot returns a higher one.
 func (p *proposer) observeBallot(ballot register.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.highestNumber = max(p.highestNumber, ballot.Number)
 }
 
-// recordChosen notes a ballot at which this process has found a value chosen.
+// recordChosen records a ballot at which this process has found a value chosen.
 func (p *proposer) recordChosen(at register.Ballot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,16 +145,16 @@
 	}
 }
 
-// lastChosenBallot returns the highest ballot that recordChosen has noted. Danger: the ballot that the own replica has accepted must not take
-// its place: what is accepted need not be chosen, and a round that trusted it could change voters that are not in force.
+// lastChosenBallot returns the highest ballot that was passed to recordChosen. Danger: the ballot that the local replica has accepted must not
+// take its place: an accepted value need not be chosen, and a round that trusted it could change a set of voters that is not in force.
 func (p *proposer) lastChosenBallot() register.Ballot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastChosen
 }
 
-// runProposal runs one round of prepare and accept. Its outcome may also be Undecided, by a higher ballot, or Confirmed: it has completed the
-// value of an earlier round, and the change is to be tried in another one.
+// runProposal runs one round of prepare and accept. Its outcome may also be Undecided, if a higher ballot preempted it, or Confirmed:
+// it has completed the value of an earlier round, and the change has to be proposed again.
 func (p *proposer) runProposal(ctx context.Context, change register.Change, config []byte) (chosenValue, register.Outcome, error) {
 	known, err := p.knownVoters()
 	if err != nil {
@@ -208,15 +210,16 @@
 		request := &register.PrepareRequest{To: voter.ID, Ballot: proposal.Ballot}
 		send(func() voterReply { return p.prepare(ctx, voter, request) })
 	}
-	// Danger: the proposal may complete the value of another round, whose configuration is not this one. A voter rejects other bytes than the
-	// value's, in each round that follows too, and the operator would get no answer.
+	// Danger: the proposal may complete the value of another round, with another configuration than config. Voters reject bytes that don't
+	// match the value's digest; so would they in each later round, and the operator would get no response.
 	//
-	// Prepare requests carry no bytes, and the digest of large ones takes a while.
+	// The digest is computed only if there is an accept request to send: prepare requests carry no configuration, and hashing a large one
+	// takes a while.
 	hasConfig := len(step.SendAccept)+len(step.SendConfig) > 0 && register.DigestOf(config) == proposal.Value.ConfigDigest
 	for _, voter := range step.SendAccept {
 		request := &register.AcceptRequest{To: voter.ID, Ballot: proposal.Ballot, Value: proposal.Value}
 		if hasConfig && len(config) <= maxInlineConfigBytes {
-			// A larger one is sent to the voters that reply that they lack it.
+			// A larger one is sent only to the voters that reply that they lack it.
 			request.ConfigData = config
 		}
 		send(func() voterReply { return p.accept(ctx, voter, request) })
@@ -237,8 +240,8 @@
 	}
 }
 
-// read returns the value that is chosen, by replies of a majority. Where these differ it runs a round that completes one first. An error
-// means that no majority was reached in time, or that the voters are not known yet.
+// read returns the chosen value, from the replies of a majority. If the replies differ, it first runs a round that completes one of the
+// values. An error means that no majority was reached in time, or that the voters are not known yet.
 func (p *proposer) read(ctx context.Context) (chosenValue, error) {
 	known, err := p.knownVoters()
 	if err != nil {
@@ -279,10 +282,10 @@
 	return value, err
 }
 
-// readConfig reads the value that is chosen, with the bytes of its configuration unless it has none or isNeeded returns false.
+// readConfig reads the chosen value, with the bytes of its configuration unless it has none or isNeeded returns false.
 //
-// Danger: voters drop the bytes of a configuration soon after it was superseded. Where no voter has them the value is read again; another
-// attempt to get the same bytes would fail as long as changes keep coming.
+// Danger: voters evict the bytes of a configuration soon after it was superseded. If no voter has them, the value is read again; another
+// attempt to get the same bytes would fail for as long as changes keep coming.
 func (p *proposer) readConfig(ctx context.Context, isNeeded func(value register.Value) bool) (chosenValue, []byte, error) {
 	for {
 		value, err := p.read(ctx)
--- a/internal/control/reconfiguration.go
+++ b/internal/control/reconfiguration.go
@@ -18,14 +18,14 @@
 	reconfigurationInterval = 150 * time.Millisecond
 	// learnTimeout bounds the request to one learner.
 	learnTimeout = 700 * time.Millisecond
-	// reconfigurationPause is added after an attempt that changed nothing.
+	// reconfigurationPause is an additional pause after an attempt that changed nothing.
 	reconfigurationPause = 250 * time.Millisecond
 )
 
-// runReconfiguration replaces voters that have failed or leave, and has new control processes join. One voter at a time does so, by its
-// rank (see reconfiguration.StaggeredTimer). Two at once are no fault, since only one change of an epoch can be chosen.
+// runReconfiguration replaces voters that have failed or are leaving, and adds new control processes to the voters. Voters take turns at it
+// by their rank (see reconfiguration.StaggeredTimer). Two at once do no harm, since only one change of an epoch can be chosen.
 func (c *Control) runReconfiguration(ctx context.Context) {
-	var turns reconfiguration.StaggeredTimer
+	var timer reconfiguration.StaggeredTimer
 	var learners reconfiguration.LearnerTargets
 	startedAt := time.Now()
 	for sleep(ctx, reconfigurationInterval) == nil {
@@ -33,7 +33,7 @@
 		candidates := reconfiguration.AddReachableVoters(&gossipState.Voters, c.candidates(), c.isReachable)
 		isNeeded := reconfiguration.IsNeeded(&gossipState.Voters, candidates, c.targetVoters())
 		rank, isVoter := reconfiguration.Rank(c.proposer.self.ID, &gossipState.Voters, reconfiguration.IsLiveVoter(candidates))
-		if !turns.IsDue(time.Since(startedAt).Seconds(), isNeeded && isVoter, rank) {
+		if !timer.IsDue(time.Since(startedAt).Seconds(), isNeeded && isVoter, rank) {
 			learners.Reset()
 			continue
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// reconfigure makes the next change of the voters that is needed, or completes one that is in progress. It decides by the value that a
-// majority holds; the voters that gossip carries only determine when it is tried.
+// reconfigure makes the next change of the voters that is needed, or completes one that is in progress. It decides by the value that it
+// reads from a majority; the voters that gossip carries only determine when it is called.
 func (c *Control) reconfigure(ctx context.Context, learners *reconfiguration.LearnerTargets) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
@@ -70,7 +70,7 @@
 	return c.changeVoters(ctx, register.CompleteReconfiguration)
 }
 
-// changeVoters makes one change. It returns false where another process has changed the voters in the meantime.
+// changeVoters proposes one change of the voters. It returns false if another process has changed them in the meantime.
 func (c *Control) changeVoters(ctx context.Context, change register.Change) (bool, error) {
 	value, outcome, err := c.proposer.propose(ctx, change, nil)
 	if err != nil || outcome != register.Chosen {
@@ -81,7 +81,7 @@
 }
 
 // queryLearners sends the chosen value to the live candidates that don't vote, in parallel, and sets CaughtUp of those that reply that they
-// are up to date. The others fetch the value in the meantime.
+// are up to date. The others start to fetch the value.
 func (c *Control) queryLearners(ctx context.Context, value chosenValue, candidates []register.Candidate, learners *reconfiguration.LearnerTargets) []register.Candidate {
 	queried := map[register.Voter]bool{}
 	var queries sync.WaitGroup
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -24,24 +24,24 @@
 const (
 	// snapshotThreshold is the size of a segment, in bytes, above which a snapshot replaces it.
 	snapshotThreshold = 8 << 20
-	// identityRetryInterval is the pause after a failed first write.
+	// identityRetryInterval is the pause before persistIdentity retries a failed write.
 	identityRetryInterval = 200 * time.Millisecond
 )
 
 // replica is the acceptor of the register with its disk. It is safe for concurrent use.
 //
-// A request that changes the state holds writeMu from the decision until the new state is on disk, and only then is the state in memory
-// replaced (Acceptor.MarkPersisted): what other goroutines see, and what is answered, is always on disk. Reads take mu alone and never wait for
+// A request that changes the state holds writeMu from the decision until the new state is on disk. Only then is the state in memory
+// replaced (Acceptor.MarkPersisted), so that other goroutines and replies only ever show a state that is on disk. Reads take mu alone and never wait for
 // the disk. Where both are held, writeMu is locked first.
 type replica struct {
 	log         *logrus.Entry
-	hadState    bool          // the disk held a readable state at the start
+	hadState    bool          // the disk held a readable state when it was opened
 	valueStored chan struct{} // receives a signal when a newer configuration was accepted or learned
 
 	writeMu sync.Mutex // guards store, and orders changes of the state
 	store   *store.Store
 
-	mu       sync.Mutex // guards what follows; never held during a write
+	mu       sync.Mutex // guards the fields below; never held during a write
 	acceptor *register.Acceptor
 	configs  []cachedConfig // oldest first
 }
@@ -89,8 +89,8 @@
 	return state, restored
 }
 
-// persistIdentity writes a snapshot of the state, and retries until it is on disk or the context ends. No request may be answered before.
-// Where the state was read from the disk, a failed write is no obstacle: a process whose disk is full still answers reads.
+// persistIdentity writes a snapshot of the state, and retries until it is on disk or the context ends. No request may be answered before it
+// returns. If the state was read from the disk, it returns even after a failed write: a process whose disk is full still answers reads.
 func (r *replica) persistIdentity(ctx context.Context) error {
 	for {
 		r.writeMu.Lock()
@@ -127,7 +127,7 @@
 	return r.store.Snapshot(append(records, store.Record{Kind: stateRecord, Data: data})...)
 }
 
-// repairDisk reads the disk back, and where a file is damaged it replaces the content by a snapshot of the state in memory.
+// repairDisk verifies the files on disk. If one is damaged, it replaces all of them by a snapshot of the state in memory.
 func (r *replica) repairDisk() {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -194,7 +194,7 @@
 	return &reply, nil
 }
 
-// handleAccept answers an accept request. A value whose configuration is neither attached nor in memory is not accepted, and the reply asks
+// handleAccept answers an accept request. A value whose configuration is neither attached nor in memory is not accepted; the reply then asks
 // for the bytes. An error means that the bytes don't match the digest or that the disk has failed; nothing was accepted then.
 func (r *replica) handleAccept(_ context.Context, request *register.AcceptRequest) (*register.AcceptReply, error) {
 	r.writeMu.Lock()
@@ -228,8 +228,8 @@
 	return &reply, nil
 }
 
-// learn stores a value that was chosen, where it is newer than the stored one and the bytes of its configuration are here: in config, or in
-// memory where config is nil. It returns whether the stored value is this one or a newer one.
+// learn stores a chosen value if it is newer than the stored one and the bytes of its configuration are available: in config, or in memory
+// if config is nil. It returns whether the stored value is this one or a newer one.
 func (r *replica) learn(value chosenValue, config []byte) (upToDate bool, err error) {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -246,10 +246,10 @@
 	return upToDate, r.persist(next, config)
 }
 
-// handleConfigRequest answers the request for a chunk of a configuration. The size in the reply is 0 where the configuration is not in
+// handleConfigRequest answers the request for a chunk of a configuration. The size in the reply is 0 if the configuration is not in
 // memory.
 func (r *replica) handleConfigRequest(_ context.Context, request *message.ConfigRequest) (*message.ConfigReply, error) {
-	data := r.lendConfig(request.Digest)
+	data := r.serveConfig(request.Digest)
 	reply := &message.ConfigReply{Size: len(data)}
 	if request.Offset < 0 || request.Offset > len(data) || request.Length < 0 {
 		return nil, Error.New("chunk at offset %d of %d bytes", request.Offset, len(data))
--- a/internal/control/rolelease.go
+++ b/internal/control/rolelease.go
@@ -14,7 +14,7 @@
 // forever is longer than any lease, in seconds.
 const forever = 1e9
 
-// acquireDelay is how long a process waits at least before it acquires a role that another one has held.
+// acquireDelay is the minimum time for which a process waits before it acquires a role that another process has held.
 const acquireDelay = 50 * time.Millisecond
 
 // roleLease acquires and keeps the lease of one singleton role, as election.Candidate decides. It is safe for concurrent use.
@@ -22,26 +22,27 @@
 	control   *Control
 	role      string
 	startedAt time.Time
-	// spacing is by how much each process waits longer than the one before it in the order of preference: most then find the role granted already.
+	// spacing is added to acquireDelay once for each process that comes earlier in the order of preference. So most processes find the role
+	// granted already.
 	spacing time.Duration
-	// announcesRelease has the token of a lease that was given up put into this process's record, so that others needn't wait. Danger: a record has room for one
-	// token, which does not name its role. One role alone may do so.
+	// announcesRelease is whether the token of a released lease is published in this process's membership record, so that others needn't wait
+	// until it expires. Danger: a record holds one token, without the name of its role, so only one role may set this.
 	announcesRelease bool
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	candidate *election.Candidate
-	idleSince float64 // see idle
-	hasHeld   bool    // this run has held the role
+	idleSince float64 // see idleStart
+	hasHeld   bool    // this process has held the role since it started
 }
 
-// newRoleLease returns the lease of a role, which this process doesn't hold yet.
+// newRoleLease returns the lease of a role that this process doesn't hold yet.
 func newRoleLease(c *Control, role string, spacing time.Duration, announcesRelease bool) *roleLease {
 	r := &roleLease{control: c, role: role, startedAt: time.Now(), spacing: spacing, announcesRelease: announcesRelease}
 	r.candidate = election.NewCandidate(role, c.settings.NodeID, nodeconfig.FromMillis(c.settings.Bounds.LeaseMs).Seconds(), r.now())
 	return r
 }
 
-// now returns the time of the lease, in seconds since the start.
+// now returns the time on the lease's clock, in seconds since the start.
 func (r *roleLease) now() float64 { return time.Since(r.startedAt).Seconds() }
 
 // token returns the fencing token to act with, 0 without a grant.
@@ -51,15 +52,15 @@
 	return r.candidate.Token()
 }
 
-// canAct reports whether this process may act in the role. It is to be asked right before and after each action.
+// canAct reports whether this process may act in the role. Callers check it right before and right after each action.
 func (r *roleLease) canAct() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.candidate.CanAct(r.now())
 }
 
-// idle returns since when nobody can have acted in the role before the present lease, by the clock of now.
-func (r *roleLease) idle() float64 {
+// idleStart returns the time, on the clock of now, from which no process acted in the role until the current lease was acquired.
+func (r *roleLease) idleStart() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.idleSince
@@ -72,8 +73,8 @@
 	r.candidate.Resign()
 }
 
-// advance releases a lapsed lease, and acquires or confirms it where that is due. It returns whether this process may act. It is called several times a second by
-// one goroutine. preference is this process's place among those that may acquire the role, from 0.
+// advance releases an expired lease, and acquires or confirms the lease if that is due. It returns whether this process may act. One goroutine
+// calls it several times a second. preference is this process's position among those that may acquire the role, from 0.
 func (r *roleLease) advance(ctx context.Context, preference int) bool {
 	gossipState, _ := r.control.node.State()
 	grant := (&register.Value{Grants: gossipState.Grants}).GrantFor(r.role)
@@ -99,7 +100,7 @@
 	return action == election.Act
 }
 
-// lastHeartbeatAge returns the seconds since the last heartbeat of a grant's holder. It is forever where the holder has
+// lastHeartbeatAge returns the seconds since the last heartbeat of a grant's holder. It is forever if the holder has
 // released the grant or is not a known member.
 func (r *roleLease) lastHeartbeatAge(grant register.Grant) float64 {
 	for _, member := range r.control.node.Members() {
@@ -111,14 +112,14 @@
 	return forever
 }
 
-// acquire proposes a grant to this process with the token after the known one. Where the register holds a newer token already, or no majority is reached, nothing
-// changes here.
+// acquire proposes a grant to this process with the token after the known one. If the register holds a newer token already, or no majority is
+// reached, the lease stays as it is.
 func (r *roleLease) acquire(ctx context.Context, grant register.Grant, preference int) {
 	if grant.Holder != r.control.settings.NodeID && sleep(ctx, acquireDelay+time.Duration(preference)*r.spacing) != nil {
 		return
 	}
 	if gossipState, _ := r.control.node.State(); (&register.Value{Grants: gossipState.Grants}).GrantFor(r.role).Token != grant.Token {
-		return // another one was faster
+		return // another process was faster
 	}
 	startedAt := r.now()
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
@@ -129,22 +130,23 @@
 	}
 	token := value.GrantFor(r.role).Token
 	r.mu.Lock()
-	r.idleSince = r.idleBefore(grant, startedAt)
+	r.idleSince = r.idleStartFor(grant, startedAt)
 	r.candidate.HandleAcquired(startedAt, token)
 	r.hasHeld = true
 	r.mu.Unlock()
 	r.control.log.WithField("token", token).Info("role taken: " + r.role)
 }
 
-// idleBefore returns since when nobody can have acted in a role whose last grant is known, for an acquisition that has started at a time. The caller holds mu.
-func (r *roleLease) idleBefore(grant register.Grant, startedAt float64) float64 {
+// idleStartFor returns the idleStart of a lease whose acquisition began at startedAt. grant is the last known grant of the role. The caller
+// holds mu.
+func (r *roleLease) idleStartFor(grant register.Grant, startedAt float64) float64 {
 	switch {
 	case grant.Token == 0, grant.Holder == r.control.settings.NodeID && !r.hasHeld:
-		return 0 // nobody since this process started: it was never held, or by the run of this process before
+		return 0 // idle since this process started: the role was never held, or last by this process before its restart
 	case grant.Holder == r.control.settings.NodeID:
 		return startedAt
 	default:
-		return startedAt - r.candidate.LeaseSeconds // the other one was silent for longer
+		return startedAt - r.candidate.LeaseSeconds // the other process has sent no heartbeat for longer than a lease
 	}
 }
 
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -18,7 +18,7 @@
 	return listener, Error.Wrap(err)
 }
 
-// serve starts a server on a listener. Where it fails, but for a shutdown, the process exits: it must not go on without one of its servers.
+// serve starts a server on a listener. If it fails other than by a shutdown, the process exits: it must not go on without one of its servers.
 func serve(listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	go func() {
@@ -30,9 +30,9 @@
 	return server
 }
 
-// shutdown shuts the servers down: requests in flight may complete until the time-out, then their connections are closed. Danger: a
-// connection on which nothing was sent yet counts as busy for seconds. Peers open such connections and may never use them, so a time-out
-// is no error.
+// shutdown shuts the servers down: requests in flight may complete until the timeout, then their connections are closed. Danger: a
+// connection on which nothing was sent yet counts as busy for seconds. Peers open such connections and may never use them, so a timeout is
+// no error.
 func shutdown(servers []*http.Server, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/control/shutdown_test.go
+++ b/internal/control/shutdown_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("the shutdown of a control process", func() {
-	It("succeeds where a connection was opened on which nothing was sent", func() {
+	It("succeeds even if a connection is open on which nothing was sent", func() {
 		listener, err := listenTCP("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		opened := make(chan struct{}, 1)
@@ -21,13 +21,13 @@
 		}}
 		ended := make(chan error, 1)
 		go func() { ended <- server.Serve(listener) }()
-		silent, err := net.Dial("tcp4", listener.Addr().String())
+		idleConn, err := net.Dial("tcp4", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = silent.Close() }()
+		defer func() { _ = idleConn.Close() }()
 		Eventually(opened).Should(Receive())
 		Expect(shutdown([]*http.Server{server}, 10*time.Millisecond)).To(Succeed())
 		Expect(<-ended).To(MatchError(http.ErrServerClosed))
-		_, err = silent.Read(make([]byte, 1))
-		Expect(err).To(HaveOccurred(), "it is closed")
+		_, err = idleConn.Read(make([]byte, 1))
+		Expect(err).To(HaveOccurred(), "the connection is closed")
 	})
 })
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -19,23 +19,23 @@
 const (
 	// stagesRole is the name of the singleton role in the register's lease grants.
 	stagesRole = "stages"
-	// stagesSpacing spaces the attempts of processes to acquire the role, by rank.
+	// stagesSpacing is the roleLease.spacing of the role.
 	stagesSpacing = 50 * time.Millisecond
-	// stageInterval is the time between two steps of the controller.
+	// stageInterval is the time between two iterations of the controller's loop.
 	stageInterval = 300 * time.Millisecond
 )
 
-// stageController orders model servers to change their stage while this process holds the lease of the role. It is for the goroutine of
-// run alone.
+// stageController orders model servers to change their stage while this process holds the lease of the role. Only the goroutine of
+// run uses it.
 type stageController struct {
 	control       *Control
 	lease         *roleLease
-	adoptedToken  uint64 // of the lease under which the plan of the holder before was adopted
+	adoptedToken  uint64 // of the lease under which the previous holder's plan was adopted
 	planner       *stages.Planner
 	httpClient    *http.Client
 	startedAt     time.Time
-	planSequence  uint64    // of the plan that was published last
-	loadsLoggedAt time.Time // when logServiceLoads wrote its lines last
+	planSequence  uint64    // of the latest published plan
+	loadsLoggedAt time.Time // when logServiceLoads last wrote its lines
 
 	table      *routeconfig.Table // the configuration, unpacked
 	instances  []message.Instance // the endpoint list, unpacked
@@ -50,11 +50,11 @@
 	return s
 }
 
-// now returns the time of the planner, in seconds since the start.
+// now returns the time on the planner's clock, in seconds since the start.
 func (s *stageController) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// run takes a step at each interval until the context ends: it advances the lease, and issues orders while it holds it. It does nothing while there is no
-// model server.
+// run advances the lease at each interval until the context ends, and issues orders while it holds the lease. It does nothing while there is
+// no model server.
 func (s *stageController) run(ctx context.Context) {
 	for sleep(ctx, stageInterval) == nil {
 		gossipState, _ := s.control.node.State()
@@ -68,7 +68,7 @@
 	}
 }
 
-// adoptPlan adopts the plan of the lease holder before, whose orders may be in progress, once under each lease.
+// adoptPlan adopts the plan of the previous lease holder, whose orders may still be in progress. It does so once under each lease.
 func (s *stageController) adoptPlan() {
 	token := s.lease.token()
 	if token == s.adoptedToken {
@@ -80,7 +80,7 @@
 	}
 }
 
-// refreshInputs fetches the configuration, and unpacks the endpoint list where it has changed. It returns false until both are known, and where
+// refreshInputs fetches the configuration, and unpacks the endpoint list where it has changed. It returns false until both are known, and if
 // one can't be unpacked.
 func (s *stageController) refreshInputs(gossipState gossip.State) bool {
 	if gossipState.Table == nil || gossipState.Endpoints.ReadAt.IsZero() {
@@ -132,7 +132,7 @@
 			s.sendOrder(ctx, change)
 		}
 	}
-	// Danger: a plan that is never withdrawn keeps proxies off a server whose order has failed.
+	// Danger: a plan that is never withdrawn keeps proxies from using a server whose order has failed.
 	gossipState, _ := s.control.node.State()
 	if !maps.Equal(s.planner.Pending(s.now()), gossipState.Plan.Stages) {
 		s.publishPlan()
--- a/internal/control/stagecontroller_test.go
+++ b/internal/control/stagecontroller_test.go
@@ -43,7 +43,7 @@
 		Expect(publishedPlan(s).Token).To(Equal(uint64(3)))
 	})
 
-	It("supersedes the plan of an earlier lease holder, also where there is nothing to order", func() {
+	It("supersedes the plan of an earlier lease holder, even if there is nothing to order", func() {
 		s := leaseHolder(4)
 		s.control.node.SetPlan(message.StagePlan{Token: 3, Sequence: 90, Stages: map[string]message.Stage{"i-1": message.Prefill}})
 		s.issueOrders(context.Background())
@@ -61,7 +61,7 @@
 		Expect(publishedPlan(s).Sequence).To(Equal(first.Sequence), "no new plan is published")
 	})
 
-	It("is made from the loads that prefill servers report and the demands of live proxies", func() {
+	It("is based on the loads that prefill servers report and the demands of live proxies", func() {
 		s := leaseHolder(4)
 		s.instances = []message.Instance{{ID: "r", Service: "s", Stage: message.Prefill, Slots: 8}, {ID: "silent", Service: "s", Stage: message.Prefill},
 			{ID: "d", Service: "s", Stage: message.Decode}, {ID: "gone", Service: "s", Stage: message.Decode, Draining: true}, {ID: "plain", Service: "t"}}
@@ -69,7 +69,7 @@
 			{InstanceKey: message.InstanceKey("gone"), Running: 9}})
 		s.control.node.SetDemands([]membership.Demand{{Service: "s", PrefillTokensPerSecond: 100, DecodeStreams: 4, KVTokens: 70}})
 		demand := s.totalDemands()["s"]
-		Expect(demand.PrefillLoad.Reporting).To(Equal(1), "prefill servers alone, and those that report")
+		Expect(demand.PrefillLoad.Reporting).To(Equal(1), "only prefill servers that report")
 		Expect(demand.PrefillLoad.BusyServers).To(BeNumerically(">", 0.8))
 		Expect(demand.Reports).To(Equal(1))
 		Expect(demand.DecodeStreams).To(Equal(4.0))
--- a/internal/control/stageload.go
+++ b/internal/control/stageload.go
@@ -23,7 +23,7 @@
 	prefill, decode stageLoad
 }
 
-// stage returns the load of one stage, nil for a stage that is not known.
+// stage returns the load of one stage, or nil if the stage is unknown.
 func (l *serviceLoad) stage(stage message.Stage) *stageLoad {
 	switch stage {
 	case message.Prefill:
@@ -78,7 +78,7 @@
 	return out
 }
 
-// addServer adds a server with its load, the zero Load where it has not reported one recently.
+// addServer adds a server with its load, which is the zero Load if it has not reported one recently.
 func (s *stageLoad) addServer(load message.Load) {
 	s.servers++
 	s.running += int(load.Running)
--- a/internal/control/stageorder.go
+++ b/internal/control/stageorder.go
@@ -31,8 +31,8 @@
 	FencingToken uint64        `json:"FenceToken"`
 }
 
-// sendOrder sends one order, once. An order without a response may have been executed, and counts as executed. A response of 412 means that
-// the server has seen a higher token: the lease is lost.
+// sendOrder sends one order, without retries. An order without a response may have been executed, and counts as executed. Status 412 means
+// that the server has seen a higher token: the lease is lost.
 func (s *stageController) sendOrder(ctx context.Context, change stages.StageChange) {
 	if !s.lease.canAct() {
 		s.planner.HandleRejected(change)
@@ -56,8 +56,8 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = response.Body.Close() }()                             // only its status counts
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // so that the connection can be used again
+	defer func() { _ = response.Body.Close() }()                             // only the status is used
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxReplyBytes)) // so that the connection can be reused
 	s.control.log.WithFields(logrus.Fields{"server": change.Instance.ID, "stage": change.Stage, "status": response.StatusCode}).Info("stage order answered")
 	switch response.StatusCode {
 	case http.StatusAccepted, http.StatusOK:
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -5,15 +5,15 @@
 	"net/http"
 )
 
-// replicaStatus is what a control process reports of its replica. Operators and their tools read it, so the JSON keys stay.
+// replicaStatus is what a control process reports about its replica. Operators and their tools read it, so the JSON keys must not change.
 type replicaStatus struct {
 	Identity         string        `json:"Identity"`      // of the disk
-	IsVoter          bool          `json:"Votes"`         // it votes, and no change of the voters is in progress, as far as this process knows
+	IsVoter          bool          `json:"Votes"`         // it votes, and no reconfiguration is in progress, as far as this process knows
 	Epoch            uint64        `json:"Epoch"`         // of the value on disk
 	ConfigVersion    uint64        `json:"Version"`       // of the configuration of that value
 	ConfigBytes      int           `json:"Bytes"`         // size of that configuration, 0: not in memory
 	BallotRound      uint64        `json:"Ballot"`        // round of the ballot at which that value was accepted or learned
-	PublishedVersion uint64        `json:"Told"`          // of the configuration that gossip carries from here, 0: none
+	PublishedVersion uint64        `json:"Told"`          // of the configuration that this process gossips, 0: none
 	ReachesMajority  bool          `json:"TouchMajority"` // whether a majority of the voters is reachable
 	Voters           []voterStatus `json:"Voters"`
 }
@@ -25,12 +25,12 @@
 	Reachable bool   `json:"InTouch"`
 }
 
-// status returns the present status. Its parts are read one after the other, and may be of different moments.
+// status returns the current status. Its parts are read one after the other, so they may not match each other.
 func (c *Control) status() replicaStatus {
 	state := c.replica.state()
 	gossipState, _ := c.node.State()
-	// Danger: while the voters change, a majority of the outgoing ones decides as well. Who took a newcomer for a voter then and replaced the next
-	// disk would lose two of three outgoing voters, and no change would be accepted any longer.
+	// Danger: during a reconfiguration a majority of the outgoing voters is needed as well. An operator who already counted a new process as a
+	// voter and replaced the next disk would lose two of three outgoing voters, and no change would be accepted any longer.
 	isVoter := c.isVoter(&gossipState.Voters) && len(gossipState.Voters.OutgoingVoters) == 0
 	status := replicaStatus{Identity: state.ID, IsVoter: isVoter, Epoch: state.Value.Epoch, ConfigVersion: state.Value.ConfigVersion,
 		ConfigBytes: len(c.replica.configBytes(state.Value.ConfigDigest)), BallotRound: state.Accepted.Number, ReachesMajority: c.reachesMajority()}
@@ -51,5 +51,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", jsonType)
-	_, _ = w.Write(append(data, '\n')) // a client that has disconnected asks again
+	_, _ = w.Write(append(data, '\n')) // a client that has disconnected retries
 }
--- a/internal/control/steadychange_test.go
+++ b/internal/control/steadychange_test.go
@@ -13,9 +13,9 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// changeStream puts one configuration after the other, each as soon as the one before is acknowledged, until it is stopped.
+// changeStream puts one configuration after the other, each as soon as the previous one is acknowledged, until it is stopped.
 type changeStream struct {
-	confirmed atomic.Int64 // the version acknowledged last
+	confirmed atomic.Int64 // the latest acknowledged version
 	stopped   chan struct{}
 	ended     chan struct{}
 }
@@ -65,9 +65,9 @@
 		before := changes.confirmed.Load()
 		s.start(2, false)
 		Eventually(func() bool { return s.isVoter(2) }, waitTimeout).Should(BeTrue(), func() string {
-			return fmt.Sprintf("%d changes came meanwhile", changes.confirmed.Load()-before)
+			return fmt.Sprintf("%d changes were acknowledged meanwhile", changes.confirmed.Load()-before)
 		})
-		Expect(changes.confirmed.Load()).To(BeNumerically(">", before), "changes went on")
+		Expect(changes.confirmed.Load()).To(BeNumerically(">", before), "changes were acknowledged meanwhile")
 		changes.stop()
 		Eventually(func() int { return s.storedVersion(2) }, waitTimeout).Should(BeEquivalentTo(changes.confirmed.Load()))
 	},
@@ -76,7 +76,7 @@
 })
 
 var _ = Describe("the cached bytes of a superseded configuration", func() {
-	hold := func(r *replica, version int) []byte {
+	cache := func(r *replica, version int) []byte {
 		data := testConfig(version, 0)
 		r.cacheConfig(register.DigestOf(data), data)
 		return data
@@ -84,16 +84,16 @@
 
 	It("stay while a process fetches them, within bounds", func() {
 		r := &replica{}
-		first, second := hold(r, 1), hold(r, 2)
-		Expect(r.lendConfig(register.DigestOf(first))).To(Equal(first))
+		first, second := cache(r, 1), cache(r, 2)
+		Expect(r.serveConfig(register.DigestOf(first))).To(Equal(first))
 		for version := 3; version < 3+maxCachedConfigs-maxKeptConfigs; version++ {
-			hold(r, version)
+			cache(r, version)
 			Expect(r.configBytes(register.DigestOf(first))).To(Equal(first))
 			Expect(r.configBytes(register.DigestOf(second))).To(Or(BeNil(), HaveLen(len(second))))
 		}
 		for version := 20; version < 30; version++ {
-			data := hold(r, version)
-			r.lendConfig(register.DigestOf(data))
+			data := cache(r, version)
+			r.serveConfig(register.DigestOf(data))
 			Expect(len(r.configs)).To(BeNumerically("<=", maxCachedConfigs))
 			Expect(r.configBytes(register.DigestOf(data))).To(Equal(data), "the newest is never evicted")
 		}
@@ -102,7 +102,7 @@
 	It("are evicted where no process fetches them", func() {
 		r := &replica{}
 		for version := 1; version < 9; version++ {
-			hold(r, version)
+			cache(r, version)
 		}
 		Expect(r.configs).To(HaveLen(maxKeptConfigs))
 	})
--- a/internal/control/stored_form_test.go
+++ b/internal/control/stored_form_test.go
@@ -14,10 +14,10 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// update writes the golden files anew. Only for a form that is new: disks of older versions must stay readable.
+// update rewrites the golden files. Use it only for a new form: disks of older versions must stay readable.
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// storedFolder is a disk that version 1 of the format has written; see writeStoredFolder.
+// storedFolder holds the files of a disk in version 1 of the format; see writeStoredFolder.
 var storedFolder = filepath.Join("testdata", "stored")
 
 // openStoredReplica opens the replica of a founder on a folder.
@@ -56,20 +56,20 @@
 	return value
 }
 
-// writeStoredFolder writes a disk: a first process accepts two configurations; a second one, behind its snapshot, accepts a third with a
-// reconfiguration in progress and promises higher ballots, the last of which is torn.
+// writeStoredFolder writes the files of a disk. A first process accepts two configurations. A second one writes a snapshot, accepts a third
+// configuration with a reconfiguration in progress and promises two higher ballots; the record of the last one is torn.
 func writeStoredFolder(dir string) {
 	ctx := context.Background()
 	accept := func(r *replica, version int) {
-		answer, err := r.handleAccept(ctx, &register.AcceptRequest{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
+		reply, err := r.handleAccept(ctx, &register.AcceptRequest{To: r.state().ID, Ballot: storedBallot(uint64(100 * version)), Value: storedValue(version),
 			ConfigData: testConfig(version, 0)})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.OK).To(BeTrue())
+		Expect(reply.OK).To(BeTrue())
 	}
 	prepare := func(r *replica, round uint64) {
-		answer, err := r.handlePrepare(ctx, &register.PrepareRequest{To: r.state().ID, Ballot: storedBallot(round)})
+		reply, err := r.handlePrepare(ctx, &register.PrepareRequest{To: r.state().ID, Ballot: storedBallot(round)})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(answer.OK).To(BeTrue())
+		Expect(reply.OK).To(BeTrue())
 	}
 	first := openStoredReplica(dir)
 	Expect(first.persistIdentity(ctx)).To(Succeed())
@@ -114,7 +114,7 @@
 		Expect(folderContent(dir)).To(Equal(folderContent(storedFolder)))
 	})
 
-	It("is read: configurations, a reconfiguration in progress and grants, up to the torn end", func() {
+	It("is read up to the torn end: configurations, a reconfiguration in progress and grants", func() {
 		dir := GinkgoT().TempDir()
 		Expect(os.CopyFS(dir, os.DirFS(storedFolder))).To(Succeed())
 		r := openStoredReplica(dir)
--- a/internal/control/tenantlessor_test.go
+++ b/internal/control/tenantlessor_test.go
@@ -13,11 +13,11 @@
 	"hazelwheel/internal/transport"
 )
 
-// limitedTenants are one tenant with a limit and one without.
+// limitedTenants lists one tenant with a limit and one without.
 const limitedTenants = `{"Name":"acme","RatePerS":4000,"Burst":4000},{"Name":"bolt"}`
 
-// askTokens asks a process for tokens of a tenant's share, as a new lessee. It returns nil where that process isn't the lessor.
-func (s *testCluster) askTokens(i, share int, tenant string, need int64) *tokenlease.Reply {
+// requestTokens requests tokens of a share from a process, as a new lessee. It returns nil if that process isn't the lessor.
+func (s *testCluster) requestTokens(i, share int, tenant string, need int64) *tokenlease.Reply {
 	request := &tokenlease.Request{Lessee: "test/" + time.Now().String(), Share: share, Reports: []tokenlease.Report{{Tenant: tenant, LeaseID: 1, Need: need}}}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -28,18 +28,18 @@
 	return reply
 }
 
-// lessors returns which of the running processes is the lessor of a share.
-func (s *testCluster) lessors(share int) (all []int) {
+// lessors returns which of the running processes act as the lessor of a share.
+func (s *testCluster) lessors(share int) (indexes []int) {
 	for i := range s.machines {
-		if s.askTokens(i, share, "acme", 0) != nil {
-			all = append(all, i)
+		if s.requestTokens(i, share, "acme", 0) != nil {
+			indexes = append(indexes, i)
 		}
 	}
-	return all
+	return indexes
 }
 
 var _ = Describe("the lessors of limits by tenant", func() {
-	It("are one process for each share, spread over all, and another one once that is gone", func() {
+	It("are one process for each share, spread over the cluster, and another process once that one has ended", func() {
 		s := newTestCluster(3)
 		status, text := s.putText(0, 0, tenantConfig(1, limitedTenants))
 		Expect(status).To(Equal(http.StatusOK), text)
@@ -51,14 +51,14 @@
 		Expect(len(holders)).To(BeNumerically(">=", 2))
 		for share := range tokenlease.Shares {
 			holder := s.lessors(share)[0]
-			Eventually(func() int64 { return s.askTokens(holder, share, "acme", 100).Grants[0].Granted }, waitTimeout).Should(BeEquivalentTo(100))
-			Expect(s.askTokens(holder, share, "bolt", 100).Grants).To(BeEmpty(), "a tenant without a limit")
+			Eventually(func() int64 { return s.requestTokens(holder, share, "acme", 100).Grants[0].Granted }, waitTimeout).Should(BeEquivalentTo(100))
+			Expect(s.requestTokens(holder, share, "bolt", 100).Grants).To(BeEmpty(), "a tenant without a limit")
 		}
-		gone := s.lessors(0)[0]
-		token := s.askTokens(gone, 0, "acme", 0).Token
-		s.stop(gone)
+		stopped := s.lessors(0)[0]
+		token := s.requestTokens(stopped, 0, "acme", 0).Token
+		s.stop(stopped)
 		Eventually(func() []int { return s.lessors(0) }, waitTimeout, 50*time.Millisecond).Should(HaveLen(1))
-		Expect(s.askTokens(s.lessors(0)[0], 0, "acme", 0).Token).To(Equal(token + 1))
+		Expect(s.requestTokens(s.lessors(0)[0], 0, "acme", 0).Token).To(Equal(token + 1))
 	})
 
 	It("follow the limits of each configuration", func() {
@@ -67,7 +67,7 @@
 		Expect(status).To(Equal(http.StatusOK))
 		grantedOf := func(need int64) func() int64 {
 			return func() int64 {
-				if reply := s.askTokens(0, 0, "acme", need); reply != nil && len(reply.Grants) == 1 {
+				if reply := s.requestTokens(0, 0, "acme", need); reply != nil && len(reply.Grants) == 1 {
 					return reply.Grants[0].Granted
 				}
 				return -1
@@ -82,11 +82,11 @@
 		Eventually(grantedOf(100), waitTimeout).Should(BeEquivalentTo(-1), "it has no limit any more")
 	})
 
-	It("are none where no tenant has a limit", func() {
+	It("don't exist if no tenant has a limit", func() {
 		s := newTestCluster(1)
 		status, _ := s.putText(0, 0, tenantConfig(1, `{"Name":"acme"}`))
 		Expect(status).To(Equal(http.StatusOK))
 		Consistently(func() []int { return s.lessors(0) }, 3*firstGrantDelay/2).Should(BeEmpty())
-		Expect(s.askTokens(0, tokenlease.Shares, "acme", 1)).To(BeNil(), "there is no such share")
+		Expect(s.requestTokens(0, tokenlease.Shares, "acme", 1)).To(BeNil(), "there is no such share")
 	})
 })
--- a/internal/control/tenantlimits.go
+++ b/internal/control/tenantlimits.go
@@ -8,17 +8,17 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// currentTable is the newest configuration that gossip has brought, unpacked once for all parts of the process. It is safe for concurrent use.
+// currentTable is the newest configuration that was received by gossip, unpacked once for all parts of the process. It is safe for concurrent use.
 type currentTable struct {
 	control *Control
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	packed *message.PackedTable
 	table  *routeconfig.Table
 	limits map[string]tokenlease.Limit // of the tenants that have one
 }
 
-// get returns the configuration, nil before the first one and where it can't be unpacked. It must not be changed.
+// get returns the configuration, or nil before the first one and if it can't be unpacked. It must not be changed.
 func (t *currentTable) get() *routeconfig.Table {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/tenants_test.go
+++ b/internal/control/tenants_test.go
@@ -21,20 +21,20 @@
 	return append(bytes.TrimSuffix(testConfig(version, 0), []byte("}")), fmt.Sprintf(`,"Tenants":[%s]}`, tenants)...)
 }
 
-// putText sends a configuration until the response is definite, and returns its status and text.
+// putText sends a configuration until the response is definite, and returns its status and body.
 func (s *testCluster) putText(i, base int, data []byte) (status int, text string) {
 	Eventually(func() int {
 		request, err := http.NewRequest(http.MethodPut, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
 		Expect(err).NotTo(HaveOccurred())
 		request.Header.Set("If-Match", fmt.Sprint(base))
-		answer, err := (&http.Client{Timeout: waitTimeout}).Do(request)
+		response, err := (&http.Client{Timeout: waitTimeout}).Do(request)
 		if err != nil {
 			return 0
 		}
-		defer answer.Body.Close()
-		body, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
-		status, text = answer.StatusCode, string(body)
+		status, text = response.StatusCode, string(body)
 		return status
 	}, waitTimeout).ShouldNot(BeElementOf(0, http.StatusServiceUnavailable))
 	return status, text
@@ -76,7 +76,7 @@
 		}
 	})
 
-	It("that an earlier version has accepted comes into force, in place of what that version has compiled of it", func() {
+	It("that an earlier version has accepted takes effect, in place of the table that the earlier version compiled from it", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		earlier, err := routeconfig.Parse(testConfig(2, 0))
@@ -93,7 +93,7 @@
 		}, waitTimeout).Should(BeTrue())
 		for i := range s.founders {
 			Eventually(func() []routeconfig.Tenant { return s.publishedTable(i).Tenants }, waitTimeout).Should(HaveLen(2))
-			Expect(s.publishedTable(i).Tenants[0].KeyDigests).To(BeEmpty(), "a shared key is nobody's")
+			Expect(s.publishedTable(i).Tenants[0].KeyDigests).To(BeEmpty(), "a shared key belongs to no tenant")
 			Expect(s.publishedTable(i).Tenants[1].KeyDigests).To(HaveLen(1))
 		}
 	})
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -22,7 +22,7 @@
 	"hazelwheel/internal/transport"
 )
 
-// waitTimeout bounds each wait, far above what is needed.
+// waitTimeout bounds each wait. It is far longer than any wait needs.
 const waitTimeout = 30 * time.Second
 
 // errPartitioned is the error of connections to and from a partitioned machine.
@@ -48,7 +48,7 @@
 	return a != b && (n.partitioned[a] || n.partitioned[b])
 }
 
-// dial returns the dial function of a machine. Across a partition it blocks until its context ends, as without packets.
+// dial returns the dial function of a machine. Across a partition it blocks until its context ends, as if all packets were lost.
 func (n *faultyNetwork) dial(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		to, _, err := net.SplitHostPort(address)
@@ -95,7 +95,7 @@
 	return count, err
 }
 
-// machine is a control process that runs within the test.
+// machine is a control process that runs in the test's own process.
 type machine struct {
 	ip      string
 	control *Control
@@ -106,7 +106,7 @@
 // testCluster is a set of control processes on loopback addresses.
 type testCluster struct {
 	dir      string
-	base     int
+	base     int // lowest port of each machine
 	network  *faultyNetwork
 	founders int
 	machines map[int]*machine
@@ -169,7 +169,7 @@
 	Expect(m.control.replica.store.Close()).To(Succeed())
 }
 
-// testConfig returns a configuration of a version, with a name of a given length in it.
+// testConfig returns a configuration of a version. size is the length of its route's name.
 func testConfig(version int, size int) []byte {
 	return fmt.Appendf(nil, `{"Version":%d,"Routes":[{"Name":"%s","Host":"h","PathPrefix":"/p/","RouteType":"non_idempotent","TimeoutMs":2000,`+
 		`"TargetLatencyMs":500,"Service":"s","MaxAttempts":1}],"Services":[{"Name":"s","HealthPath":"/health","MaxConnections":10}]}`,
@@ -184,12 +184,12 @@
 	request, err := http.NewRequest(method, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("If-Match", fmt.Sprint(base))
-	answer, err := (&http.Client{Timeout: waitTimeout}).Do(request)
+	response, err := (&http.Client{Timeout: waitTimeout}).Do(request)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = answer.Body.Close() }()
-	return answer.StatusCode
+	defer func() { _ = response.Body.Close() }()
+	return response.StatusCode
 }
 
 // sendUntilDecided sends a change, unchanged, until the response is definite, as an operator does, and returns its status.
@@ -203,18 +203,18 @@
 
 // get returns the status and the version of the configuration that a process answers with.
 func (s *testCluster) get(i int) (status, version int) {
-	answer, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
+	response, err := (&http.Client{Timeout: waitTimeout}).Get("http://" + s.operatorAddress(i) + "/config")
 	if err != nil {
 		return 0, 0
 	}
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
-	var told struct{ Version int }
-	if answer.StatusCode == http.StatusOK {
-		Expect(json.Unmarshal(data, &told)).To(Succeed())
+	var config struct{ Version int }
+	if response.StatusCode == http.StatusOK {
+		Expect(json.Unmarshal(data, &config)).To(Succeed())
 	}
-	return answer.StatusCode, told.Version
+	return response.StatusCode, config.Version
 }
 
 func (s *testCluster) version(i int) int {
--- a/internal/control/unfinishedround_test.go
+++ b/internal/control/unfinishedround_test.go
@@ -9,11 +9,11 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// A change that came second got 503 after 2.5 s instead of 412, in a test of two operators that once failed so. A round that finds a value
-// which one voter alone has accepted completes it before it answers; it sent the bytes of its own change along with that value, each voter
-// turned them down ("the bytes of a configuration don't match its digest"), and the next round did the same until the time was over.
+// The later of two concurrent changes got 503 after 2.5 s instead of 412 (seen once in the test of two operators). A round that finds a value
+// which only one voter has accepted completes that value first. It sent the bytes of its own change along with the value; each voter rejected
+// them ("the bytes of a configuration don't match its digest"), and so did every further round until the request timed out.
 var _ = Describe("a change that doesn't apply to a value which another round has left unfinished", func() {
-	It("sends the voters that value alone, for which they ask the bytes", func() {
+	It("sends the voters that value without bytes, and they reply that they need its configuration", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		proposer := s.machines[0].control.proposer
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// configBytes returns the bytes of a value's configuration, from the own replica or else from the value's voters.
+// configBytes returns the bytes of a value's configuration, from the local replica or else from the value's voters.
 func (p *proposer) configBytes(ctx context.Context, value register.Value) ([]byte, error) {
 	if data := p.replica.configBytes(value.ConfigDigest); data != nil {
 		return data, nil
@@ -19,7 +19,7 @@
 	return p.fetcher.fetch(ctx, value.ConfigDigest, sources, p.requestChunk)
 }
 
-// requestChunk is the chunkRequester of the network.
+// requestChunk is the chunkRequester that calls another control process.
 func (p *proposer) requestChunk(ctx context.Context, from register.Voter, request *message.ConfigRequest) (*message.ConfigReply, error) {
 	reply := &message.ConfigReply{}
 	return reply, p.client.Call(ctx, from.Address, configPath, request, reply)
@@ -34,7 +34,7 @@
 	err          error
 }
 
-// callVoter sends a request to a voter and returns its reply. Where the voter is this process it calls local instead, without a time-out.
+// callVoter sends a request to a voter and returns its reply. If the voter is this process, it calls local instead, without a timeout.
 func callVoter[Request, Reply any](ctx context.Context, p *proposer, voter register.Voter, path string, timeout time.Duration, request *Request,
 	local func(context.Context, *Request) (*Reply, error)) (*Reply, error) {
 	if voter.Address == p.self.Address {
@@ -52,13 +52,14 @@
 	return voterReply{from: voter, prepareReply: reply, err: err}
 }
 
-// accept sends an accept request to a voter, and allows for the transfer of the configuration with it.
+// accept sends an accept request to a voter. Its timeout allows for the transfer of the attached configuration.
 func (p *proposer) accept(ctx context.Context, voter register.Voter, request *register.AcceptRequest) voterReply {
 	reply, err := callVoter(ctx, p, voter, acceptPath, voteTimeout+p.transferTime(len(request.ConfigData)), request, p.replica.handleAccept)
 	return voterReply{from: voter, isAccept: true, acceptReply: reply, err: err}
 }
 
-// transferTime returns what a number of bytes may take on the own link while they go to all voters at once, 0 where the link is unknown.
+// transferTime returns the maximum time to send a number of bytes to all voters at once over the local link, 0 if the link's capacity is
+// unknown.
 func (p *proposer) transferTime(size int) time.Duration {
 	if p.linkMbps <= 0 {
 		return 0
--- a/internal/control/voterset.go
+++ b/internal/control/voterset.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/decide/register"
 )
 
-// targetVoters returns the number of voters that the settings ask for: enough to lose as many at once as FaultTolerance says.
+// targetVoters returns the number of voters that the settings require to tolerate the failures in FaultTolerance.
 func (c *Control) targetVoters() int { return c.settings.FaultTolerance.MinVoters() }
 
 // isReachable reports whether a voter has answered this process recently. The process itself counts as reachable.
@@ -16,15 +16,15 @@
 	return voter.Address == c.proposer.self.Address || c.node.IsReachable(voter.Address)
 }
 
-// reachesMajority reports whether a majority of the known voters is reachable. While no voters are known it returns true: nothing is known
-// against it.
+// reachesMajority reports whether a majority of the known voters is reachable. While no voters are known it returns true, since
+// nothing indicates a partition.
 func (c *Control) reachesMajority() bool {
 	known, err := c.proposer.knownVoters()
 	return err != nil || known.HasQuorum(c.isReachable)
 }
 
-// quorumReplyAge returns the age of the replies of a majority of the known voters, of both sets during a reconfiguration: at most that long
-// ago a majority has received a heartbeat of this process. It is 0 while no voters are known.
+// quorumReplyAge returns the age of the oldest reply among the latest replies of a majority of the known voters, of both sets during a
+// reconfiguration. A majority has received a heartbeat of this process since then. It is 0 while no voters are known.
 func (c *Control) quorumReplyAge() time.Duration {
 	known, err := c.proposer.knownVoters()
 	if err != nil {
@@ -33,7 +33,7 @@
 	return max(c.majorityReplyAge(known.Voters), c.majorityReplyAge(known.OutgoingVoters))
 }
 
-// majorityReplyAge returns the age of the replies of a majority of a set, 0 where it is empty.
+// majorityReplyAge returns the smallest age that the last replies of a majority of a set don't exceed, 0 if the set is empty.
 func (c *Control) majorityReplyAge(voters []register.Voter) time.Duration {
 	if len(voters) == 0 {
 		return 0
@@ -62,7 +62,7 @@
 	return candidates
 }
 
-// isVoter reports whether this process votes by a value, in the present or the previous set.
+// isVoter reports whether this process is a voter of a value, in the current or the outgoing set.
 func (c *Control) isVoter(value *register.Value) bool {
 	for _, voter := range value.AllVoters() {
 		if voter.ID == c.proposer.self.ID {
--- a/internal/control/wire_form_test.go
+++ b/internal/control/wire_form_test.go
@@ -30,37 +30,37 @@
 	Expect(now).To(Equal(string(want)))
 }
 
-// transcript holds calls of the operator with their answers.
+// transcript records requests of an operator with their responses.
 type transcript struct {
 	handler http.Handler
 	text    strings.Builder
 }
 
-// call sends a request and appends it with its response, but for the date.
+// call sends a request and appends it and its response to the transcript. Of the headers it appends those that don't vary.
 func (t *transcript) call(method, ifMatch, body string) {
 	request := httptest.NewRequest(method, "/config", strings.NewReader(body))
 	if ifMatch != "" {
 		request.Header.Set("If-Match", ifMatch)
 	}
-	answer := httptest.NewRecorder()
-	t.handler.ServeHTTP(answer, request)
+	response := httptest.NewRecorder()
+	t.handler.ServeHTTP(response, request)
 	shown := body
 	if len(shown) > 1000 {
 		shown = fmt.Sprintf("(%d bytes)", len(shown))
 	}
-	fmt.Fprintf(&t.text, "> %s /config If-Match=%q %s\n< %d\n", method, ifMatch, shown, answer.Code)
+	fmt.Fprintf(&t.text, "> %s /config If-Match=%q %s\n< %d\n", method, ifMatch, shown, response.Code)
 	for _, name := range []string{"Allow", "Content-Length", "Content-Type", "Retry-After"} {
-		if value := answer.Header().Get(name); value != "" {
+		if value := response.Header().Get(name); value != "" {
 			fmt.Fprintf(&t.text, "< %s: %s\n", name, value)
 		}
 	}
-	data, err := io.ReadAll(answer.Body)
+	data, err := io.ReadAll(response.Body)
 	Expect(err).NotTo(HaveOccurred())
 	fmt.Fprintf(&t.text, "%s\n", bytes.TrimRight(data, "\n"))
 }
 
 var _ = Describe("the form of the configuration API", func() {
-	It("has the same statuses, headers and bodies", func() {
+	It("keeps its statuses, headers and bodies", func() {
 		s := newTestCluster(1)
 		c := s.machines[0].control
 		Eventually(c.reachesMajority, waitTimeout).Should(BeTrue())
@@ -92,9 +92,9 @@
 
 	It("has a status for each verdict on a change", func() {
 		var out strings.Builder
-		for _, judged := range []register.ConfigVerdict{register.ConfigApplicable, register.ConfigDuplicate, register.ConfigStaleBase, register.ConfigStaleVersion} {
-			got := rejection(register.Value{ConfigVersion: 7}, judged)
-			fmt.Fprintf(&out, "%d: %d %s\n", judged, got.status, got.message)
+		for _, verdict := range []register.ConfigVerdict{register.ConfigApplicable, register.ConfigDuplicate, register.ConfigStaleBase, register.ConfigStaleVersion} {
+			got := rejection(register.Value{ConfigVersion: 7}, verdict)
+			fmt.Fprintf(&out, "%d: %d %s\n", verdict, got.status, got.message)
 		}
 		for _, got := range []changeResult{changeAccepted, invalidChange(errUnknownVoters), unavailableChange(errUnknownVoters)} {
 			fmt.Fprintf(&out, "%d %s\n", got.status, got.message)
@@ -104,7 +104,7 @@
 })
 
 var _ = Describe("the form of the status and of orders", func() {
-	It("has the same JSON keys", func() {
+	It("keeps its JSON keys", func() {
 		data, err := json.MarshalIndent([]any{
 			replicaStatus{Identity: "i", IsVoter: true, Epoch: 2, ConfigVersion: 3, ConfigBytes: 4, BallotRound: 5, PublishedVersion: 6, ReachesMajority: true,
 				Voters: []voterStatus{{Identity: "v", Address: "a", Reachable: true}}},
