--- a/internal/gossip/exchange.go
+++ b/internal/gossip/exchange.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// pushFanout is the number of processes to which an update is sent at once. Each that lacked something does the same.
+	// pushFanout is the number of processes to which an update is sent. Each of them that lacked something does the same.
 	pushFanout = 3
 	// fetchTimeout is how long a process waits for a configuration or endpoints from one peer before it asks another.
 	fetchTimeout = 350 * time.Millisecond
-	// readingTolerance is by how much a reading of the endpoints must be younger to replace one that differs.
+	// readingTolerance is the minimum difference in age at which a reading of the endpoints replaces an older one.
 	readingTolerance = 20 * time.Millisecond
 )
 
@@ -22,7 +22,7 @@
 	busyUntil time.Time
 }
 
-// tryAcquire reports whether the item may be asked for now, and reserves the slot for fetchTimeout.
+// tryAcquire reports whether the item may be requested now, and if so reserves the slot for fetchTimeout.
 func (s *fetchSlot) tryAcquire() bool {
 	if time.Now().Before(s.busyUntil) {
 		return false
@@ -34,7 +34,8 @@
 // release frees the slot.
 func (s *fetchSlot) release() { s.busyUntil = time.Time{} }
 
-// exchange exchanges what both know with a peer, and sends the peer what it asks for. Failures are left to the next exchange.
+// exchange makes an exchange with a peer, and sends the peer what it requests. A failed exchange is not retried: the next one
+// makes up for it.
 func (n *Node) exchange(ctx context.Context, address string) {
 	request := n.buildExchange()
 	n.mu.Lock()
@@ -57,7 +58,7 @@
 	n.sendRequested(ctx, address, reply)
 }
 
-// sendRequested sends a peer what its reply asks for.
+// sendRequested sends a peer what its reply requests.
 func (n *Node) sendRequested(ctx context.Context, address string, reply *message.Gossip) {
 	if !reply.NeedsTable && !reply.NeedsList {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// attachRequested attaches the configuration or the endpoints to a message that names them.
+// attachRequested attaches the configuration or the endpoints to a message that names their versions.
 func (n *Node) attachRequested(out *message.Gossip, withTable, withEndpoints bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,10 +96,11 @@
 	return reply, nil
 }
 
-// pushUpdate sends an update to a few processes. Those that lack something ask for it and push an update themselves.
+// pushUpdate sends an update to a few processes. Those that lack something request it and push an update themselves.
 func (n *Node) pushUpdate() { n.pushMessage(n.buildUpdate()) }
 
-// pushMessage sends a message to pushFanout processes, without waiting. Failures are left to the next exchange.
+// pushMessage sends a message to pushFanout processes, without waiting. It doesn't retry: the next exchanges make up for
+// failures.
 func (n *Node) pushMessage(request *message.Gossip) {
 	n.mu.Lock()
 	addresses := n.view.PickFanout(n.now(), pushFanout)
@@ -138,7 +140,7 @@
 	return out
 }
 
-// handleGossip handles a message of a peer. The reply is of the same kind, carries what the peer asks for and asks for what
+// handleGossip handles a message of a peer. The reply is of the same kind, carries what the peer requests and requests what
 // this process lacks.
 func (n *Node) handleGossip(_ context.Context, request *message.Gossip) (*message.Gossip, error) {
 	if request.FormatVersion != message.FormatVersion {
@@ -160,7 +162,7 @@
 	return reply, nil
 }
 
-// outdated reports whether the local configuration and endpoints are older than those that a message names.
+// outdated reports whether the local configuration and the local endpoints are older than those that a message names.
 func (n *Node) outdated(request *message.Gossip) (hasOldTable, hasOldEndpoints bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -170,7 +172,7 @@
 }
 
 // isYounger reports whether a peer's reading of the endpoints is younger than the local one. Danger: the time of a reading is
-// derived from its age when it was sent, and so differs by the delay of the network. readingTolerance keeps an older reading
+// derived from its age when it was sent, and so is late by the delay of the network. readingTolerance keeps an older reading
 // from replacing a younger one. The caller holds mu.
 func (n *Node) isYounger(list message.InstanceList) bool {
 	if list.Digest == 0 {
@@ -184,7 +186,7 @@
 	return time.Now().Add(-time.Duration(list.AgeMs * float64(time.Millisecond)))
 }
 
-// merge adopts what is newer in a peer's message than what is known.
+// merge adopts everything in a peer's message that is newer than the local state.
 func (n *Node) merge(received *message.Gossip) {
 	n.mu.Lock()
 	n.view.MergeRecords(n.now(), received.Records)
@@ -206,7 +208,7 @@
 	}
 	n.mu.Unlock()
 	if hasNewGrant {
-		n.pushUpdate() // requests to the holder of a role go to the former one until its grant is known
+		n.pushUpdate() // until peers know the grant, they send requests to the previous holder of the role
 	}
 	if received.Table != nil {
 		n.mergeTable(received.Table)
--- a/internal/gossip/loads.go
+++ b/internal/gossip/loads.go
@@ -15,13 +15,13 @@
 	maxLoadsPerExchange = 200
 )
 
-// loadReports holds the load that servers reported to any proxy lately. Of each server the youngest report counts, so that
-// merging is independent of order and repetition. Node.mu guards it.
+// loadReports holds the loads that servers have recently reported to any proxy. It keeps the youngest report of each server, so
+// the result of merging doesn't depend on order and repetition. Node.mu guards it.
 type loadReports struct {
 	byKey map[uint32]loadReport // by message.Load.InstanceKey
 }
 
-// loadReport is a server's load at a time.
+// loadReport is a server's load and when it was reported.
 type loadReport struct {
 	load       message.Load
 	reportedAt time.Time
@@ -41,7 +41,8 @@
 	}
 }
 
-// recent returns the loads to send, with their ages, and drops the old ones. Of too many it returns a random sample.
+// recent returns the loads to send, with their ages, and drops the old ones. If there are more than maxLoadsPerExchange, it
+// returns a random sample.
 func (l *loadReports) recent() (out []message.Load) {
 	now := time.Now()
 	for key, report := range l.byKey {
@@ -68,7 +69,7 @@
 	n.loads.merge(received)
 }
 
-// Loads returns the loads that servers reported to any proxy lately.
+// Loads returns the loads that servers have recently reported to any proxy.
 func (n *Node) Loads() []message.Load {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -21,13 +21,13 @@
 const (
 	// ExchangeInterval is the time between two exchanges of a process.
 	ExchangeInterval = 400 * time.Millisecond
-	// startupExchangeInterval takes its place until a configuration and endpoints are known, for startupPeriod at most.
+	// startupExchangeInterval replaces ExchangeInterval until a configuration and endpoints are known, for startupPeriod at most.
 	startupExchangeInterval = 80 * time.Millisecond
 	startupPeriod           = 3 * time.Second
 	// callTimeout bounds one call to a peer.
 	callTimeout = 900 * time.Millisecond
-	// maxControlPartners bounds the control processes with which another one exchanges in one interval. Where there are more,
-	// it contacts them in turn.
+	// maxControlPartners bounds the control processes with which a control process makes exchanges in one interval. If there
+	// are more, it contacts them in turn.
 	maxControlPartners = 6
 )
 
@@ -40,13 +40,13 @@
 	forgetAfterSeconds    = 12
 )
 
-// Node is a fleet process's part in the gossip. Its methods may be called from any goroutine.
+// Node takes part in the gossip on behalf of a fleet process. Its methods may be called from any goroutine.
 type Node struct {
 	log       *logrus.Entry
 	client    *transport.Client
 	startedAt time.Time
 
-	mu              sync.Mutex // guards what follows; never held during a call
+	mu              sync.Mutex // guards the fields below; never held during a call
 	view            *membership.View
 	state           State
 	stateChanged    chan struct{} // closed and replaced when state changes
@@ -58,8 +58,8 @@
 	nextControlPeer int // index of the first one to contact in the next interval
 }
 
-// New returns a node for the process of the settings. It fills in the record's name, zone, run ID and incarnation; the other
-// fields are the caller's.
+// New returns a node for the process that the settings describe. It fills in the name, zone, run ID and incarnation of self; the
+// caller sets the other fields.
 func New(settings *nodeconfig.Settings, self membership.Record, client *transport.Client, log *logrus.Entry) *Node {
 	self.Name, self.Zone = settings.NodeID+"/"+string(self.Kind), settings.Zone
 	self.RunID = rand.Uint64()
@@ -77,7 +77,7 @@
 	router.HandleFunc(gossipPath, transport.NewHandler(n.handleGossip)).Methods("POST")
 }
 
-// now returns the time of the view: seconds on the steady clock.
+// now returns the time on the view's clock: seconds since the node was created, by the monotonic clock.
 func (n *Node) now() float64 { return time.Since(n.startedAt).Seconds() }
 
 // Run makes exchanges until the context ends.
@@ -123,7 +123,7 @@
 }
 
 // controlPartners returns, for a control process, the addresses of other control processes to exchange with now: all, or
-// maxControlPartners of them in turn. They have to detect fast that one of them has failed. The caller holds mu.
+// maxControlPartners of them in turn. Control processes have to detect quickly that one of them has failed. The caller holds mu.
 func (n *Node) controlPartners() []string {
 	self := n.view.Self()
 	if self.Kind != membership.Control {
@@ -182,8 +182,8 @@
 	return n.view.Members(n.now())
 }
 
-// AnnounceLeaving marks this process as leaving and sends its record to a few processes and to control partners. It doesn't
-// wait for the calls, which go on after the context of Run has ended.
+// AnnounceLeaving marks this process as leaving, and sends its record to a few processes and to its control partners. It
+// doesn't wait for the calls, which continue after the context of Run has ended.
 func (n *Node) AnnounceLeaving() {
 	n.mu.Lock()
 	n.view.MarkLeaving()
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -30,14 +30,14 @@
 }
 
 const (
-	size    = 10
-	timeout = 20 * time.Second
+	nodeCount = 10
+	timeout   = 20 * time.Second
 )
 
-// testFleet is a set of nodes on loopback addresses. receivedBytes counts requests and replies.
+// testFleet is a set of nodes on loopback addresses.
 type testFleet struct {
 	nodes         []*gossip.Node
-	receivedBytes atomic.Int64
+	receivedBytes atomic.Int64 // of requests and replies, over all nodes
 }
 
 // countingBody counts the bytes that are read.
@@ -70,7 +70,7 @@
 	base := 20000 + rand.IntN(20000)
 	ctx, cancel := context.WithCancel(context.Background())
 	DeferCleanup(cancel)
-	for i := range size {
+	for i := range nodeCount {
 		settings := &nodeconfig.Settings{NodeID: fmt.Sprint("n", i), IP: fmt.Sprint("127.0.4.", 10+i), InternalPortRange: []int{base, base + 15},
 			Seeds: []string{"127.0.4.10:1"}}
 		address := settings.InternalAddress(settings.IP, nodeconfig.ControlPort)
@@ -79,7 +79,7 @@
 		f.nodes = append(f.nodes, node)
 		go node.Run(ctx)
 	}
-	Eventually(f.minMembers, timeout).Should(Equal(size))
+	Eventually(f.minMembers, timeout).Should(Equal(nodeCount))
 	return f
 }
 
@@ -98,7 +98,7 @@
 
 // minMembers returns the smallest number of members that a node knows.
 func (f *testFleet) minMembers() int {
-	least := size + 1
+	least := nodeCount + 1
 	for _, node := range f.nodes {
 		least = min(least, len(node.Members()))
 	}
@@ -132,26 +132,26 @@
 		Expect(err).NotTo(HaveOccurred())
 		before := f.receivedBytes.Load()
 		f.nodes[0].SetTable(table)
-		Eventually(func() int { return f.countVersion(5) }, timeout).Should(Equal(size))
-		Expect(f.receivedBytes.Load() - before).To(BeNumerically("<", 2*int64(size)*int64(len(packed.Data))))
+		Eventually(func() int { return f.countVersion(5) }, timeout).Should(Equal(nodeCount))
+		Expect(f.receivedBytes.Load() - before).To(BeNumerically("<", 2*int64(nodeCount)*int64(len(packed.Data))))
 	})
 
 	It("reaches all nodes when it changes often, and is never replaced by an older one", func() {
 		f := startFleet()
 		for version := uint64(1); version <= 20; version++ {
-			f.nodes[int(version)%size].SetTable(&routeconfig.Table{Version: version})
+			f.nodes[int(version)%nodeCount].SetTable(&routeconfig.Table{Version: version})
 		}
-		Eventually(func() int { return f.countVersion(20) }, timeout).Should(Equal(size))
+		Eventually(func() int { return f.countVersion(20) }, timeout).Should(Equal(nodeCount))
 		f.nodes[3].SetTable(&routeconfig.Table{Version: 7})
-		Expect(f.countVersion(20)).To(Equal(size))
+		Expect(f.countVersion(20)).To(Equal(nodeCount))
 	})
 
-	It("is the youngest reading in case of endpoints", func() {
+	It("is the youngest reading, if the item is the list of endpoints", func() {
 		f := startFleet()
 		now := time.Now()
 		f.nodes[0].SetEndpoints([]message.Instance{{ID: "old"}}, now.Add(-2*time.Second))
 		f.nodes[1].SetEndpoints([]message.Instance{{ID: "new"}}, now)
-		newest := func() (count int) {
+		countNewest := func() (count int) {
 			for _, node := range f.nodes {
 				state, _ := node.State()
 				if servers, err := state.Endpoints.Unpack(); err == nil && len(servers) == 1 && servers[0].ID == "new" {
@@ -160,7 +160,7 @@
 			}
 			return count
 		}
-		Eventually(newest, timeout).Should(Equal(size))
+		Eventually(countNewest, timeout).Should(Equal(nodeCount))
 	})
 
 	It("doesn't delay loads that a server reported to one node", func() {
@@ -176,7 +176,7 @@
 				}
 			}
 			return count
-		}, timeout, 10*time.Millisecond).Should(BeNumerically(">=", size-2))
+		}, timeout, 10*time.Millisecond).Should(BeNumerically(">=", nodeCount-2))
 	})
 })
 
--- a/internal/gossip/platform_client.go
+++ b/internal/gossip/platform_client.go
@@ -20,7 +20,7 @@
 const (
 	// readTimeout bounds the reading of all pages.
 	readTimeout = 1500 * time.Millisecond
-	// maxPageBytes and maxPages bound what is read of a faulty platform.
+	// maxPageBytes and maxPages bound what is read from a faulty platform.
 	maxPageBytes = 8 << 20
 	maxPages     = 400
 )
@@ -55,10 +55,11 @@
 	NextPageToken *string            `json:"NextPageToken"`
 }
 
-// stateDraining is the platform's state of a server that gets no new requests.
+// stateDraining is the platform's state for a server that gets no new requests.
 const stateDraining = "draining"
 
-// Instances reads all pages of the list. Its errors are of PlatformError; the caller keeps the list that it had.
+// Instances reads all pages of the list. Its errors are of class PlatformError. After an error the caller
+// should keep using its previous list.
 func (p *PlatformClient) Instances(ctx context.Context) ([]message.Instance, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -95,7 +96,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // the body was read; nothing depends on the connection
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
--- a/internal/gossip/reachability.go
+++ b/internal/gossip/reachability.go
@@ -6,8 +6,8 @@
 	// reachableTimeout is how long after its last reply a process counts as reachable. Calls are made each ExchangeInterval
 	// and take up to callTimeout.
 	reachableTimeout = 1500 * time.Millisecond
-	// stallThreshold is the time between two ticks from which on this process counts as having been stopped in between. The
-	// silence of others during that time means nothing.
+	// stallThreshold is the time between two ticks above which this process counts as having been paused in between. That no
+	// replies arrived during the pause says nothing about other processes.
 	stallThreshold = 1100 * time.Millisecond
 	// replyRetention is how long a reply is remembered.
 	replyRetention = time.Minute
@@ -17,15 +17,15 @@
 // that a process runs; a reply shows that it can be reached from here. Node.mu guards it.
 type replyTimes struct {
 	lastReply    map[string]time.Time // by address
-	runningSince time.Time            // since when this process runs without having been stopped
-	checkedAt    time.Time            // last tick
+	runningSince time.Time            // end of the last pause of this process, or its start
+	checkedAt    time.Time            // time of the last tick
 }
 
 func newReplyTimes(now time.Time) *replyTimes {
 	return &replyTimes{lastReply: map[string]time.Time{}, runningSince: now, checkedAt: now}
 }
 
-// tick detects that this process was stopped, and drops old replies. It is called each exchange interval.
+// tick detects that this process was paused, and drops old replies. It is called each exchange interval.
 func (t *replyTimes) tick(now time.Time) {
 	if now.Sub(t.checkedAt) > stallThreshold {
 		t.runningSince = now
@@ -41,7 +41,7 @@
 // record records a reply.
 func (t *replyTimes) record(address string, now time.Time) { t.lastReply[address] = now }
 
-// sinceReply returns the time since the last reply, or since this process runs if that is shorter.
+// sinceReply returns the time since the last reply, or since runningSince if that is shorter.
 func (t *replyTimes) sinceReply(address string, now time.Time) time.Duration {
 	last := t.lastReply[address]
 	if last.Before(t.runningSince) {
@@ -50,8 +50,8 @@
 	return now.Sub(last)
 }
 
-// IsReachable reports whether a control process has replied to this one lately. It is meaningful between control processes
-// only: the others don't call all peers regularly.
+// IsReachable reports whether a control process has recently replied to this one. It is meaningful only between control
+// processes: the others don't call all peers regularly.
 func (n *Node) IsReachable(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,7 +59,8 @@
 	return n.reachability.sinceReply(address, time.Now()) <= reachableTimeout+time.Duration(max(intervals-1, 0))*ExchangeInterval
 }
 
-// ReplyAge returns the time since a control process has last replied to this one, a minute or more where it has not lately.
+// ReplyAge returns the time since a control process last replied to this one. If that reply is no longer remembered, it returns
+// replyRetention.
 func (n *Node) ReplyAge(address string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gossip/reachability_test.go
+++ b/internal/gossip/reachability_test.go
@@ -39,7 +39,7 @@
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return start.Add(d) }
 
-	// run ticks every 0.4 s.
+	// run calls tick every 0.4 s.
 	run := func(times *replyTimes, from, to time.Duration) {
 		for at := from; at <= to; at += 400 * time.Millisecond {
 			times.tick(after(at))
@@ -55,7 +55,7 @@
 		Expect(times.sinceReply("b", after(9*time.Second))).To(Equal(9 * time.Second))
 	})
 
-	It("ignore the time while this process was stopped", func() {
+	It("ignore the time for which this process was paused", func() {
 		times := newReplyTimes(start)
 		times.record("a", start)
 		run(times, 0, 2*time.Second)
--- a/internal/gossip/state.go
+++ b/internal/gossip/state.go
@@ -17,10 +17,10 @@
 type EndpointList struct {
 	Digest uint64    // of the servers, whatever their order
 	Data   []byte    // the servers, packed by message.PackInstances
-	ReadAt time.Time // when the platform was read; zero: there is no reading
+	ReadAt time.Time // when the list was read; zero: there is no reading
 }
 
-// Unpack returns the servers, none where there is no reading.
+// Unpack returns the servers, or none if there is no reading.
 func (l *EndpointList) Unpack() ([]message.Instance, error) {
 	if l.ReadAt.IsZero() {
 		return nil, nil
@@ -28,7 +28,7 @@
 	return message.UnpackInstances(l.Data)
 }
 
-// State is what a process has learned. Slices and what pointers lead to are shared and must not be changed.
+// State is what a process has learned. The contents of slices and the targets of pointers are shared and must not be changed.
 type State struct {
 	Table     *message.PackedTable // the configuration, nil: none yet
 	Endpoints EndpointList
@@ -36,7 +36,7 @@
 	Grants    []register.Grant  // the newest known grant of each role
 	Plan      message.StagePlan // the newest known plan of stage changes
 	Rank      int               // of this process among its kind: see membership.View.Rank
-	Count     int               // of processes of its kind
+	Count     int               // number of processes of its kind
 }
 
 // State returns what is known, and a channel that is closed when the table, endpoints, plan or rank have changed.
@@ -128,8 +128,8 @@
 	}
 }
 
-// MergeRegisterValue adopts the voters and grants of a value that is chosen, where they are newer than the known ones. It sends other processes an update if a
-// grant is.
+// MergeRegisterValue adopts the voters and grants of a chosen value that are newer than the known ones. If a grant is newer, it
+// sends an update to other processes.
 func (n *Node) MergeRegisterValue(value register.Value) {
 	n.mu.Lock()
 	hasNewGrant := n.mergeGrants(value.Grants)
@@ -142,8 +142,8 @@
 	}
 }
 
-// mergeGrants adopts grants with higher tokens than the known ones, and reports whether there was one. Grants that State returned are not changed. The caller
-// holds mu.
+// mergeGrants adopts grants with higher tokens than the known ones, and reports whether there was one. It copies the slice, since
+// callers of State may hold it. The caller holds mu.
 func (n *Node) mergeGrants(grants []register.Grant) (hasNew bool) {
 	for _, grant := range grants {
 		i := slices.IndexFunc(n.state.Grants, func(g register.Grant) bool { return g.Role == grant.Role })
@@ -161,7 +161,8 @@
 	return hasNew
 }
 
-// HolderAddress returns where peers reach the control process that holds a role by the newest known grant, "" where none is known.
+// HolderAddress returns the internal address of the control process that holds a role by the newest known grant, or "" if none is
+// known.
 func (n *Node) HolderAddress(role string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -172,7 +173,7 @@
 	return n.view.Address(n.state.Grants[i].Holder + "/" + string(membership.Control))
 }
 
-// votersOnly returns a value with the epoch and voters of another one.
+// votersOnly returns a copy of a value that has only its epoch and voters.
 func votersOnly(value register.Value) register.Value {
 	return register.Value{Epoch: value.Epoch, Voters: value.Voters, OutgoingVoters: value.OutgoingVoters}
 }
--- a/internal/gossip/state_test.go
+++ b/internal/gossip/state_test.go
@@ -93,7 +93,7 @@
 })
 
 var _ = Describe("a table of a later form", func() {
-	It("is fetched by processes that know the form, and isn't sent to others again and again", func() {
+	It("is fetched by processes that know the form, and isn't sent repeatedly to others", func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		n := New(&nodeconfig.Settings{NodeID: "self", Zone: "z"}, membership.Record{Kind: membership.Agent, Address: "127.0.0.1:1"}, transport.NewClient(),
@@ -111,7 +111,7 @@
 		Expect(sentTo(message.Gossip{ConfigVersion: 7, ConfigForm: routeconfig.FormTenants, LatestForm: routeconfig.FormTenants})).To(BeFalse(), "the same table")
 	})
 
-	It("is asked for where only an earlier form is known", func() {
+	It("is requested if only an earlier form is known", func() {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		n := New(&nodeconfig.Settings{NodeID: "self", Zone: "z"}, membership.Record{Kind: membership.Agent, Address: "127.0.0.1:1"}, transport.NewClient(),
--- a/internal/gossip/wire_form_test.go
+++ b/internal/gossip/wire_form_test.go
@@ -22,13 +22,13 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// listedServers is what the platform's page in testdata holds.
+// listedServers are the servers in testdata/wire_form/platform_page.json.
 var listedServers = []message.Instance{
 	{ID: "i-1", Service: "chat", Address: "10.2.0.1:9000", Zone: "north", Slots: 64, Draining: true, Stage: message.Prefill},
 	{ID: "i-2", Service: "chat", Address: "10.2.0.2:9000", Zone: "south", Slots: 32, Stage: message.Decode},
 }
 
-// TestWireForm pins the bytes of one half of an exchange. Processes of other versions read these bytes.
+// TestWireForm pins the encoding of a gossip message. Processes of other versions read it.
 func TestWireForm(t *testing.T) {
 	voter := register.Voter{ID: "v-1", Address: "10.1.0.16:7720"}
 	record := membership.Record{Name: "core-1/control", Kind: membership.Control, Address: "10.1.0.16:7720", Zone: "north", Incarnation: 1700000000000,
@@ -53,7 +53,7 @@
 	assert.Equal(t, uint64(1), endpointsDigest(nil))
 }
 
-// TestPlatformPage pins the names of the fields in which the platform lists its servers.
+// TestPlatformPage pins the names of the fields in the platform's list of servers.
 func TestPlatformPage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("testdata", "wire_form", "platform_page.json"))
 	require.NoError(t, err)
@@ -70,8 +70,8 @@
 	assert.Equal(t, listedServers, instances)
 }
 
-// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value. The later fields were added after
-// the file was written, and are not set; all others are.
+// checkForm compares a value's encoding with a golden file, and what the golden file decodes to with the value. laterFields were added after
+// the file was written and must not be set in value; all other fields must be set.
 func checkForm[T any](t *testing.T, name string, value T, laterFields ...string) {
 	t.Helper()
 	fields := reflect.ValueOf(value)
