--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -27,33 +27,33 @@
 	disk    *simulatedDisk
 	content []byte
 	synced  []byte
-	pending []func(content []byte, torn bool) []byte // writes since the last sync
+	pending []func(content []byte, torn bool) []byte // writes and truncations since the last sync
 	name    string
 }
 
-// simulatedDisk is a disk that may lose at a loss of power what was not synced: each name and each write independently.
+// simulatedDisk is a disk that may lose what was not synced when power is lost: each name and each write independently.
 type simulatedDisk struct {
 	rng     *rand.Rand
 	visible map[string]*simulatedFile
 	durable map[string]*simulatedFile
 	full    bool
-	steps   int // until power is lost
+	steps   int // operations left until power is lost
 }
 
 func newSimulatedDisk(rng *rand.Rand) *simulatedDisk {
 	return &simulatedDisk{rng: rng, visible: map[string]*simulatedFile{}, durable: map[string]*simulatedFile{}}
 }
 
-// step counts the operations on the disk, and panics at the loss of power.
+// step counts an operation on the disk, and panics when power is lost.
 func (d *simulatedDisk) step() {
 	if d.steps--; d.steps == 0 {
 		panic(errPowerLoss)
 	}
 }
 
-// losePower keeps what was synced and, of everything else, each part at random.
+// losePower keeps everything that was synced, and each other name and write at random.
 func (d *simulatedDisk) losePower() {
-	nothing := d.rng.IntN(4) == 0 // at some losses of power none of it remains
+	nothing := d.rng.IntN(4) == 0 // in some cases nothing unsynced remains
 	names := map[string]*simulatedFile{}
 	for _, name := range slices.Sorted(maps.Keys(d.names())) {
 		kept := d.durable[name]
@@ -110,7 +110,7 @@
 		return nil, errNoSpace
 	}
 	file := &simulatedFile{disk: d, name: name}
-	if old := d.visible[name]; old != nil { // the file of that name is emptied; what it was may come back
+	if old := d.visible[name]; old != nil { // the old file is truncated; its content may reappear after a loss of power
 		file.synced = old.synced
 		file.pending = append(slices.Clone(old.pending), func([]byte, bool) []byte { return nil })
 	}
@@ -146,7 +146,7 @@
 
 func (f *simulatedFile) WriteAt(data []byte, at int64) (int, error) {
 	f.disk.step()
-	if f.disk.full { // a part may go out
+	if f.disk.full { // a part of the data may be written
 		data = data[:f.disk.rng.IntN(len(data)+1)]
 	}
 	data = slices.Clone(data)
@@ -203,13 +203,13 @@
 type crashHistory struct {
 	rng          *rand.Rand
 	disk         *simulatedDisk
-	entries      []string // that are there or, behind the acknowledged ones, may be there
-	acknowledged int
-	next         int
+	entries      []string // appended entries; those whose Append failed, prefixed by "?", may be missing
+	acknowledged int      // entries at the beginning that are certainly stored, but for those with "?"
+	next         int      // text of the latest entry
 }
 
-// runUntilPowerLoss opens the store, checks what it returns and writes until power is lost. It returns how a rule was broken, "" where none
-// was.
+// runUntilPowerLoss opens the store, checks what it returns and writes until power is lost. It returns a description of the first violated rule,
+// or "" if there is none.
 func (p *crashHistory) runUntilPowerLoss() (fault string) {
 	s, records, corruptions, err := openFolder(p.disk)
 	if err != nil {
@@ -217,7 +217,7 @@
 	}
 	for _, corruption := range corruptions {
 		if !corruption.TornTail {
-			return "damage that is no torn end: " + corruption.String()
+			return "corruption that is no torn end: " + corruption.String()
 		}
 	}
 	if fault := p.checkRecords(records); fault != "" {
@@ -226,9 +226,9 @@
 	p.disk.steps = 1 + p.rng.IntN(60)
 	defer func() {
 		p.disk.steps = 0
-		if met := recover(); met != nil {
-			if err, isError := met.(error); !isError || !errors.Is(err, errPowerLoss) {
-				panic(met)
+		if recovered := recover(); recovered != nil {
+			if err, isError := recovered.(error); !isError || !errors.Is(err, errPowerLoss) {
+				panic(recovered)
 			}
 		}
 		p.disk.losePower()
@@ -236,7 +236,7 @@
 	for {
 		p.disk.full = p.rng.IntN(5) == 0
 		if p.rng.IntN(4) == 0 {
-			_ = s.Snapshot(p.snapshotRecords()...) // what fails leaves what was there
+			_ = s.Snapshot(p.snapshotRecords()...) // a failed snapshot leaves the earlier content
 			continue
 		}
 		p.next++
@@ -250,7 +250,7 @@
 	}
 }
 
-// snapshotRecords returns what a snapshot holds: what was acknowledged.
+// snapshotRecords returns the records of a snapshot: all acknowledged entries.
 func (p *crashHistory) snapshotRecords() (records []Record) {
 	for _, text := range p.entries {
 		if text[0] != '?' {
@@ -260,7 +260,7 @@
 	return records
 }
 
-// checkRecords checks that all that was acknowledged is found, in order, and nothing that was never written.
+// checkRecords checks that all acknowledged entries are found, in order, and nothing that was not written.
 func (p *crashHistory) checkRecords(records []Record) string {
 	var found []string
 	for _, record := range records {
@@ -271,7 +271,7 @@
 	kept := make([]string, 0, len(found))
 	at := 0
 	for i, text := range p.entries {
-		sure := text[0] != '?' && i < p.acknowledged
+		mustExist := text[0] != '?' && i < p.acknowledged
 		if text[0] == '?' {
 			text = text[1:]
 		}
@@ -279,18 +279,18 @@
 		case at < len(found) && found[at] == text:
 			at++
 			kept = append(kept, text)
-		case sure:
-			return fmt.Sprintf("%s was acknowledged and is lost: found %v of %v", text, found, p.entries)
+		case mustExist:
+			return fmt.Sprintf("acknowledged entry %s is lost: found %v of %v", text, found, p.entries)
 		}
 	}
 	if at < len(found) {
-		return fmt.Sprintf("%s was not written there: found %v of %v", found[at], found, p.entries)
+		return fmt.Sprintf("entry %s is unexpected: found %v of %v", found[at], found, p.entries)
 	}
 	p.entries, p.acknowledged = kept, len(kept)
 	return ""
 }
 
-// seedCount is the number of histories; the variable STORE_SEEDS sets another one.
+// seedCount returns the number of simulated histories. The environment variable STORE_SEEDS overrides the default.
 func seedCount() uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("STORE_SEEDS"), 10, 64); err == nil {
 		return n
@@ -299,7 +299,7 @@
 }
 
 var _ = Describe("a store on a disk that loses power at any step", func() {
-	It("holds what was acknowledged, and calls nothing damaged", func() {
+	It("keeps what was acknowledged, and reports no corruption but torn ends", func() {
 		for seed := range seedCount() {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			p := &crashHistory{rng: rng, disk: newSimulatedDisk(rng)}
--- a/internal/store/folder.go
+++ b/internal/store/folder.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// A store may hold credentials: nobody but the process's user reads it.
+	// A store may hold credentials, so only the user of the process may read it.
 	filePerm = 0o600
 	dirPerm  = 0o700
 )
 
-// folder is the seam for tests that simulate a disk. A file that was created, renamed or removed in it stays so after a loss of power once
-// the folder was synced, a created file also once the file itself was.
+// folder abstracts the file system, so that tests can simulate a disk. The creation, renaming or removal of a file survives a loss of power
+// once the folder was synced; a creation does so too once the file itself was synced.
 type folder interface {
 	path(name string) string // for error texts
 	list() ([]string, error)
 	open(name string) (io.ReadSeekCloser, error)
-	create(name string) (writableFile, error) // truncates a file that is there
+	create(name string) (writableFile, error) // truncates an existing file
 	rename(from, to string) error
 	remove(name string) error
 	sync() error
 }
 
-// writableFile is a file that is open for writing. What was written is durable once Sync has returned without an error.
+// writableFile is a file that is open for writing. Writes are durable once Sync has returned without an error.
 type writableFile interface {
 	io.WriterAt
 	io.Closer
@@ -32,7 +32,7 @@
 	Sync() error
 }
 
-// osFolder is a folder of the operating system.
+// osFolder is a folder in the operating system's file system.
 type osFolder string
 
 func (f osFolder) path(name string) string { return filepath.Join(string(f), name) }
@@ -60,6 +60,6 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = opened.Close() }() // only synced
+	defer func() { _ = opened.Close() }() // it was opened only to sync it
 	return opened.Sync()
 }
--- a/internal/store/reading.go
+++ b/internal/store/reading.go
@@ -17,13 +17,13 @@
 	tempSuffix     = ".tmp"
 )
 
-// Corruption is a place from which on a file could not be read.
+// Corruption is a place in a file from which on the file could not be read.
 type Corruption struct {
 	File   string
 	Offset int64 // in bytes
 	Reason string
-	// TornTail is true where nothing that was written later is found: a crash in the middle of an Append leaves such an end, and no
-	// acknowledged record is lost. Where it is false, acknowledged records may be lost.
+	// TornTail is true if nothing that was written later is found. A crash in the middle of an Append leaves such an end, and no
+	// acknowledged record is lost. If it is false, acknowledged records may be lost.
 	TornTail bool
 
 	sequence   uint64 // of the segment
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s: offset %d: %s", c.File, c.Offset, c.Reason)
 }
 
-// Read returns what Open returns, without creating or writing anything. newest is the highest number of a file, 0 where there is none.
+// Read returns what Open returns, without creating or writing anything. newest is the highest sequence number of a file, 0 if there is none.
 func Read(dir string) (records []Record, corruptions []Corruption, newest uint64, err error) {
 	return readFolder(osFolder(dir))
 }
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, nil, 0, err
 	}
-	snapshot := uint64(0) // number of the snapshot that is read
+	snapshot := uint64(0) // sequence number of the snapshot that was read, 0 if none could be
 	for _, sequence := range slices.Backward(snapshots) {
 		newest = max(newest, sequence)
 		found, corruption := readRecords(files, fileName(sequence, snapshotSuffix))
@@ -64,7 +64,7 @@
 	return append(records, appended...), append(corruptions, inSegments...), newest, nil
 }
 
-// readSegments returns the records of segments in order, and the places that could not be read but for torn ends that a later segment
+// readSegments returns the records of segments in order, and the places that could not be read. It leaves out torn ends that a later segment
 // names.
 func readSegments(files folder, segments []uint64) (records []Record, corruptions []Corruption) {
 	bySegment := map[uint64]*Corruption{}
@@ -72,7 +72,7 @@
 		found, corruption := readRecords(files, fileName(sequence, segmentSuffix))
 		ends, found := splitSegmentEnds(found)
 		if len(found) > 0 {
-			// Something was written after what the earlier segments hold.
+			// Something was written after the unreadable places of earlier segments.
 			for _, earlier := range bySegment {
 				earlier.TornTail = false
 			}
@@ -99,7 +99,7 @@
 // fileName returns the name of a file with a sequence number; names sort as the numbers do.
 func fileName(sequence uint64, suffix string) string { return fmt.Sprintf("%016d%s", sequence, suffix) }
 
-// listSequences returns the numbers of the segments and of the snapshots in a folder, in order. Other files are ignored.
+// listSequences returns the sequence numbers of the segments and of the snapshots in a folder, in order. Other files are ignored.
 func listSequences(files folder) (segments, snapshots []uint64, err error) {
 	names, err := files.list()
 	if err != nil {
@@ -123,7 +123,7 @@
 	return segments, snapshots, nil
 }
 
-// readRecords returns the records of a file up to the first place that can't be read, and that place, nil where there is none.
+// readRecords returns the records of a file up to the first place that can't be read, and that place, or nil if there is none.
 func readRecords(files folder, name string) (records []Record, corruption *Corruption) {
 	corruption = scanBatches(files, name, func(batch []Record) { records = append(records, batch...) })
 	return records, corruption
@@ -136,12 +136,12 @@
 	if err != nil {
 		return &Corruption{File: path, Reason: err.Error()}
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // it was only read
 	in := bufio.NewReader(file)
 	offset := int64(0)
 	header := make([]byte, len(magic))
 	if _, err := io.ReadFull(in, header); err != nil || string(header) != magic {
-		return &Corruption{File: path, Reason: "no file of this format"}
+		return &Corruption{File: path, Reason: "not a file of this format"}
 	}
 	offset += int64(len(magic))
 	for {
@@ -167,7 +167,7 @@
 }
 
 // laterBatchExists reports whether a complete batch follows a place that can't be read. Each Append is synced before the next one starts, so
-// a loss of power damages the last batch alone: what precedes another batch was damaged in another way.
+// a loss of power can only damage the last batch. If another batch follows, the damage has another cause.
 func laterBatchExists(file io.ReadSeeker, offset int64) (bool, error) {
 	if _, err := file.Seek(offset+1, io.SeekStart); err != nil {
 		return false, err
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -23,7 +23,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Kind distinguishes the records of a caller, who chooses its meaning. Values from 254 on belong to the store.
+// Kind is the kind of a record. Callers choose the meaning of the values below 254; the store uses the others itself.
 type Kind uint8
 
 // Record is an entry of the log or of a snapshot.
@@ -38,7 +38,7 @@
 	batchKind      Kind = 254 // the encoded records of one Append
 )
 
-// unbatch returns the records of a batch, or the record itself where it is no batch.
+// unbatch returns the records of a batch, or the record itself if it is no batch.
 func unbatch(record Record) (records []Record, err error) {
 	if record.Kind != batchKind {
 		return []Record{record}, nil
@@ -50,7 +50,7 @@
 			return records, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("a batch: %w", err)
+			return nil, fmt.Errorf("decoding a batch: %w", err)
 		}
 		records = append(records, inner)
 	}
@@ -65,7 +65,7 @@
 	}
 	length := binary.LittleEndian.Uint32(header[lengthOffset:])
 	if length > maxRecordBytes {
-		return Record{}, 0, fmt.Errorf("length %d out of bounds", length)
+		return Record{}, 0, fmt.Errorf("record of %d bytes is too long", length)
 	}
 	data := make([]byte, length)
 	if _, err := io.ReadFull(in, data); err != nil {
@@ -81,7 +81,7 @@
 	return crc32.Update(crc32.Update(0, castagnoli, []byte{kind}), castagnoli, data)
 }
 
-// encode returns the records as they stand in a file.
+// encode returns the records as they are written to a file.
 func encode(records []Record) (out []byte) {
 	for _, record := range records {
 		var header [headerSize]byte
--- a/internal/store/segmentend.go
+++ b/internal/store/segmentend.go
@@ -2,13 +2,13 @@
 
 import "encoding/binary"
 
-// segmentEnd states how much of an earlier segment is valid. No Append has succeeded with what stands behind that, so it may be anything.
+// segmentEnd says how much of an earlier segment is valid. No Append has succeeded beyond that, so what follows may be anything.
 type segmentEnd struct {
 	sequence  uint64 // of the segment
 	validSize int64  // in bytes
 }
 
-// record returns the end as a record: both fields as 64 bits, little-endian.
+// record returns the end as a record, which holds both fields as 64-bit little-endian integers.
 func (end *segmentEnd) record() Record {
 	data := binary.LittleEndian.AppendUint64(nil, end.sequence)
 	return Record{segmentEndKind, binary.LittleEndian.AppendUint64(data, uint64(end.validSize))}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -3,11 +3,11 @@
 // power.
 //
 // A file is named after its sequence number, which grows by one with each segment and each snapshot. It begins with a magic string that
-// holds the format version; records follow, each with its kind, length and checksum. The records of one Append form a batch, which is
+// includes the format version. Records follow, each with its kind, length and checksum. The records of one Append form a batch, which is
 // read back completely or not at all.
 //
-// A crash may leave a torn end behind, in the newest segment alone. The next segment names where the valid part of the one before ends,
-// so that an end that was torn by a crash can be told from bytes that were damaged later (see Corruption).
+// A crash may leave a torn end, but only in the newest segment. The next segment records where the valid part of the previous one ends, so
+// that an end that was torn by a crash can be distinguished from bytes that were damaged later (see Corruption).
 package store
 
 import (
@@ -22,15 +22,15 @@
 // Store is an open folder. Its methods must not be called from several goroutines at once, and one process at a time may open a folder.
 type Store struct {
 	folder       folder
-	sequence     uint64       // highest number of a segment or snapshot; that of file where needsSegment is false
+	sequence     uint64       // highest number of a segment or snapshot; that of file if needsSegment is false
 	file         writableFile // newest segment, nil before the first write
 	size         int64        // of the valid part of file, in bytes
-	needsSegment bool         // the next write starts a segment, since the end of the newest one is unknown
-	earlierEnds  []segmentEnd // ends of earlier segments that the next segment has to name
+	needsSegment bool         // the next write starts a new segment, since the newest one may have a torn end
+	earlierEnds  []segmentEnd // ends of earlier segments that the next segment has to record
 }
 
 // Open reads a folder, creating it where it is missing, and returns its records in order: those of the newest readable snapshot, then
-// those of the segments after it. Places that could not be read are returned beside them; the caller decides whether it may go on
+// those of the segments after it. Places that could not be read are returned as well; the caller decides whether it may go on
 // without what was lost there. Nothing is written before the first Append or Snapshot.
 func Open(dir string) (*Store, []Record, []Corruption, error) {
 	if err := os.MkdirAll(dir, dirPerm); err != nil {
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	// Danger: never write behind an end that may be torn. Each process starts a segment of its own, with its first write.
+	// Danger: nothing may be written after an end that may be torn. Each process starts a new segment with its first write.
 	s := &Store{folder: files, sequence: newest, needsSegment: true}
 	for _, corruption := range corruptions {
 		if corruption.TornTail {
@@ -54,8 +54,8 @@
 	return s, records, corruptions, nil
 }
 
-// Append writes records as one batch and syncs it. After an error the batch must count as not written, though Open may find it: a write
-// whose sync failed may have reached the disk. The store remains usable; the caller may append again.
+// Append writes records as one batch and syncs it. After an error the caller must treat the batch as not written, though Open may
+// find it: a write whose sync failed may have reached the disk. The store remains usable; the caller may append again.
 func (s *Store) Append(records ...Record) error {
 	if s.needsSegment {
 		if err := s.startSegment(); err != nil {
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// discardPartialWrite cuts off what a failed write may have left behind, and returns cause. Where that fails too, the next write starts a
-// segment, which names where the valid part of this one ends.
+// discardPartialWrite truncates what a failed write may have left, and returns cause. If that fails too, the next write starts a new segment,
+// which records where the valid part of this one ends.
 func (s *Store) discardPartialWrite(cause error) error {
 	if err := s.file.Truncate(s.size); err != nil {
 		s.needsSegment, s.earlierEnds = true, append(s.earlierEnds, segmentEnd{s.sequence, s.size})
@@ -88,7 +88,7 @@
 // SegmentSize returns the size of the valid part of the newest segment, in bytes.
 func (s *Store) SegmentSize() int64 { return s.size }
 
-// startSegment creates the next segment, with the ends of earlier ones at its beginning.
+// startSegment creates the next segment, which begins with the ends of earlier ones.
 func (s *Store) startSegment() error {
 	header := []byte(magic)
 	for _, earlier := range s.earlierEnds {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// createSynced creates a file with this content and syncs it and the folder. It removes the file where that fails.
+// createSynced creates a file with this content and syncs it and the folder. It removes the file if that fails.
 func (s *Store) createSynced(name string, data []byte) (writableFile, error) {
 	file, err := s.folder.create(name)
 	if err != nil {
@@ -168,7 +168,7 @@
 	return Error.Wrap(err)
 }
 
-// Verify reads back what this process has written and returns the first place that can't be read, nil where there is none. A Snapshot
+// Verify reads back what this process has written and returns the first place that can't be read, or nil if there is none. A Snapshot
 // repairs it.
 func (s *Store) Verify() *Corruption {
 	segments, snapshots, err := listSequences(s.folder)
@@ -183,7 +183,7 @@
 			}
 		}
 	}
-	// Earlier segments are left out: a torn end there is no fault, since a later segment names it.
+	// Earlier segments are skipped: a torn end there is no fault, since a later segment records it.
 	for _, sequence := range segments {
 		if sequence == s.sequence && !s.needsSegment {
 			return scanBatches(s.folder, fileName(sequence, segmentSuffix), discard)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -52,7 +52,7 @@
 		}
 	})
 
-	It("is read by nobody but its process's user, since it may hold credentials", func() {
+	It("is readable only by the user of its process, since it may hold credentials", func() {
 		dir := filepath.Join(GinkgoT().TempDir(), "store")
 		opened, _, _, err := store.Open(dir)
 		Expect(err).NotTo(HaveOccurred())
@@ -71,7 +71,7 @@
 		Expect(info.Mode().Perm()).To(BeEquivalentTo(0o700))
 	})
 
-	It("reads a snapshot and what follows it, and removes older files", func() {
+	It("returns a snapshot and what follows it, and removes older files", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("a"), record("b"))).To(Succeed())
 		Expect(s.Snapshot(record("ab"))).To(Succeed())
@@ -99,7 +99,7 @@
 		}
 	})
 
-	It("says where the middle is damaged and does not call it a torn end, before and after more is written", func() {
+	It("reports damage in the middle, and not as a torn end, before and after more is written", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("first"))).To(Succeed())
 		Expect(s.Append(record("second"))).To(Succeed())
@@ -107,14 +107,14 @@
 		path := segments()[0]
 		data, err := os.ReadFile(path)
 		Expect(err).NotTo(HaveOccurred())
-		for place := 8; place < 31; place++ {
-			spoiled := slices.Clone(data)
-			spoiled[place] ^= 1
-			Expect(os.WriteFile(path, spoiled, 0o644)).To(Succeed())
+		for offset := 8; offset < 31; offset++ {
+			damaged := slices.Clone(data)
+			damaged[offset] ^= 1
+			Expect(os.WriteFile(path, damaged, 0o644)).To(Succeed())
 			_, corruptions, _, err := store.Read(dir)
 			Expect(err).NotTo(HaveOccurred())
-			Expect(corruptions).To(HaveLen(1), "byte %d", place)
-			Expect(corruptions[0].TornTail).To(BeFalse(), "byte %d", place)
+			Expect(corruptions).To(HaveLen(1), "byte %d", offset)
+			Expect(corruptions[0].TornTail).To(BeFalse(), "byte %d", offset)
 		}
 		s, _, _ = open()
 		Expect(s.Append(record("third"))).To(Succeed())
@@ -125,7 +125,7 @@
 		Expect(corruptions[0].File).To(Equal(path))
 	})
 
-	It("appends after a torn end without a snapshot", func() {
+	It("appends after a torn end, without a snapshot", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("first"))).To(Succeed())
 		Expect(s.Append(record("second"))).To(Succeed())
@@ -195,7 +195,7 @@
 	It("reports a failed write and appends again afterwards", func() {
 		s, _, _ := open()
 		Expect(s.Append(record("a"))).To(Succeed())
-		Expect(s.Close()).To(Succeed()) // the next write meets a file that is closed
+		Expect(s.Close()).To(Succeed()) // the next write fails, since the file is closed
 		Expect(s.Append(record("b"))).NotTo(Succeed())
 		Expect(s.Append(record("c"))).To(Succeed())
 		_, found, _ := open()
--- a/internal/store/stored_form_test.go
+++ b/internal/store/stored_form_test.go
@@ -11,10 +11,10 @@
 	"hazelwheel/internal/store"
 )
 
-// update writes the golden folders anew. Only for a format version that is new: folders of this one must stay readable.
+// update rewrites the golden folders. Use it only for a new format version: folders of this version must stay readable.
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// writeSegments writes two segments: the first one has a torn end, the second one names it.
+// writeSegments writes two segments: the first one has a torn end, the second one records it.
 func writeSegments(dir string) {
 	s, _, _, err := store.Open(dir)
 	Expect(err).NotTo(HaveOccurred())
@@ -32,7 +32,7 @@
 	Expect(s.Close()).To(Succeed())
 }
 
-// writeSnapshot writes a snapshot, a segment behind it and what a snapshot leaves that was not finished.
+// writeSnapshot writes a snapshot, a segment after it and the temporary file of an unfinished snapshot.
 func writeSnapshot(dir string) {
 	s, _, _, err := store.Open(dir)
 	Expect(err).NotTo(HaveOccurred())
@@ -57,7 +57,7 @@
 }
 
 var _ = Describe("the stored form", func() {
-	DescribeTable("is written to the same bytes, and read", func(folder string, write func(dir string), newest uint64, want ...store.Record) {
+	DescribeTable("is written to the same bytes, and can be read", func(folder string, write func(dir string), newest uint64, want ...store.Record) {
 		path := filepath.Join("testdata", folder)
 		if *update {
 			Expect(os.RemoveAll(path)).To(Succeed())
@@ -75,7 +75,7 @@
 		Entry("segments with a torn end", "segments", writeSegments, uint64(2),
 			store.Record{Kind: 1, Data: []byte("first")}, store.Record{Kind: 2, Data: []byte("configuration")},
 			store.Record{Kind: 1, Data: []byte("second")}, store.Record{Kind: 3, Data: []byte{}}, store.Record{Kind: 1, Data: []byte("third")}),
-		Entry("a snapshot with a segment behind it", "snapshot", writeSnapshot, uint64(3),
+		Entry("a snapshot with a segment after it", "snapshot", writeSnapshot, uint64(3),
 			store.Record{Kind: 2, Data: []byte("configuration")}, store.Record{Kind: 1, Data: []byte("state")},
 			store.Record{Kind: 1, Data: []byte("after")}))
 })
