--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,10 @@
-// Package agent runs the agent process, one beside each proxy. The agent takes part in the gossip between machines and sends its proxy
-// over loopback what it learns: configuration, endpoint list, loads and stage plan. It forwards the proxy's requests for tokens of limited tenants. So a
-// proxy holds no connection to other machines of the fleet, and serves on with the last state it was sent while its agent restarts.
+// Package agent runs the agent process, one beside each proxy. The agent takes part in the gossip between machines and sends what it learns
+// to its proxy over loopback: configuration, endpoint list, loads and stage plan. It also forwards the proxy's requests for rate-limit tokens
+// of tenants. So a proxy needs no connections to other machines of the fleet, and keeps serving with the last state that it received while its
+// agent restarts.
 //
-// On a machine that holds no replica of the configuration the agent also answers the operator's address by redirects to control processes
-// (RunRedirector does that alone, on a machine without a proxy).
+// On a machine that holds no replica of the configuration, the agent also listens at the operator's address and redirects requests to control
+// processes. On a machine without a proxy, RunRedirector does only that.
 package agent
 
 import (
@@ -27,11 +28,11 @@
 var Error = errs.Class("agent")
 
 const (
-	// staleListAge is the age of the endpoint list at which the agent of rank 0 reads the platform itself. staleListSpread is added in
-	// proportion to the rank, so that the first reading reaches the others before their turn.
+	// staleListAge is the age of the endpoint list at which the agent of rank 0 reads it from the platform itself. Up to staleListSpread is
+	// added in proportion to the rank, so that the first agent's reading reaches the others before their turn.
 	staleListAge    = 2300 * time.Millisecond
 	staleListSpread = 400 * time.Millisecond
-	// checkInterval is the time between checks of the list's age, and of whether proxies are still connected at the end.
+	// checkInterval is the time between checks of the list's age, and during the shutdown of whether proxies are still connected.
 	checkInterval = 150 * time.Millisecond
 	// maxRetryPause bounds the pause after a failed reading of the list, before checkInterval is added.
 	maxRetryPause = 2 * time.Second
@@ -40,11 +41,11 @@
 	idleTimeout   = time.Minute
 	// writeTimeout bounds the sending of one update to a proxy.
 	writeTimeout = 2 * time.Second
-	// lingerFraction is the part of the grace period for which an agent waits after SIGTERM for its proxy to disconnect.
+	// lingerFraction is the maximum part of the grace period for which an agent waits after SIGTERM until its proxy has disconnected.
 	lingerFraction = 0.9
 )
 
-// Agent is the state of an agent process. Its fields don't change after Run has set them.
+// Agent is the state of an agent process. Its fields don't change once Run has set them.
 type Agent struct {
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
--- a/internal/agent/feed.go
+++ b/internal/agent/feed.go
@@ -10,12 +10,12 @@
 	"hazelwheel/internal/transport"
 )
 
-// proxyFeeds serves the proxies that connect over loopback: usually one, two while a proxy is replaced.
+// proxyFeeds serves the proxies that connect over loopback: usually one, and two while a proxy is being replaced.
 type proxyFeeds struct {
 	agent *Agent
 
 	mu          sync.Mutex // guards connections
-	connections int        // that are open
+	connections int        // number of open connections
 }
 
 func newProxyFeeds(agent *Agent) *proxyFeeds { return &proxyFeeds{agent: agent} }
@@ -31,7 +31,7 @@
 		p.addConnections(1)
 		go func() {
 			defer p.addConnections(-1)
-			defer func() { _ = conn.Close() }() // serveProxy has ended: nothing is left to be sent
+			defer func() { _ = conn.Close() }() // serveProxy has returned: nothing is left to send
 			p.serveProxy(conn)
 		}()
 	}
@@ -43,7 +43,7 @@
 	p.connections += n
 }
 
-// awaitDisconnect returns once no proxy is connected, or after the time-out.
+// awaitDisconnect returns once no proxy is connected, or after the timeout.
 func (p *proxyFeeds) awaitDisconnect(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// serveProxy sends a proxy an update after each change and its reports' content to the node, until the connection ends.
+// serveProxy sends a proxy an update after each change of the node's state, and passes the proxy's reports to the node, until the
+// connection ends.
 func (p *proxyFeeds) serveProxy(conn net.Conn) {
 	disconnected := make(chan struct{})
 	go func() {
@@ -69,18 +70,18 @@
 	defer loadTicker.Stop()
 	loadsDue := false
 	for {
-		facts, changed := p.agent.node.State()
-		update, differs := updateSince(sent, facts)
+		current, changed := p.agent.node.State()
+		update, differs := updateSince(sent, current)
 		if loadsDue {
 			update.Loads, loadsDue = p.agent.node.Loads(), false
 			differs = differs || len(update.Loads) > 0
 		}
 		if differs {
-			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // where this fails, so does the write
+			_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if this fails, so does the write
 			if err := transport.WriteFrame(conn, update); err != nil {
 				return
 			}
-			sent = facts
+			sent = current
 		}
 		select {
 		case <-disconnected:
@@ -104,20 +105,20 @@
 	}
 }
 
-// updateSince returns the update that brings a proxy from the facts that it was sent to the present ones, and whether there is any
-// difference. Loads are left to the caller.
-func updateSince(sent, facts gossip.State) (*message.Feed, bool) {
-	update := &message.Feed{ProxyRank: facts.Rank, ProxyCount: facts.Count}
-	differs := sent.Rank != facts.Rank || sent.Count != facts.Count
-	if facts.Table != nil && facts.Table.Supersedes(sent.Table) {
-		update.Table, differs = facts.Table, true
+// updateSince returns the update that brings a proxy from the state that was last sent to it to the current one, and whether the two differ.
+// It doesn't include loads.
+func updateSince(sent, current gossip.State) (*message.Feed, bool) {
+	update := &message.Feed{ProxyRank: current.Rank, ProxyCount: current.Count}
+	differs := sent.Rank != current.Rank || sent.Count != current.Count
+	if current.Table != nil && current.Table.Supersedes(sent.Table) {
+		update.Table, differs = current.Table, true
 	}
-	if facts.Plan.IsNewerThan(&sent.Plan) {
-		update.Plan, differs = &facts.Plan, true
+	if current.Plan.IsNewerThan(&sent.Plan) {
+		update.Plan, differs = &current.Plan, true
 	}
-	if facts.Endpoints.Digest != sent.Endpoints.Digest {
-		age := float64(time.Since(facts.Endpoints.ReadAt)) / float64(time.Millisecond)
-		update.List, differs = &message.InstanceList{Digest: facts.Endpoints.Digest, AgeMs: age, Data: facts.Endpoints.Data}, true
+	if current.Endpoints.Digest != sent.Endpoints.Digest {
+		age := float64(time.Since(current.Endpoints.ReadAt)) / float64(time.Millisecond)
+		update.List, differs = &message.InstanceList{Digest: current.Endpoints.Digest, AgeMs: age, Data: current.Endpoints.Data}, true
 	}
 	return update, differs
 }
--- a/internal/agent/list.go
+++ b/internal/agent/list.go
@@ -8,8 +8,8 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// refreshStaleLists reads the platform's endpoint list where gossip has brought no reading for too long, as while no control process is
-// reachable. Agents take turns by rank, which keeps their calls below the platform's rate limit.
+// refreshStaleLists reads the platform's endpoint list if gossip has brought no reading for too long, for example while no control process
+// is reachable. Agents take turns by rank, which keeps their calls below the platform's rate limit.
 func (a *Agent) refreshStaleLists(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -20,9 +20,9 @@
 			return
 		case <-ticker.C:
 		}
-		facts, _ := a.node.State()
-		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(facts.Rank)/float64(max(facts.Count, 1)))
-		readAt := facts.Endpoints.ReadAt
+		state, _ := a.node.State()
+		maxAge := staleListAge + time.Duration(float64(staleListSpread)*float64(state.Rank)/float64(max(state.Count, 1)))
+		readAt := state.Endpoints.ReadAt
 		if readAt.IsZero() {
 			readAt = startedAt
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-// readList reads the platform's list and publishes it. After an error it pauses, so that the caller can call it again at once.
+// readList reads the platform's list and publishes it. After an error it pauses, so that the caller may retry at once.
 func (a *Agent) readList(ctx context.Context) {
 	startedAt := time.Now()
 	instances, err := a.platform.Instances(ctx)
@@ -45,9 +45,9 @@
 	a.node.SetEndpoints(instances, startedAt)
 }
 
-// retryPause returns the longest pause after a failed reading. With pauses drawn evenly up to it, all agents together make calls at half
-// of the platform's rate limit.
+// retryPause returns the longest pause after a failed reading. Each pause is drawn uniformly between 0 and that, so that all agents together
+// make calls at half of the platform's rate limit.
 func (a *Agent) retryPause() time.Duration {
-	facts, _ := a.node.State()
-	return min(nodeconfig.FromSeconds(4*float64(max(facts.Count, 1))/max(a.settings.Cloud.RequestsPerSecond, 1)), maxRetryPause) + checkInterval
+	state, _ := a.node.State()
+	return min(nodeconfig.FromSeconds(4*float64(max(state.Count, 1))/max(a.settings.Cloud.RequestsPerSecond, 1)), maxRetryPause) + checkInterval
 }
--- a/internal/agent/redirector.go
+++ b/internal/agent/redirector.go
@@ -14,8 +14,8 @@
 	"hazelwheel/internal/transport"
 )
 
-// serveRedirect listens at the addresses that a control process on this machine would have: the operator's, where requests are
-// redirected, and the internal one, where router answers processes whose seeds name this machine.
+// serveRedirect listens at the two addresses that a control process on this machine would have: at the operator's address, where it redirects
+// requests, and at the internal address, where router answers processes that have this machine as a seed.
 func serveRedirect(settings *nodeconfig.Settings, node *gossip.Node, router http.Handler, servers *serverGroup) error {
 	if err := servers.listenAndServe(settings.Listen.Control, configredirect.New(node.Members).Handler()); err != nil {
 		return err
--- a/internal/agent/servergroup.go
+++ b/internal/agent/servergroup.go
@@ -11,10 +11,10 @@
 
 // serverGroup holds the HTTP servers of one process.
 type serverGroup struct {
-	ended chan error // receives each server's error; has room for all
+	ended chan error // receives each server's error; its buffer holds all
 }
 
-// maxServers is the number of servers of an agent that also redirects.
+// maxServers is the number of servers of an agent that also redirects the operator's requests.
 const maxServers = 3
 
 func newServerGroup() *serverGroup { return &serverGroup{make(chan error, maxServers)} }
--- a/internal/agent/tokens.go
+++ b/internal/agent/tokens.go
@@ -8,11 +8,11 @@
 	"hazelwheel/internal/message"
 )
 
-// tokensTimeout bounds a call to a lessor. Its proxy has asked another one long before.
+// tokensTimeout bounds a call to a lessor. A proxy with waiting requests has asked the lessor of another share long before.
 const tokensTimeout = 400 * time.Millisecond
 
-// forwardTokens forwards a request of the proxy to the process that is the lessor of the share by the newest grant that gossip has brought. It keeps
-// nothing: the leases are the proxy's, and outlast a restart of the agent.
+// forwardTokens forwards a request of the proxy to the lessor of the share, by the newest grant that was received by gossip. The agent keeps no
+// state for it: the proxy holds the leases, so they survive a restart of the agent.
 func (a *Agent) forwardTokens(ctx context.Context, request *tokenlease.Request) (*tokenlease.Reply, error) {
 	address := a.node.HolderAddress(tokenlease.Role(request.Share))
 	if address == "" {
--- a/internal/agent/tokens_test.go
+++ b/internal/agent/tokens_test.go
@@ -23,13 +23,13 @@
 	"hazelwheel/internal/transport"
 )
 
-// waitTimeout bounds the wait for gossip, far above what it needs.
+// waitTimeout bounds the wait for gossip. It is far longer than gossip takes.
 const (
 	waitTimeout  = 30 * time.Second
 	pollInterval = 5 * time.Millisecond
 )
 
-// TestRequestsForTokensGoToTheLessor has an agent that learns of the lessor of a share as of any grant, by gossip.
+// TestRequestsForTokensGoToTheLessor checks that an agent learns of the lessor of a share by gossip and forwards requests to it.
 func TestRequestsForTokensGoToTheLessor(t *testing.T) {
 	settings, err := nodeconfig.Parse([]byte("NodeId: edge-1\nIp: 127.0.0.1\nZone: z\nInternalPortRange: [7720, 7735]\n"))
 	require.NoError(t, err)
@@ -63,5 +63,5 @@
 	assert.Equal(t, &tokenlease.Reply{Token: 9, Grants: []tokenlease.Grant{{Tenant: "acme", LeaseID: 3, Granted: 40}}}, reply)
 	server.Close()
 	_, err = a.forwardTokens(context.Background(), request)
-	assert.Error(t, err, "the lessor is gone")
+	assert.Error(t, err, "the lessor has ended")
 }
--- a/internal/agent/wire_form_test.go
+++ b/internal/agent/wire_form_test.go
@@ -18,17 +18,17 @@
 	"hazelwheel/internal/transport"
 )
 
-// update writes the golden files anew. Only for a form that is new: proxies and agents of two versions run beside one another.
+// update rewrites the golden files. Use it only for a new form: proxies and agents of two versions run side by side.
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// TestFeedForm pins the frames that a proxy gets for a change of each fact.
+// TestFeedForm pins the frames that a proxy gets for each kind of change.
 func TestFeedForm(t *testing.T) {
 	table := &message.PackedTable{Version: 7, Data: []byte("packed table")}
 	plan := message.StagePlan{Token: 3, Sequence: 9, Stages: map[string]message.Stage{"i-1": message.Prefill}}
 	list := gossip.EndpointList{Digest: 1 << 62, Data: []byte("packed list"), ReadAt: time.Now().Add(-time.Second)}
 	tests := map[string]struct {
-		told, facts gossip.State
-		differs     bool
+		sent, current gossip.State
+		differs       bool
 	}{
 		"all":     {gossip.State{}, gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, true},
 		"nothing": {gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, gossip.State{Table: table, Endpoints: list, Plan: plan, Rank: 1, Count: 3}, false},
@@ -37,7 +37,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			feed, differs := updateSince(test.told, test.facts)
+			feed, differs := updateSince(test.sent, test.current)
 			assert.Equal(t, test.differs, differs)
 			if feed.List != nil {
 				assert.GreaterOrEqual(t, feed.List.AgeMs, 1000.0)
