--- a/internal/message/array_form_test.go
+++ b/internal/message/array_form_test.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/message"
 )
 
-// The form of an earlier version, with a key for each field.
+// The types as an earlier version encodes them, with a key for each field.
 type (
 	keyedLoad struct {
 		Key     uint32 `msgpack:"k"`
@@ -25,8 +25,8 @@
 	}
 )
 
-// TestArrayFormInteroperatesWithKeyedForm checks that loads and heartbeats, which are sent without keys, are read by processes of the
-// version that sends keys, and the other way round.
+// TestArrayFormInteroperatesWithKeyedForm checks that loads and heartbeats, which are encoded without keys, can be read by the version that
+// encodes them with keys, and vice versa.
 func TestArrayFormInteroperatesWithKeyedForm(t *testing.T) {
 	load, heartbeat := message.Load{InstanceKey: 7, Running: 3, Waiting: 2, AgeMs: 900}, membership.Heartbeat{Key: 9, Counter: 70000}
 	keyed, keyedBeat := keyedLoad{7, 3, 2, 900}, keyedHeartbeat{9, 70000}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,9 +1,8 @@
-// Package message defines the messages that processes of the router fleet exchange, and their MessagePack form. Package transport
-// carries them, over HTTP between machines and in frames over loopback.
+// Package message defines the messages that processes of the router fleet exchange, and their MessagePack encoding. Package transport sends
+// them, over HTTP between machines and in frames over loopback.
 //
-// Processes of two versions run beside one another during an upgrade. So a field keeps its key (the msgpack tag) and its meaning for
-// good, a new field is optional for the receiver, and a key that is not known is skipped. The bytes are pinned by the golden files
-// under testdata/wire.
+// Processes of two versions run side by side during an upgrade. So the key (the msgpack tag) and the meaning of a field never change, a new
+// field is optional for the receiver, and unknown keys are skipped. The golden files under testdata/wire pin the encoding.
 package message
 
 // FormatVersion is sent with each Gossip message. A receiver rejects other versions.
--- a/internal/message/packing.go
+++ b/internal/message/packing.go
@@ -14,37 +14,37 @@
 // Error is the class of the errors of this package and of receivers that reject a message.
 var Error = errs.Class("message")
 
-// maxUnpackedBytes bounds what is read of a payload while it is unpacked: a small message must not fill the memory.
+// maxUnpackedBytes bounds the unpacked size of a payload: a small message must not exhaust the memory.
 const maxUnpackedBytes = 64 << 20
 
-// PackedTable is a configuration in the form that proxies use. The control process that commits it packs it once; all others forward the
-// bytes as they are.
+// PackedTable is a compiled configuration, compressed. The control process that commits it packs it once; all others forward the bytes
+// unchanged.
 type PackedTable struct {
 	Version uint64 `msgpack:"v"` // of the configuration
 	Data    []byte `msgpack:"d"` // a routeconfig.Table as MessagePack, compressed by DEFLATE
 
-	// Form is that of the table, as far as the sender knows: processes of earlier versions forward the bytes and drop this field.
+	// Form is the form of the table as far as the sender knows: processes of earlier versions forward Data but drop this field.
 	Form routeconfig.Form `msgpack:"f,omitempty"`
 }
 
-// Supersedes reports whether packed takes the place of other, which may be nil: it has a higher version, or the same one in a later form. Danger: of
-// one version there may be a table that a process of an earlier version has compiled, without what the configuration says of tenants.
+// Supersedes reports whether packed replaces other, which may be nil: it has a higher version, or the same version in a later form. Danger:
+// a process of an earlier version may have compiled a table of the same version without the configuration's tenants.
 func (packed *PackedTable) Supersedes(other *PackedTable) bool {
 	return other == nil || IsNewerTable(packed.Version, packed.Form, other.Version, other.Form)
 }
 
-// IsNewerTable reports whether a table of a version and form takes the place of another one.
+// IsNewerTable reports whether a table of a version and form replaces another one.
 func IsNewerTable(version uint64, form routeconfig.Form, otherVersion uint64, otherForm routeconfig.Form) bool {
 	return version > otherVersion || version == otherVersion && form > otherForm
 }
 
-// PackTable returns the packed form of table. The result is not to be used where there is an error.
+// PackTable returns the packed form of table. The result must not be used if there is an error.
 func PackTable(table *routeconfig.Table) (*PackedTable, error) {
 	data, err := pack(table)
 	return &PackedTable{Version: table.Version, Form: table.Form, Data: data}, err
 }
 
-// Unpack reverses PackTable. The result is not to be used where there is an error.
+// Unpack reverses PackTable. The result must not be used if there is an error.
 func (packed *PackedTable) Unpack() (*routeconfig.Table, error) {
 	table := &routeconfig.Table{}
 	return table, unpack(packed.Data, table)
@@ -69,6 +69,6 @@
 // unpack reverses pack, into the value that the pointer points to.
 func unpack(data []byte, value any) error {
 	reader := flate.NewReader(bytes.NewReader(data))
-	defer func() { _ = reader.Close() }() // a reader of bytes holds no resource
+	defer func() { _ = reader.Close() }() // the reader holds no resources
 	return Error.Wrap(msgpack.NewDecoder(io.LimitReader(reader, maxUnpackedBytes)).Decode(value))
 }
--- a/internal/message/register.go
+++ b/internal/message/register.go
@@ -15,18 +15,18 @@
 	Size int    `msgpack:"s"` // of the complete configuration; 0: the sender does not have it
 }
 
-// LearnRequest brings the chosen value of the register to a control process that does not vote. A process without the bytes of the
-// value's configuration fetches them from the voters after it has replied.
+// LearnRequest sends the chosen value of the register to a control process that does not vote. If the receiver lacks the bytes of the
+// value's configuration, it fetches them from the voters after it has replied.
 type LearnRequest struct {
-	To        string          `msgpack:"t"` // identity of the receiver's disk; another one rejects the request
+	To        string          `msgpack:"t"` // identity of the receiver's disk; a process with another one rejects the request
 	Ballot    register.Ballot `msgpack:"b"` // at which Value was chosen
 	Value     register.Value  `msgpack:"v"`
-	MinBallot register.Ballot `msgpack:"s"` // the receiver counts as up to date from this ballot on; zero: from Ballot on
+	MinBallot register.Ballot `msgpack:"s"` // the receiver is up to date if its value is of this ballot or later; zero: of Ballot
 }
 
 // LearnReply answers a LearnRequest.
 type LearnReply struct {
-	// UpToDate says that the value on disk, with its configuration's bytes, is of MinBallot or later, and of the first value or a later one
-	// that the receiver has found chosen itself since it started.
+	// UpToDate says that the value on disk, whose configuration's bytes are there too, is of MinBallot or later, and is not older than the
+	// first value that the receiver itself has found chosen since it started.
 	UpToDate bool `msgpack:"h"`
 }
--- a/internal/message/tokens.go
+++ b/internal/message/tokens.go
@@ -1,4 +1,5 @@
 package message
 
-// TokensPath is the HTTP path of tokenlease.Request messages, from proxies to the agent of their machine and from agents to the lessor of a share.
+// TokensPath is the HTTP path of tokenlease.Request messages: from a proxy to the agent of its machine, and from an agent to the lessor of a
+// share.
 const TokensPath = "/fleet/v1/tokens"
--- a/internal/message/wire_form_test.go
+++ b/internal/message/wire_form_test.go
@@ -25,7 +25,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// update writes the golden files anew. Only for a type that is new: what is sent between processes never changes its form.
+// update rewrites the golden files. Use it only for a new type: the encoding of existing messages never changes.
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // wireValues holds a value of each type that is sent between processes, with every field set.
@@ -65,7 +65,7 @@
 			Returned: 300, Need: 2400, Reserve: 9000}}},
 		"TokensReply": tokenlease.Reply{Token: 7, Grants: []tokenlease.Grant{{Tenant: "acme", LeaseID: 70000, Granted: 20000, IsUnknown: true, IsRecovering: true,
 			RetrySeconds: 0.25}}},
-		// What Table and List hold once they are unpacked.
+		// The unpacked content of Table and List.
 		"routes.Table": routeconfig.Table{Version: 70000, Limits: routeconfig.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000},
 			Routes: []routeconfig.Route{{Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: routeconfig.Streaming, TimeoutMs: 30000, LatencyTargetMs: 800.5,
 				Priority: 2, Services: []routeconfig.WeightedService{{Service: "chat", Weight: 0.75}}, MaxAttempts: 3, Sticky: true, Resumable: true, TokenGapTargetMs: 250.5}},
@@ -83,7 +83,7 @@
 	}
 }
 
-// tableWithTenants is a table with every field set.
+// tableWithTenants returns a table with all fields set but the tenant's limit.
 func tableWithTenants() routeconfig.Table {
 	priority := 2
 	secret := apikey.NewSecret([]byte("document"))
@@ -97,7 +97,7 @@
 		Limits: routeconfig.Limits{MaxHeaderBytes: 32768, MaxBodyBytes: 1 << 20, HeaderTimeoutMs: 4000.5, IdleTimeoutMs: 55000}}
 }
 
-// tableWithLimits is a table with every field set, of a tenant with a limit.
+// tableWithLimits returns a table with all fields set, including the tenant's limit.
 func tableWithLimits() routeconfig.Table {
 	table := tableWithTenants()
 	table.Form = routeconfig.FormLimits
@@ -105,18 +105,18 @@
 	return table
 }
 
-// tenantFields are the fields that came with tenants, limitFields those that came with their limits.
+// tenantFields are the fields that were added with tenants, limitFields those that were added with their limits.
 var (
 	tenantFields = []string{"Form", "ConfigForm", "LatestForm", "Tenants", "KeySecret", "IsPublic"}
 	limitFields  = []string{"Limit"}
 )
 
-// laterFields are the fields that were added after the golden file of a value was written. The value lacks these fields, and its bytes have to be the
-// same all the same; one with the fields has another name.
+// laterFields are the fields that were added after the golden file of a value was written. They are not set in the value, whose encoding must
+// still be the same. Values with these fields set have names of their own.
 var laterFields = map[string][]string{"Table": tenantFields, "Gossip": tenantFields, "Feed": tenantFields, "routes.Table": tenantFields,
 	"routes.TableWithTenants": limitFields}
 
-// golden returns the content of a file that was written by the version that first sent this form.
+// golden returns the content of a golden file, which was written by the version that introduced the form. With -update it writes now first.
 func golden(t *testing.T, name string, now []byte) []byte {
 	t.Helper()
 	if *update {
@@ -155,7 +155,7 @@
 			now, err := msgpack.Marshal(value)
 			require.NoError(t, err)
 			sent := golden(t, name, now)
-			assert.Equal(t, sent, now, "the bytes have changed")
+			assert.Equal(t, sent, now, "the encoding has changed")
 			decoded := reflect.New(reflect.TypeOf(value))
 			require.NoError(t, msgpack.Unmarshal(sent, decoded.Interface()))
 			assert.Equal(t, value, decoded.Elem().Interface())
@@ -163,7 +163,7 @@
 	}
 }
 
-// TestPackedForm pins what Table and List hold packed. A compressor may choose other bytes for it, so that what they unpack to counts.
+// TestPackedForm pins the packed content of Table and List. Compressors may produce different bytes, so it compares what they unpack to.
 func TestPackedForm(t *testing.T) {
 	values := wireValues()
 	table := values["routes.Table"].(routeconfig.Table)
@@ -191,7 +191,7 @@
 	return out
 }
 
-// requireFieldsSet fails where a field has its zero value: its form would not be pinned. Those named in later have to be zero.
+// requireFieldsSet fails if a field has its zero value, since its encoding would not be pinned. The fields named in later must be zero.
 func requireFieldsSet(t *testing.T, path string, value reflect.Value, later []string) {
 	t.Helper()
 	switch value.Kind() {
