--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -16,17 +16,17 @@
 	httpClient *http.Client
 }
 
-// NewClient returns a client that connects by NewDialer.
+// NewClient returns a client that connects with a dialer from NewDialer.
 func NewClient() *Client { return NewClientWithDial(NewDialer().DialContext) }
 
-// NewClientWithDial returns a client that opens its connections with dial; tests put a faulty network there.
+// NewClientWithDial returns a client that opens its connections with dial. Tests use it to simulate a faulty network.
 func NewClientWithDial(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	return &Client{&http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: maxIdleConnsPerHost,
 		IdleConnTimeout: idleConnTimeout, DisableCompression: true, ReadBufferSize: bufferSize, WriteBufferSize: bufferSize}}}
 }
 
-// Call posts request to a path at an address (IP:PORT) and decodes the answer into reply, a pointer. The context bounds the complete call.
-// After an error the other process may have handled the request all the same.
+// Call posts request to a path at an address (IP:PORT) and decodes the response into reply, a pointer. The context bounds the complete call.
+// Even after an error the other process may have handled the request.
 func (c *Client) Call(ctx context.Context, address, path string, request, reply any) error {
 	data, err := msgpack.Marshal(request)
 	if err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts is read by then
+	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return Error.Wrap(err)
@@ -52,7 +52,7 @@
 	return Error.Wrap(msgpack.Unmarshal(body, reply))
 }
 
-// StatusError is the error of a Call that was answered with another status than 200.
+// StatusError is the error of a Call whose response has a status other than 200.
 type StatusError struct {
 	Address, Path string
 	Code          int
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// NewDialer returns a dialer whose connections fail soon in a network partition: an attempt to connect after connectTimeout, an open
-// connection once sent bytes were not acknowledged for ackTimeout. Keep-alive probes are off.
+// NewDialer returns a dialer whose connections fail quickly in a network partition: an attempt to connect after connectTimeout, an open
+// connection when sent bytes have not been acknowledged for ackTimeout. Keep-alive probes are off.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{Timeout: connectTimeout, KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -7,10 +7,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// headerSize is the size of a frame's length, in bytes.
+// headerSize is the size of a frame's header, in bytes. It holds the length of the message.
 const headerSize = 4
 
-// WriteFrame writes message as MessagePack, behind its length in bytes (32 bits, big-endian), in one call of w.Write.
+// WriteFrame writes the length of message in bytes (32 bits, big-endian) and message as MessagePack, in one call of w.Write.
 func WriteFrame(w io.Writer, message any) error {
 	data, err := msgpack.Marshal(message)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return Error.Wrap(err)
 }
 
-// ReadFrame reads a frame of WriteFrame into message, a pointer. After an error the position in the stream is unknown, so that the
-// connection is of no further use.
+// ReadFrame reads a frame of WriteFrame into message, a pointer. After an error the position in the stream is unknown, so the connection can't
+// be used any longer.
 func ReadFrame(r io.Reader, message any) error {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -8,9 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// NewHandler returns a handler that decodes a request, has serve answer it and encodes the reply. It answers 400 where the request can't
-// be decoded, and 503 with the error's text where serve fails. serve is called from many goroutines; its context ends with the
-// connection.
+// NewHandler returns a handler that decodes a request, passes it to serve and encodes the reply. It responds with 400 if the request can't be
+// decoded, and with 503 and the error's text if serve fails. serve is called from many goroutines; its context ends with the connection.
 func NewHandler[Request, Reply any](serve func(context.Context, *Request) (*Reply, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request Request
@@ -33,6 +32,6 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_, _ = w.Write(data) // a peer that has disconnected sends its request again
+		_, _ = w.Write(data) // a peer that has disconnected repeats its request
 	}
 }
