--- a/internal/routeconfig/ignored_fields.go
+++ b/internal/routeconfig/ignored_fields.go
@@ -9,15 +9,15 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// protocolHTTP1 is the only protocol to servers that proxies speak.
+// protocolHTTP1 is the only protocol that proxies use with servers.
 const protocolHTTP1 = "h1"
 
 // listIndex is the index of an item in a path such as Routes[2].Public.
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
-// IgnoredFields returns the names of the fields with which a document asks for something that this version doesn't do, sorted and without the indexes
-// of items: Routes[].Name. These are fields that it doesn't know, and values of known ones that have no effect. It never returns values. A document that
-// can't be read has none.
+// IgnoredFields returns the names of a document's fields that have no effect in this version: unknown fields, and known fields with values that it
+// doesn't support. The names are sorted and lack the indexes of items, as in Routes[].Name. They never include values. For a document that can't be
+// read it returns none.
 func IgnoredFields(data []byte) []string {
 	doc, root, err := parseDocument(data)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return slices.Compact(names)
 }
 
-// ignoredServiceFields returns the fields by which services ask for another way to their servers than HTTP/1.1 without encryption.
+// ignoredServiceFields returns the fields of services that request anything but unencrypted HTTP/1.1 to their servers.
 func ignoredServiceFields(services []*configpb.Service) (names []string) {
 	for _, service := range services {
 		if service.GetTls() {
@@ -50,7 +50,7 @@
 	return names
 }
 
-// ignoredTenantFields returns the fields by which tenants ask for a limit in a unit that this version doesn't know. Such a limit counts requests.
+// ignoredTenantFields returns the fields of tenants that set a unit of limits which this version doesn't know. Such a limit counts requests.
 func ignoredTenantFields(tenants []*configpb.Tenant) (names []string) {
 	for _, tenant := range tenants {
 		if unit := tenant.GetUnit(); unit != "" && unit != unitTokens && unit != unitRequests {
--- a/internal/routeconfig/ignored_fields_test.go
+++ b/internal/routeconfig/ignored_fields_test.go
@@ -19,16 +19,16 @@
 	assert.Empty(t, IgnoredFields([]byte(config[:40])))
 }
 
-// notCompiled are the fields of the message type that no table holds, each with the reason.
+// notCompiled holds the fields of the message type that have no effect on a table, each with the reason.
 var notCompiled = map[string]string{
-	"Services.Protocol":      "IgnoredFields names it",
-	"Services.Tls":           "IgnoredFields names it",
-	"Services.Engine.stride": "how many tokens an event may hold: events are forwarded whatever they hold",
+	"Services.Protocol":      "reported by IgnoredFields",
+	"Services.Tls":           "reported by IgnoredFields",
+	"Services.Engine.stride": "how many tokens an event may hold: proxies forward events regardless of that",
 	"Services.Engine.Models": "requests name their model, and servers check it",
 }
 
-// TestEachFieldOfTheConfigurationIsCompiled sets each field of the message type alone. A field that is read and changes no table would be accepted
-// and have no effect, as tenants once did, without a line in a log.
+// TestEachFieldOfTheConfigurationIsCompiled sets each field of the message type in turn and checks that the table changes. A known field that
+// changes no table would be accepted and have no effect, without a log line; tenants once were such a field.
 func TestEachFieldOfTheConfigurationIsCompiled(t *testing.T) {
 	empty := func() *configpb.Config {
 		return &configpb.Config{Version: 1, Routes: []*configpb.Route{{WeightedServices: []*configpb.WeightedService{{}}}, {}}, Limits: &configpb.Limits{},
@@ -73,7 +73,7 @@
 	require.Contains(t, hasEffect, "Routes.Public")
 }
 
-// sampleValue returns a value of a field that is neither its zero value nor what the empty configuration has.
+// sampleValue returns a value of a field that is neither its zero value nor the value in the empty configuration.
 func sampleValue(message protoreflect.Message, field protoreflect.FieldDescriptor) protoreflect.Value {
 	switch {
 	case field.IsList():
--- a/internal/routeconfig/json_document.go
+++ b/internal/routeconfig/json_document.go
@@ -13,14 +13,14 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// jsonNode is a value of a JSON text with its offset.
+// jsonNode is a value in a JSON text, with its offset.
 type jsonNode struct {
 	offset    int             // of its first byte
 	scalar    json.RawMessage // the text of a string, a number, true, false or null
 	members   []jsonMember    // of an object, in order
 	items     []*jsonNode     // of a list
 	kind      json.Delim      // '{' or '[', 0 for a scalar
-	isOmitted bool            // it has the wrong type; writeReadable leaves it out
+	isOmitted bool            // the value has the wrong type; writeReadable leaves it out
 }
 
 // jsonMember is a member of an object.
@@ -30,14 +30,14 @@
 	value  *jsonNode
 }
 
-// maxDepth bounds the nesting of a text, and so the recursion. Configurations are far less deep.
+// maxDepth bounds the nesting of a text, and so the recursion. Configurations are nested far less deeply.
 const maxDepth = 64
 
 // errTooDeep rejects a text that is nested deeper than maxDepth.
 var errTooDeep = errors.New("nested too deep")
 
-// jsonDocument is a JSON text that is compared with the message type which it should hold. Positions in the text are found by
-// paths such as Routes[2].TimeoutMs.
+// jsonDocument is a JSON text that is checked against the message type that it encodes. Paths such as Routes[2].TimeoutMs
+// identify positions in the text.
 type jsonDocument struct {
 	text    []byte
 	lines   diagnostic.Lines
@@ -47,8 +47,8 @@
 	unknown []diagnostic.Finding // fields that the type doesn't have
 }
 
-// parseDocument parses a text and returns its outermost value. With an error, for a text that is not JSON, the document serves
-// to find the line.
+// parseDocument parses a text and returns its outermost value. If the text is not JSON, it returns an error, and the document can
+// only be used to find the line of the error.
 func parseDocument(text []byte) (*jsonDocument, *jsonNode, error) {
 	d := &jsonDocument{text: text, lines: diagnostic.NewLines(text), decoder: json.NewDecoder(bytes.NewReader(text)), offsets: map[string]int{}}
 	d.decoder.UseNumber()
@@ -120,13 +120,13 @@
 	return diagnostic.Finding{Line: line, Column: column, Place: path, Text: text}
 }
 
-// addFault adds a value of the wrong type, which is omitted from then on.
+// addFault records a value of the wrong type and marks it as omitted.
 func (d *jsonDocument) addFault(n *jsonNode, path, format string, args ...any) {
 	n.isOmitted = true
 	d.faults = append(d.faults, d.newFinding(n.offset, path, fmt.Sprintf(format, args...)))
 }
 
-// checkMessage compares a value with a message type, and adds unknown fields and values of the wrong type.
+// checkMessage checks a value against a message type, and records unknown fields and values of the wrong type.
 func (d *jsonDocument) checkMessage(n *jsonNode, path string, descriptor protoreflect.MessageDescriptor) {
 	d.offsets[path] = n.offset
 	if n.isNull() {
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkField compares a value with a field, which may be a list.
+// checkField checks a value against the type of a field, which may be a list.
 func (d *jsonDocument) checkField(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
 	d.offsets[path] = n.offset
 	if !descriptor.IsList() {
@@ -177,7 +177,7 @@
 	}
 }
 
-// checkValue compares a value with the type of a field or of its items.
+// checkValue checks a value against the type of a field that is no list, or of the items of a list.
 func (d *jsonDocument) checkValue(n *jsonNode, path string, descriptor protoreflect.FieldDescriptor) {
 	if descriptor.Kind() == protoreflect.MessageKind {
 		d.checkMessage(n, path, descriptor.Message())
@@ -205,7 +205,7 @@
 	float64Bits = 64
 )
 
-// matchesKind reports whether a scalar can be read as a field of a kind, as protojson does: numbers may be in quotes.
+// matchesKind reports whether protojson can read a scalar as a field of a kind. Numbers may be in quotes.
 func matchesKind(kind protoreflect.Kind, value any, text []byte) bool {
 	number := string(text)
 	if quoted, ok := value.(string); ok {
@@ -231,7 +231,7 @@
 	return err == nil
 }
 
-// describeKind returns what an error text calls a value of a kind.
+// describeKind returns the description of a kind for error texts.
 func describeKind(kind protoreflect.Kind) string {
 	switch kind {
 	case protoreflect.BoolKind:
@@ -253,7 +253,7 @@
 	return path + "." + name
 }
 
-// writeReadable writes the text without omitted values.
+// writeReadable writes the value as JSON without omitted values, so that protojson can read it.
 func (n *jsonNode) writeReadable(out *bytes.Buffer) {
 	switch n.kind {
 	case '{':
--- a/internal/routeconfig/json_object.go
+++ b/internal/routeconfig/json_object.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// jsonField is a field of a JSON object whose fields keep their order.
+// jsonField is a field of a JSON object. Lists of fields keep the order of the text.
 type jsonField struct {
 	key   string
 	value json.RawMessage
@@ -74,7 +74,8 @@
 	return out.Bytes()
 }
 
-// quoteValue returns what an error says of a value that a scalar field has. Danger: the values of tenants are credentials, and are not quoted.
+// quoteValue returns the description of a scalar field's value for an error. Danger: fields of tenants may hold credentials, so their values
+// are not quoted.
 func quoteValue(path string, value []byte) string {
 	if strings.Contains(path, tenantsKey) {
 		return "another value"
@@ -82,8 +83,8 @@
 	return abbreviate(value)
 }
 
-// describeValue returns what an error says of a value in place of an object or a list: its type alone, since it may hold anything, a credential
-// included.
+// describeValue returns the description of a value that is not the wanted object or list for an error. It names only the value's type, since the
+// value may hold a credential.
 func describeValue(value []byte) string {
 	switch value = bytes.TrimSpace(value); {
 	case bytes.HasPrefix(value, []byte("{")):
@@ -97,7 +98,7 @@
 	}
 }
 
-// abbreviate quotes a text, cut to a length that fits into an error of one line.
+// abbreviate quotes a text, truncated to a length that fits into a one-line error.
 func abbreviate(text []byte) string {
 	const maxBytes = 40
 	if len(text) > maxBytes {
--- a/internal/routeconfig/patch.go
+++ b/internal/routeconfig/patch.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Patch is a change of named items of a document. It works on the JSON text, not on the message type, so that fields which this
+// Patch is a change of named items of a document. It works on the JSON text instead of the message type, so that fields that this
 // version doesn't know stay as the operator sent them.
 type Patch struct {
 	Version uint64 // of the patched document
@@ -35,7 +35,8 @@
 	tenantsKey = "Tenants"
 )
 
-// knownLists are the lists of named items that a patch may add to a document. Other lists must be in the document.
+// knownLists are the lists of named items that a patch may add to a document. It may change other lists only if the document has
+// them.
 var knownLists = []string{"Routes", "Services", tenantsKey}
 
 // ParsePatch parses a patch. Its error names the list, the item and the field.
@@ -68,7 +69,7 @@
 	return patch, patch.validateNames()
 }
 
-// listNamed returns the change of a list, which it adds if there is none.
+// listNamed returns the change of the list with this name. It adds an empty one if there is none.
 func (p *Patch) listNamed(name string) *listPatch {
 	i := slices.IndexFunc(p.lists, func(l listPatch) bool { return l.name == name })
 	if i < 0 {
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// validateNames returns an error for an item that is changed twice: the result would depend on the order.
+// validateNames returns an error if an item is changed twice, since the result would depend on the order.
 func (p *Patch) validateNames() error {
 	for _, list := range p.lists {
 		seen := map[string]bool{}
--- a/internal/routeconfig/patch_test.go
+++ b/internal/routeconfig/patch_test.go
@@ -15,42 +15,42 @@
 
 // applyPatch applies a patch to validConfig and validates the result.
 func applyPatch(patch string) (string, error) {
-	read, err := routeconfig.ParsePatch([]byte(patch))
+	parsed, err := routeconfig.ParsePatch([]byte(patch))
 	if err != nil {
 		return "", err
 	}
-	made, err := read.Apply([]byte(validConfig))
+	patched, err := parsed.Apply([]byte(validConfig))
 	if err != nil {
 		return "", err
 	}
-	_, err = routeconfig.Parse(made)
-	return string(made), err
+	_, err = routeconfig.Parse(patched)
+	return string(patched), err
 }
 
 var _ = Describe("a patch", func() {
-	It("replaces items in position, appends and removes others, and leaves unknown fields as they are", func() {
-		made, err := applyPatch(`{"Version":9,"Upsert":{"Routes":[
+	It("replaces items in position, appends and removes others, and leaves unknown fields unchanged", func() {
+		patched, err := applyPatch(`{"Version":9,"Upsert":{"Routes":[
 			{"Name":"c","Host":"h","PathPrefix":"/c/","RouteType":"idempotent","TimeoutMs":10,"Service":"s","Later":{"x":1}},
 			{"Name":"a","Host":"h","PathPrefix":"/a/","RouteType":"idempotent","TimeoutMs":70,"Service":"s"}]},"Remove":{"Routes":["b"]}}`)
 		Expect(err).NotTo(HaveOccurred())
-		table, err := routeconfig.Parse([]byte(made))
+		table, err := routeconfig.Parse([]byte(patched))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(9))
 		Expect(table.Routes).To(HaveLen(2))
 		Expect(table.Routes[0].Name).To(Equal("a"))
 		Expect(table.Routes[0].TimeoutMs).To(Equal(70.0))
 		Expect(table.Routes[1].Name).To(Equal("c"))
-		Expect(made).To(ContainSubstring(`"New":[1]`))
-		Expect(made).To(ContainSubstring(`"Later":{"x":1}`))
-		Expect(made).To(ContainSubstring(`"KvTokens":765689`), "what isn't named stays as it is")
+		Expect(patched).To(ContainSubstring(`"New":[1]`))
+		Expect(patched).To(ContainSubstring(`"Later":{"x":1}`))
+		Expect(patched).To(ContainSubstring(`"KvTokens":765689`), "other items stay unchanged")
 	})
 
 	It("adds a list that the document lacks", func() {
-		read, err := routeconfig.ParsePatch([]byte(`{"Version":2,"Upsert":{"Services":[{"Name":"s","HealthPath":"/h"}]}}`))
+		parsed, err := routeconfig.ParsePatch([]byte(`{"Version":2,"Upsert":{"Services":[{"Name":"s","HealthPath":"/h"}]}}`))
 		Expect(err).NotTo(HaveOccurred())
-		made, err := read.Apply([]byte(`{"Version":1}`))
+		patched, err := parsed.Apply([]byte(`{"Version":1}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(made)).To(Equal(`{"Version":2,"Services":[{"Name":"s","HealthPath":"/h"}]}`))
+		Expect(string(patched)).To(Equal(`{"Version":2,"Services":[{"Name":"s","HealthPath":"/h"}]}`))
 	})
 
 	DescribeTable("is rejected in one line that names list, item and field", func(patch string, names ...string) {
@@ -84,14 +84,14 @@
 			"Routes[2].Service", "u"),
 	)
 
-	It("gives the same result as a plain list, in random series", func() {
+	It("gives the same result as the same changes of a list in memory, in random series", func() {
 		for seed := range uint64(300) {
 			comparePatches(rand.New(rand.NewPCG(seed, 56)))
 		}
 	})
 })
 
-// comparePatches applies a random series of patches and compares the document with a plain list.
+// comparePatches applies a random series of patches to a document, and compares it with a list in memory that it changes in the same way.
 func comparePatches(rng *rand.Rand) {
 	type route struct {
 		Name string
@@ -103,14 +103,14 @@
 		var remove []string
 		for _, i := range rng.Perm(6)[:rng.IntN(6)] {
 			name := fmt.Sprint("r", i)
-			place := slices.IndexFunc(want, func(r route) bool { return r.Name == name })
+			index := slices.IndexFunc(want, func(r route) bool { return r.Name == name })
 			changed := route{name, rng.IntN(1000)}
 			switch {
-			case place >= 0 && rng.IntN(2) == 0:
-				want = slices.Delete(want, place, place+1)
+			case index >= 0 && rng.IntN(2) == 0:
+				want = slices.Delete(want, index, index+1)
 				remove = append(remove, name)
-			case place >= 0:
-				want[place] = changed
+			case index >= 0:
+				want[index] = changed
 				upsert = append(upsert, changed)
 			default:
 				want = append(want, changed)
--- a/internal/routeconfig/stored_form_test.go
+++ b/internal/routeconfig/stored_form_test.go
@@ -17,7 +17,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// goldenTable is the table of testdata/stored_form/document.json.
+// goldenTable is the table that testdata/stored_form/document.json is compiled to.
 var goldenTable = routeconfig.Table{
 	Version: 7,
 	Routes: []routeconfig.Route{
@@ -35,7 +35,8 @@
 	Limits: routeconfig.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 }
 
-// tenantsTable is the table of testdata/stored_form/tenants.json. Its secret and digest were computed by another implementation.
+// tenantsTable returns the table that testdata/stored_form/tenants.json is compiled to. Its secret and digest were computed with another
+// implementation.
 func tenantsTable() routeconfig.Table {
 	table, priority := goldenTable, 3
 	table.Form = routeconfig.FormTenants
@@ -55,7 +56,7 @@
 	return data
 }
 
-// limitsTable is the table of testdata/stored_form/limits.json.
+// limitsTable returns the table that testdata/stored_form/limits.json is compiled to, but for its secret and digest.
 func limitsTable() routeconfig.Table {
 	table := tenantsTable()
 	table.Form = routeconfig.FormLimits
@@ -64,13 +65,13 @@
 	return table
 }
 
-// The fields that were added after a file was written. The tables of the earlier files lack them.
+// The fields that were added after a golden file was written. They are not set in the table of that file.
 var (
 	fieldsAfterTable   = []string{"Form", "Tenants", "KeySecret", "IsPublic"}
 	fieldsAfterTenants = []string{"Limit"}
 )
 
-// TestStoredForm pins the bytes of the tables that control processes pack and send. Processes of other versions read these bytes.
+// TestStoredForm pins the encoding of the tables that control processes pack and send. Processes of other versions read it.
 func TestStoredForm(t *testing.T) {
 	for _, c := range []struct {
 		file  string
@@ -88,7 +89,7 @@
 				assert.Equal(t, slices.Contains(c.later, field), fields.Field(i).IsZero(), "%s: %T: field %s", c.file, value, field)
 			}
 		}
-		golden, err := hex.DecodeString(strings.TrimSpace(string(stored(t, c.file))))
+		golden, err := hex.DecodeString(strings.TrimSpace(string(readStored(t, c.file))))
 		require.NoError(t, err)
 		encoded, err := msgpack.Marshal(&c.table)
 		require.NoError(t, err)
@@ -99,38 +100,39 @@
 	}
 }
 
-// TestStoredDocument pins what a stored document is read as: it is stored and digested as the operator sent it.
+// TestStoredDocument pins the tables that stored documents are compiled to. Documents are stored as operators sent them, so earlier ones must
+// stay readable.
 func TestStoredDocument(t *testing.T) {
 	withoutTenants := goldenTable
-	withoutTenants.Form = routeconfig.LatestForm // it says that the document has none
+	withoutTenants.Form = routeconfig.LatestForm // which says that the document has no tenants
 	withTenants, withLimits := tenantsTable(), limitsTable()
 	withTenants.Form = routeconfig.LatestForm
-	withTenants.Tenants[0].Limit = &routeconfig.TenantLimit{RatePerSecond: 5} // which earlier versions pass over
-	withLimits.KeySecret = apikey.NewSecret(stored(t, "limits.json"))
+	withTenants.Tenants[0].Limit = &routeconfig.TenantLimit{RatePerSecond: 5} // earlier versions ignore it
+	withLimits.KeySecret = apikey.NewSecret(readStored(t, "limits.json"))
 	withLimits.Tenants[0].KeyDigests[0] = withLimits.KeySecret.NewDigester().Digest(apikey.New("a-key"))
 	for file, want := range map[string]routeconfig.Table{"document.json": withoutTenants, "tenants.json": withTenants, "limits.json": withLimits} {
-		table, err := routeconfig.Parse(stored(t, file))
+		table, err := routeconfig.Parse(readStored(t, file))
 		require.NoError(t, err)
 		assert.Equal(t, &want, table, file)
-		chosen, err := routeconfig.ParseChosen(stored(t, file))
+		chosen, err := routeconfig.ParseChosen(readStored(t, file))
 		require.NoError(t, err)
 		assert.Equal(t, &want, chosen, file)
-		report := routeconfig.Validate(stored(t, file))
+		report := routeconfig.Validate(readStored(t, file))
 		assert.Empty(t, report.Faults)
 		assert.Equal(t, &want, report.Table, file)
 	}
 }
 
-// TestPatchedDocument pins the document that a patch makes of a stored one: its digest is agreed on by voters of other versions.
+// TestPatchedDocument pins the bytes of a patched document: voters of all versions must compute the same digest of it.
 func TestPatchedDocument(t *testing.T) {
-	patch, err := routeconfig.ParsePatch(stored(t, "patch.json"))
+	patch, err := routeconfig.ParsePatch(readStored(t, "patch.json"))
 	require.NoError(t, err)
-	patched, err := patch.Apply(stored(t, "document.json"))
+	patched, err := patch.Apply(readStored(t, "document.json"))
 	require.NoError(t, err)
-	assert.Equal(t, string(stored(t, "patched.json")), string(patched))
+	assert.Equal(t, string(readStored(t, "patched.json")), string(patched))
 }
 
-func stored(t *testing.T, name string) []byte {
+func readStored(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "stored_form", name))
 	require.NoError(t, err)
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -8,17 +8,17 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// Error is the class of the errors of Parse, ParsePatch and Patch.Apply. They name the field, or list and item, in one line.
+// Error is the class of the errors of Parse, ParsePatch and Patch.Apply. They name the field, or list and item, on one line.
 var Error = errs.Class("configuration")
 
-// RouteKind says which attempts of a route's requests may be retried.
+// RouteKind says when attempts of a route's requests may be retried.
 type RouteKind string
 
 // The kinds of routes.
 const (
-	Idempotent    RouteKind = "idempotent"     // an attempt may be retried whatever has become of it
+	Idempotent    RouteKind = "idempotent"     // an attempt may always be retried
 	NonIdempotent RouteKind = "non_idempotent" // an attempt may be retried only if it was certainly not executed
-	Streaming     RouteKind = "streaming"      // the answer is a stream of events; retried as Route.Resumable allows
+	Streaming     RouteKind = "streaming"      // the response is a stream of events; Route.Resumable says whether it may be retried
 )
 
 // WeightedService is a service with its weight among the services of a route.
@@ -27,13 +27,13 @@
 	Weight  float64 `msgpack:"w"`
 }
 
-// Route is a route of the table. It applies to requests of its host whose path begins with its prefix.
+// Route is a route of the table. It applies to requests for its host whose path begins with its prefix.
 type Route struct {
 	Name             string            `msgpack:"n"`
 	Host             string            `msgpack:"h"`
 	PathPrefix       string            `msgpack:"p"` // begins and ends with a slash
 	Kind             RouteKind         `msgpack:"k"`
-	TimeoutMs        float64           `msgpack:"t"` // of a request with all its attempts
+	TimeoutMs        float64           `msgpack:"t"` // of a request, including all its attempts
 	LatencyTargetMs  float64           `msgpack:"a"` // objective for the first event, 0: none
 	Priority         int               `msgpack:"r"` // priority class of the requests
 	Services         []WeightedService `msgpack:"s"` // at least one
@@ -46,11 +46,11 @@
 
 // Engine describes the model servers of a service; 0 means unknown.
 type Engine struct {
-	Slots              int     `msgpack:"s"` // answers that one server makes at a time
+	Slots              int     `msgpack:"s"` // requests that one server can run at a time
 	KVTokens           int64   `msgpack:"t"` // tokens that one server's KV cache holds
 	KVTokenBytes       float64 `msgpack:"b"` // size of a token in the KV cache
-	LinkMbps           float64 `msgpack:"l"` // of a server's link, for moves of the KV cache
-	HandleTTLSeconds   float64 `msgpack:"h"` // for which the result of a prefill is kept
+	LinkMbps           float64 `msgpack:"l"` // capacity of a server's link, for transfers of the KV cache
+	HandleTTLSeconds   float64 `msgpack:"h"` // time for which the result of a prefill is kept
 	StageSwitchSeconds float64 `msgpack:"w"` // how long a change of the stage takes
 }
 
@@ -58,8 +58,8 @@
 type Service struct {
 	Name           string  `msgpack:"n"`
 	HealthPath     string  `msgpack:"h"`
-	MaxConnections int     `msgpack:"c"` // that one server takes from all callers, 0: unknown
-	Engine         *Engine `msgpack:"e"` // nil where its servers run no model
+	MaxConnections int     `msgpack:"c"` // that one server accepts from all clients together, 0: unknown
+	Engine         *Engine `msgpack:"e"` // nil if its servers run no model
 }
 
 // Limits bounds what clients may send.
@@ -79,12 +79,12 @@
 
 	// Tables of earlier versions lack these fields.
 	Form      Form          `msgpack:"f,omitempty"`
-	Tenants   []Tenant      `msgpack:"t,omitempty"` // none: requests need no key
-	KeySecret apikey.Secret `msgpack:"k,omitempty"` // of the tenants' key digests; nil where there are no tenants
+	Tenants   []Tenant      `msgpack:"t,omitempty"` // if empty, requests need no key
+	KeySecret apikey.Secret `msgpack:"k,omitempty"` // of the tenants' key digests; nil if there are no tenants
 }
 
-// Parse validates and compiles a document that an operator sends. It doesn't compare its version with the current one. Its error names the
-// first problem, without any value of a tenant; Validate returns all.
+// Parse validates and compiles a document that an operator has sent. It doesn't compare the version with the current one. The error names the
+// first problem, without any value of a tenant; Validate returns all problems.
 func Parse(data []byte) (*Table, error) {
 	config, err := unmarshal(data)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return compileTable(config, data), nil
 }
 
-// ParseChosen compiles a document that the register holds. It may have been accepted by an earlier version, which did not validate all that Parse
-// does: such a document has to come into force all the same, or the fleet would serve nothing after an upgrade.
+// ParseChosen compiles a document from the register. An earlier version, which validated less than Parse does, may have accepted it. It has to
+// take effect nevertheless, or the fleet would serve nothing after an upgrade.
 func ParseChosen(data []byte) (*Table, error) {
 	config, err := unmarshal(data)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return compileTable(config, data), nil
 }
 
-// unmarshal reads a document. Danger: the errors of protojson quote the document, and so may hold a key; the one that is returned in their place
-// names line and field alone.
+// unmarshal reads a document. Danger: errors of protojson quote the document and so may contain a key. The error that is returned instead names
+// only line and field.
 func unmarshal(data []byte) (*configpb.Config, error) {
 	config := &configpb.Config{}
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(data, config); err != nil {
--- a/internal/routeconfig/table_test.go
+++ b/internal/routeconfig/table_test.go
@@ -25,7 +25,7 @@
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`
 
 var _ = Describe("a configuration", func() {
-	It("is compiled to a table, unknown fields ignored", func() {
+	It("is compiled to a table, without unknown fields", func() {
 		table, err := routeconfig.Parse([]byte(validConfig))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(table.Version).To(BeEquivalentTo(7))
@@ -37,9 +37,9 @@
 		Expect(table.Limits.MaxBodyBytes).To(BeEquivalentTo(4194304))
 	})
 
-	DescribeTable("is rejected with the path of the first fault", func(was, is, path string) {
-		Expect(strings.Contains(validConfig, was)).To(BeTrue(), "the case must change something")
-		_, err := routeconfig.Parse([]byte(strings.Replace(validConfig, was, is, 1)))
+	DescribeTable("is rejected with the path of the first fault", func(valid, invalid, path string) {
+		Expect(strings.Contains(validConfig, valid)).To(BeTrue(), "the valid text must occur in the configuration")
+		_, err := routeconfig.Parse([]byte(strings.Replace(validConfig, valid, invalid, 1)))
 		Expect(err).To(MatchError(ContainSubstring(path)))
 	},
 		Entry("cut short", `"Limits"`, `"Lim`, "configuration"),
--- a/internal/routeconfig/tenants.go
+++ b/internal/routeconfig/tenants.go
@@ -8,33 +8,33 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// Form says which parts of a document a Table was compiled with. Processes of two versions run beside one another: a table of an earlier form
-// may lack what its document has, and is replaced by one of a later form of the same version.
+// Form says which parts of a document a Table includes. Processes of two versions may run side by side: a table of an earlier form may lack parts of
+// its document, and is replaced by a table of the same version in a later form.
 type Form int
 
 // The forms.
 const (
-	FormRoutes  Form = 0 // routes, services and limits: of versions that know no tenants
-	FormTenants Form = 1 // tenants and public routes as well
-	FormLimits  Form = 2 // limits of tenants as well
+	FormRoutes  Form = 0 // routes, services and the limits of clients; compiled by versions that know no tenants
+	FormTenants Form = 1 // also tenants and public routes
+	FormLimits  Form = 2 // also the rate limits of tenants
 
-	LatestForm = FormLimits // with which this version compiles tables
+	LatestForm = FormLimits // the form of tables that this version compiles
 )
 
-// Tenant is a tenant of the table: who clients act for, by their keys.
+// Tenant is a tenant of the table. A client acts for the tenant that its key belongs to.
 type Tenant struct {
 	Name       string          `msgpack:"n"`
-	Priority   *int            `msgpack:"r,omitempty"` // priority class of its requests in place of the route's, nil: the route's
+	Priority   *int            `msgpack:"r,omitempty"` // priority class of its requests, nil: that of the route
 	KeyDigests []apikey.Digest `msgpack:"k"`           // under Table.KeySecret
-	Limit      *TenantLimit    `msgpack:"l,omitempty"` // of its requests over all proxies together, nil: none
+	Limit      *TenantLimit    `msgpack:"l,omitempty"` // rate limit over all proxies together, nil: none
 }
 
-// TenantLimit is what a tenant may have executed: RatePerSecond, and Burst beyond that at once. Both count requests, or tokens where CountsTokens is set.
+// TenantLimit is the rate limit of a tenant, with its burst. Both count requests, or tokens if CountsTokens is set.
 type TenantLimit struct {
 	RatePerSecond float64 `msgpack:"r"`
 	Burst         float64 `msgpack:"b"`
 	CountsTokens  bool    `msgpack:"t"`
-	PlainTokens   int64   `msgpack:"p"` // tokens of a request that declares none
+	PlainTokens   int64   `msgpack:"p"` // cost of a request that declares no number of tokens
 }
 
 // The units of limits. A limit without a unit counts requests.
@@ -43,7 +43,7 @@
 	unitTokens   = "token_stream"
 )
 
-// validateTenants adds what is wrong with the tenants. A tenant without keys is valid: keys are taken away by leaving them out. No text names
+// validateTenants adds the problems of the tenants. A tenant without keys is valid: operators revoke keys by leaving them out. No text contains
 // a key.
 func (l *problemList) validateTenants(tenants []*configpb.Tenant) {
 	names, owners := map[string]bool{}, map[string]string{}
@@ -72,7 +72,7 @@
 	}
 }
 
-// validateLimit adds what is wrong with a tenant's limit.
+// validateLimit adds the problems of a tenant's limit.
 func (l *problemList) validateLimit(path string, tenant *configpb.Tenant) {
 	for _, field := range []struct {
 		name  string
@@ -84,8 +84,8 @@
 	}
 }
 
-// compileLimit returns the limit of a tenant, nil where it has none. What an earlier version has accepted and can't be kept, as a negative rate, counts as no
-// limit.
+// compileLimit returns the limit of a tenant, or nil if it has none. An invalid limit that an earlier version has accepted, such as a negative rate,
+// counts as no limit.
 func compileLimit(tenant *configpb.Tenant) *TenantLimit {
 	if !isPositive(tenant.GetRatePerS()) {
 		return nil
@@ -97,10 +97,10 @@
 	return limit
 }
 
-// isControl reports whether a character can't be part of a header field's value.
+// isControl reports whether a character is an ASCII control character, which can't be part of a header field's value.
 func isControl(char rune) bool { return char < ' ' || char == '\x7f' }
 
-// compileTenants compiles the tenants of a document. A key that two tenants share belongs to none of them: no new document has such a key, but one
+// compileTenants compiles the tenants of a document. A key that two tenants share belongs to neither: new documents can't have such a key, but one
 // that an earlier version has accepted may.
 func compileTenants(tenants []*configpb.Tenant, secret apikey.Secret) []Tenant {
 	owners := map[string]string{}
--- a/internal/routeconfig/tenants_test.go
+++ b/internal/routeconfig/tenants_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestChosenDocumentWithASharedKey has a document that an earlier version has accepted: it comes into force, and the key is nobody's.
+// TestChosenDocumentWithASharedKey compiles a document that an earlier version has accepted: it takes effect, but the key belongs to no tenant.
 func TestChosenDocumentWithASharedKey(t *testing.T) {
 	document := withTenants(`[{"Name":"acme","ApiKeys":["k-1","k-2"]},{"Name":"bolt","ApiKeys":["k-2"]}]`)
 	table, err := routeconfig.ParseChosen(document)
@@ -53,21 +53,22 @@
 	assert.Empty(t, table.Tenants[1].KeyDigests)
 }
 
-// TestErrorsHoldNoKey spoils a document and a patch with a key at each byte, and in ways that put the key where something else belongs.
+// TestErrorsHoldNoKey corrupts a document and a patch that contain a key at each byte, and places the key where something else is expected. No
+// error may contain the key.
 func TestErrorsHoldNoKey(t *testing.T) {
 	const key = "zq-secret-zq"
 	document := string(withTenants(`[{"Name":"acme","ApiKeys":["` + key + `"]}]`))
 	patch := `{"Version":9,"Upsert":{"Tenants":[{"Name":"acme","ApiKeys":["` + key + `"]}]},"Remove":{"Tenants":["bolt"]}}`
 	var documents, patches []string
-	spoil := func(text string, add func(string)) {
+	corrupt := func(text string, add func(string)) {
 		for i := range text {
 			add(text[:i])
 			add(text[:i] + text[i+1:])
 			add(text[:i] + "]" + text[i+1:])
 		}
 	}
-	spoil(document[strings.Index(document, `"Tenants"`)-20:], func(tail string) { documents = append(documents, strings.Split(document, `"Tenants"`)[0]+tail) })
-	spoil(patch, func(text string) { patches = append(patches, text) })
+	corrupt(document[strings.Index(document, `"Tenants"`)-20:], func(tail string) { documents = append(documents, strings.Split(document, `"Tenants"`)[0]+tail) })
+	corrupt(patch, func(text string) { patches = append(patches, text) })
 	for _, value := range []string{`"` + key + `"`, `["` + key + `"]`, `{"Name":"` + key + `","ApiKeys":"` + key + `"}`} {
 		documents = append(documents, string(withTenants(value)), string(withTenants("["+value+"]")), value, "["+value+"]")
 		patches = append(patches, value, "["+value+"]", fmt.Sprintf(`{"Version":9,"Upsert":{"Tenants":%s}}`, value),
@@ -91,7 +92,7 @@
 	}
 }
 
-// requireKeyless fails where an error shows a key that is not the name of a field or of an item.
+// requireKeyless fails if an error contains the key, unless as the name of an item to remove.
 func requireKeyless(t *testing.T, key string, err error, text string) {
 	t.Helper()
 	if err != nil {
@@ -122,7 +123,7 @@
 		require.NoError(t, err, tenant)
 		assert.Equal(t, want, table.Tenants[0].Limit, tenant)
 	}
-	// An earlier version has accepted any of these, since it passed over them.
+	// An earlier version has accepted all of these values, since it ignored the fields.
 	table, err := routeconfig.ParseChosen(withTenants(`[{"Name":"acme","RatePerS":-4},{"Name":"bolt","RatePerS":4,"Burst":-1,"PlainTokens":-1}]`))
 	require.NoError(t, err)
 	assert.Nil(t, table.Tenants[0].Limit)
--- a/internal/routeconfig/validate.go
+++ b/internal/routeconfig/validate.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/routeconfig/configpb"
 )
 
-// problemList collects what is wrong with a configuration, by the paths of fields such as Routes[2].TimeoutMs.
+// problemList collects the problems of a configuration, with the paths of fields such as Routes[2].TimeoutMs.
 type problemList []diagnostic.Finding
 
 // add adds a problem with the field at a path.
@@ -21,14 +21,14 @@
 	*l = append(*l, diagnostic.Finding{Place: path, Text: fmt.Sprintf(format, args...)})
 }
 
-// validateConfig returns all that is wrong with the values of a configuration. Its version is not compared with the current one.
+// validateConfig returns all problems of a configuration's values. It doesn't compare the version with the current one.
 func validateConfig(config *configpb.Config) problemList {
 	problems := validateRouting(config)
 	problems.validateTenants(config.GetTenants())
 	return problems
 }
 
-// validateRouting returns what is wrong with the version, services and routes, which every version has validated.
+// validateRouting returns the problems of the version, services and routes, which all earlier versions have validated as well.
 func validateRouting(config *configpb.Config) (problems problemList) {
 	if config.GetVersion() == 0 {
 		problems.add("Version", "want a number above 0")
@@ -55,7 +55,7 @@
 	return problems
 }
 
-// validateRoute adds what is wrong with a route. services holds the names of the services.
+// validateRoute adds the problems of a route. services holds the names of the services.
 func (l *problemList) validateRoute(path string, route *configpb.Route, services map[string]bool) {
 	if !isPositive(route.GetTimeoutMs()) {
 		l.add(path+".TimeoutMs", "want a time above 0")
@@ -79,7 +79,7 @@
 // isPositive reports whether a value is finite and above 0. The JSON form of a double may be NaN or Infinity, in quotes.
 func isPositive(value float64) bool { return value > 0 && !math.IsInf(value, 1) }
 
-// validateWeights adds what is wrong with the weighted services of a route.
+// validateWeights adds the problems of the weighted services of a route.
 func (l *problemList) validateWeights(path string, weights []*configpb.WeightedService, services map[string]bool) {
 	sum := 0.0
 	for i, weighted := range weights {
@@ -100,7 +100,7 @@
 
 // Report is the result of validating a document.
 type Report struct {
-	Table   *Table               // nil where there are faults
+	Table   *Table               // nil if there are faults
 	Faults  []diagnostic.Finding // each of them makes a control process reject the document
 	Unknown []diagnostic.Finding // fields that this version ignores
 }
@@ -126,8 +126,8 @@
 	return report
 }
 
-// checkConfig reads the values that can be read into config and returns what is wrong with them. Problems that follow from
-// a value that can't be read are left out.
+// checkConfig reads the readable values into config and returns their problems. It leaves out problems that follow from a value
+// that can't be read.
 func (d *jsonDocument) checkConfig(root *jsonNode, config *configpb.Config) (problems []diagnostic.Finding) {
 	var text bytes.Buffer
 	root.writeReadable(&text)
