--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -48,7 +48,7 @@
 	assert.NotEqual(t, digest, two.NewDigester().Digest(apikey.New("k1")))
 }
 
-// TestKeysAreNotShown formats, logs and encodes a key in each way that the program uses.
+// TestKeysAreNotShown formats, logs and encodes a key in all ways that the program uses. None may show its text.
 func TestKeysAreNotShown(t *testing.T) {
 	key := apikey.New("secret-text")
 	var shown []string
--- a/internal/apikey/digest.go
+++ b/internal/apikey/digest.go
@@ -6,17 +6,17 @@
 	"hash"
 )
 
-// DigestSize is the size of a Digest in bytes. 128 bits are beyond guessing and beyond chance.
+// DigestSize is the size of a Digest in bytes. 128 bits make guesses and accidental collisions practically impossible.
 const DigestSize = 16
 
-// Digest is the keyed digest of a key.
+// Digest is the keyed digest (HMAC) of an API key.
 type Digest [DigestSize]byte
 
-// Secret is what digests are made under.
+// Secret is the HMAC secret with which digests are computed.
 type Secret []byte
 
-// NewSecret returns the secret for the keys of a document. Every process derives the same one, and who doesn't know the document, keys
-// included, can prepare no digests for it: each version of a configuration has digests of its own.
+// NewSecret returns the secret for the keys of a document. Every process derives the same one. Each version of a configuration has a secret of its
+// own, and nobody can compute digests in advance without the complete document, including its keys.
 func NewSecret(document []byte) Secret {
 	hashed := sha256.New()
 	hashed.Write([]byte("hazelwheel API keys\x00"))
@@ -24,10 +24,10 @@
 	return hashed.Sum(nil)
 }
 
-// Digester makes digests under one secret. It is for one goroutine.
+// Digester computes digests with one secret. It is not safe for concurrent use.
 type Digester struct{ mac hash.Hash }
 
-// NewDigester returns a digester.
+// NewDigester returns a digester that uses the secret.
 func (s Secret) NewDigester() *Digester { return &Digester{hmac.New(sha256.New, s)} }
 
 // Digest returns the digest of a key, which must not be the zero value: HMAC-SHA-256, truncated.
--- a/internal/apikey/key.go
+++ b/internal/apikey/key.go
@@ -16,15 +16,16 @@
 // redacted is shown in place of a key.
 const redacted = "[redacted]"
 
-// Errors of FromHeader. Their texts hold nothing that the client has sent.
+// Errors of FromHeader. Their texts contain nothing that the client has sent.
 var (
 	ErrMissing   = errors.New("the request has no field " + HeaderName)
 	ErrMalformed = errors.New("want one field " + HeaderName + ` of the form "` + Scheme + ` KEY"`)
 )
 
-// Key is an API key. The zero value is no key.
+// Key is an API key. The zero value means that there is none.
 //
-// The text is behind a pointer, since package fmt doesn't call the methods of unexported fields: a struct that holds a key shows an address.
+// The text is behind a pointer, since package fmt doesn't call methods of unexported fields. A struct with a key in such a field then prints an
+// address.
 type Key struct{ text *string }
 
 // New returns the key with this text.
@@ -39,8 +40,8 @@
 // MarshalText returns a placeholder, so that encoders show no key.
 func (k Key) MarshalText() ([]byte, error) { return []byte(redacted), nil }
 
-// FromHeader returns the key of a request, or why there is none: ErrMissing or ErrMalformed. Two fields are malformed, since it would depend on
-// the reader which of them counts.
+// FromHeader returns the key of a request, or ErrMissing or ErrMalformed if there is none. Two header fields are malformed, since readers could
+// disagree on which one counts.
 func FromHeader(header http.Header) (Key, error) {
 	values := header.Values(HeaderName)
 	if len(values) == 0 {
@@ -54,7 +55,7 @@
 	return New(text), nil
 }
 
-// HasScheme reports whether a field of a request holds a key, or what a client has sent in place of one.
+// HasScheme reports whether a header field of a request has the scheme of keys, even if its key is malformed.
 func HasScheme(header http.Header) bool {
 	for _, value := range header.Values(HeaderName) {
 		scheme, _, _ := strings.Cut(value, " ")
