--- a/cmd/hazelfleet/check.go
+++ b/cmd/hazelfleet/check.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/routeconfig"
 )
 
-// runCheck checks the settings file where no file is named, else a configuration and a patch. It returns the status with which to end.
+// runCheck checks the settings file if no files are given, else a configuration and optionally a patch. It returns the exit status.
 func runCheck(files []string) int {
 	c := checker{out: os.Stdout, errs: os.Stderr}
 	if len(files) == 0 {
@@ -19,13 +19,13 @@
 	return c.checkConfiguration(files)
 }
 
-// checker checks files. It writes warnings and what is valid to out, and faults to errs.
+// checker checks files. It writes warnings and positive results to out, and faults to errs.
 type checker struct {
 	out, errs io.Writer
 }
 
-// checkSettings checks a settings file. It prints each fault in one line that names the file, the line and the field, and returns the status
-// with which to end.
+// checkSettings checks a settings file. It prints each fault on one line that names the file, the line and the field, and returns the exit
+// status.
 func (c checker) checkSettings(path string) int {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return exitOK
 }
 
-// checkConfiguration checks a configuration as control would, and a patch on top of it where a second file is named. It prints each fault
-// in one line that names the file, and returns the status with which to end.
+// checkConfiguration checks a configuration as control would, and the result of a patch if a second file is given. It prints each fault on one
+// line that names the file, and returns the exit status.
 func (c checker) checkConfiguration(files []string) int {
 	config, err := os.ReadFile(files[0])
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	report := routeconfig.Validate(patched)
 	for i := range report.Faults {
-		report.Faults[i].Line = 0 // it is a line of the result, which is in no file
+		report.Faults[i].Line = 0 // the line refers to the patched configuration, which is in no file
 	}
 	c.print(file, report.Faults, nil)
 	return report.Table
@@ -99,7 +99,7 @@
 	return patch.Apply(config)
 }
 
-// print writes the findings about a file, one a line: unknown fields as warnings, faults as errors.
+// print writes the findings about a file, one per line: unknown fields as warnings, faults as errors.
 func (c checker) print(file string, faults, unknown []diagnostic.Finding) {
 	for _, finding := range unknown {
 		fmt.Fprintf(c.out, "warning: %s: %s\n", file, finding)
--- a/cmd/hazelfleet/check_test.go
+++ b/cmd/hazelfleet/check_test.go
@@ -13,28 +13,28 @@
 )
 
 var _ = Describe("the check of a configuration", func() {
-	file := func(text string) string {
+	writeFile := func(text string) string {
 		path := filepath.Join(GinkgoT().TempDir(), "file.json")
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		return path
 	}
 	check := func(files ...string) (status int, out, errs string) {
-		var told, failed bytes.Buffer
-		status = checker{&told, &failed}.checkConfiguration(files)
-		return status, told.String(), failed.String()
+		var outBuffer, errBuffer bytes.Buffer
+		status = checker{&outBuffer, &errBuffer}.checkConfiguration(files)
+		return status, outBuffer.String(), errBuffer.String()
 	}
 
-	It("tells what a configuration and a patch on top of it make", func() {
-		status, out, _ := check(file(firstConfig))
+	It("reports the version of a configuration and of the result of a patch, with the numbers of routes and services", func() {
+		status, out, _ := check(writeFile(firstConfig))
 		Expect(status).To(BeZero())
 		Expect(out).To(Equal("version 1 is in order: 1 routes, 1 services\n"))
-		status, out, _ = check(file(firstConfig), file(addition(3)))
+		status, out, _ = check(writeFile(firstConfig), writeFile(routePatch(3)))
 		Expect(status).To(BeZero())
 		Expect(out).To(Equal("version 3 is in order: 2 routes, 1 services\n"))
 	})
 
-	It("names all faults with line and column, and warns of fields that are not known", func() {
-		bad := file(`{"Version":0,"Routes":[
+	It("reports all faults with line and column, and warns of unknown fields", func() {
+		bad := writeFile(`{"Version":0,"Routes":[
  {"Name":"a","Host":"h","PathPrefix":"/a","RouteType":"streaming","TimeoutMs":"soon","Service":"s","Keyz":1},
  {"Name":"b","Host":"h","PathPrefix":"/b/","RouteType":"maybe","TimeoutMs":5,"Service":"t"}],
  "Services":[{"Name":"s"}],
@@ -50,26 +50,26 @@
 		}))
 		Expect(out).To(Equal("warning: " + bad + ": line 2, column 100: Routes[0].Keyz: not known, passed over\n" +
 			"warning: " + bad + ": line 5, column 25: Tenants[0].Keyz: not known, passed over\n"))
-		cut := file("{\"Version\":1,\n\"Routes\":[")
+		cut := writeFile("{\"Version\":1,\n\"Routes\":[")
 		_, _, errs = check(cut)
 		Expect(errs).To(HavePrefix("hazelfleet: " + cut + ": line 2, column "))
 	})
 
-	It("refuses a text that is nested beyond all measure", func() {
-		deep := file(strings.Repeat("[", 100_000))
+	It("rejects a text that is nested too deeply", func() {
+		deep := writeFile(strings.Repeat("[", 100_000))
 		status, _, errs := check(deep)
 		Expect(status).To(Equal(exitUsage))
 		Expect(errs).To(HavePrefix("hazelfleet: " + deep + ": line 1, column "))
 		Expect(errs).To(ContainSubstring("nested too deep"))
 	})
 
-	It("names the file and the place of a patch's fault in one line", func() {
-		config, bad := file(firstConfig), file(`{"Version":3,"Remove":{"Routes":["z"]}}`)
+	It("reports the file and the position of a patch's fault on one line", func() {
+		config, bad := writeFile(firstConfig), writeFile(`{"Version":3,"Remove":{"Routes":["z"]}}`)
 		status, out, errs := check(config, bad)
 		Expect(status).To(Equal(exitUsage))
 		Expect(out).To(BeEmpty())
 		Expect(errs).To(Equal("hazelfleet: " + bad + `: configuration: Remove.Routes: there is no "z"` + "\n"))
-		bad = file(`{"Version":0}`)
+		bad = writeFile(`{"Version":0}`)
 		_, _, errs = check(bad)
 		Expect(errs).To(HavePrefix("hazelfleet: " + bad + ": line 1, column 12: Version"))
 		status, _, errs = check(filepath.Join(GinkgoT().TempDir(), "none"))
@@ -79,19 +79,19 @@
 })
 
 var _ = Describe("the check of the settings", func() {
-	It("names all faults with line and column, and warns of fields that are not known", func() {
+	It("reports all faults with line and column, and warns of unknown fields", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "boot.yaml")
 		Expect(os.WriteFile(path, []byte("NodeId: \"\"\nIp: here\nInternalPortRange: [7720]\nSeeds: [\"10.1.0.16\"]\nOwn: 1\nBounds:\n  GraceS: 0\n  "+
 			"DrainMs: soon\n  Lease: 3\n"), 0o600)).To(Succeed())
-		var told, failed bytes.Buffer
-		Expect(checker{&told, &failed}.checkSettings(path)).To(Equal(exitUsage))
-		lines := strings.Split(strings.TrimSpace(failed.String()), "\n")
+		var outBuffer, errBuffer bytes.Buffer
+		Expect(checker{&outBuffer, &errBuffer}.checkSettings(path)).To(Equal(exitUsage))
+		lines := strings.Split(strings.TrimSpace(errBuffer.String()), "\n")
 		for i, want := range []string{"line 1, column 1: NodeId: ", "line 2, column 1: Ip: ", "line 3, column 1: InternalPortRange: ", "line 4, column 1: Seeds: ",
 			"line 7, column 3: Bounds.GraceS: ", "line 8, column 1: cannot unmarshal"} {
 			Expect(lines[i]).To(HavePrefix("hazelfleet: settings: " + path + ": " + want))
 		}
 		Expect(lines).To(HaveLen(6))
-		Expect(told.String()).To(Equal("warning: settings: " + path + ": line 5, column 1: Own: not known, passed over\n" +
+		Expect(outBuffer.String()).To(Equal("warning: settings: " + path + ": line 5, column 1: Own: not known, passed over\n" +
 			"warning: settings: " + path + ": line 9, column 3: Bounds.Lease: not known, passed over\n"))
 	})
 })
@@ -100,9 +100,9 @@
 	GinkgoT().Setenv(nodeconfig.EnvFile, filepath.Join(GinkgoT().TempDir(), "none.yaml"))
 	Expect(run(arguments)).To(Equal(status))
 },
-	Entry("asks for help", 0, "--help"),
-	Entry("asks for help of a role, and no file of that name is read", 0, "check", "--help"),
-	Entry("names nothing", exitUsage),
-	Entry("names what is not there", exitUsage, "serve"),
-	Entry("names a file too many", exitUsage, "check", "a", "b", "c"),
+	Entry("a request for help", 0, "--help"),
+	Entry("a request for help with a role, without reading a file of that name", 0, "check", "--help"),
+	Entry("no role", exitUsage),
+	Entry("an unknown role", exitUsage, "serve"),
+	Entry("too many files", exitUsage, "check", "a", "b", "c"),
 )
--- a/cmd/hazelfleet/main.go
+++ b/cmd/hazelfleet/main.go
@@ -1,7 +1,7 @@
 // Command hazelfleet runs the processes of the router fleet: proxies, the agents beside them, and control.
 //
-// The first argument is the role of the process; the settings file has all else. The role check validates files and ends. The program ends
-// with 0 after a graceful shutdown, with 1 when a role failed, and with 2 when the command line or a file can't be used.
+// The first argument is the role of the process; everything else is in the settings file. The role check validates files and exits. The exit
+// status is 0 after a graceful shutdown, 1 if a role failed, and 2 if the command line or a file can't be used.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// Statuses with which the program ends.
+// Exit statuses of the program.
 const (
 	exitOK      = 0
 	exitFailure = 1
@@ -27,14 +27,14 @@
 )
 
 const (
-	// memoryLimitFraction is the soft memory limit of the Go runtime, as a fraction of the memory in the settings.
+	// memoryLimitFraction is the soft memory limit of the Go runtime, as a fraction of the memory limit in the settings.
 	memoryLimitFraction = 0.5
-	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is below the runtime's default of 100: memory
-	// is scarcer than processor time here.
+	// gcPercent is the growth of the heap, in percent, that starts a garbage collection. It is below the runtime's default of 100, since
+	// memory is scarcer than processor time here.
 	gcPercent = 50
 )
 
-// Roles, which the first argument names.
+// The roles, as they are given in the first argument.
 const (
 	roleProxy   = "proxy"
 	roleAgent   = "agent"
@@ -65,7 +65,7 @@
 	logLevel string
 }
 
-// run runs the program and returns the status with which it ends.
+// run runs the program and returns its exit status.
 func run(arguments []string) int {
 	line, status, isComplete := parseCommandLine(arguments)
 	if !isComplete {
@@ -80,7 +80,7 @@
 		return exitUsage
 	}
 	logrus.SetLevel(level)
-	// Danger: an uncaught signal ends the process without a status, also while it still reads its settings.
+	// Danger: an uncaught signal ends the process without an exit status, so signals are caught before the settings are read.
 	ctx := terminationContext()
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
@@ -102,8 +102,8 @@
 	return runRole(ctx, line.role, settings, reloadSignals)
 }
 
-// parseCommandLine parses the arguments. Where the program is to end at once, after help or a usage error, it prints the text and returns the
-// status, and isComplete is false.
+// parseCommandLine parses the arguments. If the program has to exit at once, because of a request for help or a usage error, it prints the text
+// and returns the exit status, and isComplete is false.
 func parseCommandLine(arguments []string) (line commandLine, status int, isComplete bool) {
 	flags := flag.NewFlagSet("hazelfleet", flag.ContinueOnError)
 	flags.StringVar(&line.logLevel, "log-level", "info", "the lowest level that is logged: debug, info, warning or error")
--- a/cmd/hazelfleet/reload.go
+++ b/cmd/hazelfleet/reload.go
@@ -10,7 +10,7 @@
 	"hazelwheel/internal/nodeconfig"
 )
 
-// reloadInterval is how often the settings file is read again. It may change without a signal.
+// reloadInterval is the time between two reads of the settings file, which may change without a signal.
 const reloadInterval = 2 * time.Second
 
 // watchSettings reads the settings file again on each signal and each reloadInterval, until the context ends, and sends the settings on the
@@ -34,7 +34,7 @@
 			}
 			select {
 			case reloaded <- settings:
-			case <-time.After(reloadInterval): // the role does not reload its settings
+			case <-time.After(reloadInterval): // this role doesn't receive reloaded settings
 			}
 		}
 	}()
--- a/cmd/hazelfleet/roles.go
+++ b/cmd/hazelfleet/roles.go
@@ -13,7 +13,7 @@
 	"hazelwheel/internal/proxy"
 )
 
-// runRole runs a role until the context ends, and its graceful shutdown after that. It returns the status with which the program ends.
+// runRole runs a role until the context ends and its graceful shutdown is complete. It returns the exit status.
 func runRole(ctx context.Context, role string, settings *nodeconfig.Settings, reloadSignals <-chan os.Signal) int {
 	log := logrus.WithField("node", settings.NodeID).WithField("role", role)
 	for _, warning := range settings.Warnings() {
@@ -36,8 +36,8 @@
 	return exitOK
 }
 
-// runAgent runs an agent and, on machines whose disk counts, control in the same process: no machine runs a third process. Where one of
-// the two fails, the other is shut down.
+// runAgent runs an agent and, on machines whose disk counts, control in the same process, so that no machine runs a third process. If one
+// of the two fails, the other is shut down.
 func runAgent(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if !settings.StoresConfig() {
 		return agent.Run(ctx, settings, reload, log)
@@ -55,7 +55,8 @@
 	return group.Wait()
 }
 
-// runControl runs control, or on a machine whose disk doesn't count the redirects of operators' requests to control processes elsewhere.
+// runControl runs control. On a machine whose disk doesn't count, it redirects operators' requests to control processes on other machines
+// instead.
 func runControl(ctx context.Context, settings *nodeconfig.Settings, reload <-chan *nodeconfig.Settings, log *logrus.Entry) error {
 	if settings.StoresConfig() {
 		return control.Run(ctx, settings, reload, log)
--- a/cmd/hazelfleet/signals.go
+++ b/cmd/hazelfleet/signals.go
@@ -9,8 +9,8 @@
 
 // terminationContext returns a context that ends at the first SIGTERM or SIGINT.
 //
-// Danger: both signals stay caught until the process has exited. signal.NotifyContext gives them back to the system when its context is
-// released, and a second signal after that ended a process whose graceful shutdown was over, which then had no status 0.
+// Danger: both signals must stay caught until the process has exited. signal.NotifyContext restores their default action when its context is
+// released; a second signal then killed a process that had completed its graceful shutdown, so that its exit status was not 0.
 func terminationContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 1)
