--- a/internal/control/configapi.go
+++ b/internal/control/configapi.go
@@ -30,7 +30,7 @@
 // changeResult is the response to a change.
 type changeResult struct {
 	status  int    // HTTP status code
-	message string // the reason, where status is not 200
+	message string // the reason, if status is not 200
 }
 
 // changeAccepted is the response to a change that is chosen.
--- a/internal/control/configcache.go
+++ b/internal/control/configcache.go
@@ -25,7 +25,7 @@
 
 // cacheConfig adds a configuration as the newest one and evicts older ones beyond the limits. Danger: the configuration of the accepted
 // value must never be evicted, so it has to be the one added last. Older ones stay while another process fetches them: a new process on a
-// slow link would have to start anew with each change of the configuration. The caller holds mu, or is the only user of the replica.
+// slow link would have to start over with each change of the configuration. The caller holds mu, or is the only user of the replica.
 func (r *replica) cacheConfig(digest register.Digest, data []byte) {
 	r.configs = slices.DeleteFunc(r.configs, func(c cachedConfig) bool { return c.digest == digest })
 	r.configs = append(r.configs, cachedConfig{digest: digest, data: data})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -31,8 +31,8 @@
 	idleTimeout   = time.Minute
 )
 
-// Control is the state of a control process. Its fields don't change after newControl has set them; what they point to, and the
-// limiter of log lines, is safe for concurrent use.
+// Control is the state of a control process. Its fields don't change after newControl has set them. The values that they point to, and
+// ignoredFieldsLog, are safe for concurrent use.
 type Control struct {
 	settings *nodeconfig.Settings
 	log      *logrus.Entry
@@ -62,7 +62,7 @@
 	return newControl(settings, replica, transport.NewClient(), log).run(ctx, reload)
 }
 
-// run starts servers and tasks and serves until the context ends. The tasks go on during the shutdown, since a voter that leaves takes
+// run starts servers and tasks and serves until the context ends. The tasks continue during the shutdown, since a leaving voter takes
 // part in its own replacement.
 func (c *Control) run(ctx context.Context, reload <-chan *nodeconfig.Settings) error {
 	internalListener, err := listenTCP(c.proposer.self.Address)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -146,7 +146,7 @@
 })
 
 var _ = Describe("a control process that returns after many changes", func() {
-	It("catches up though configurations are large and the network is slow", func() {
+	It("catches up even if configurations are large and the network is slow", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		s.stop(2)
@@ -203,7 +203,7 @@
 })
 
 var _ = Describe("chunks of a configuration", func() {
-	It("are fetched from where an earlier attempt failed, and verified", func() {
+	It("are fetched from the offset at which an earlier attempt failed, and verified", func() {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		data := testConfig(2, 700_000)
--- a/internal/control/endpointlist.go
+++ b/internal/control/endpointlist.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// listReadInterval is the age of the endpoint list at which the control process of rank 0 reads it anew.
+	// listReadInterval is the age of the endpoint list at which the control process of rank 0 reads it again.
 	listReadInterval = 900 * time.Millisecond
 	// listCheckInterval is the time between checks of the list's age.
 	listCheckInterval = 100 * time.Millisecond
--- a/internal/control/patch_test.go
+++ b/internal/control/patch_test.go
@@ -18,12 +18,12 @@
 		`"TimeoutMs":%d,"Service":"s"}]}}`, version, mark%7, mark%7, 1000+mark)
 }
 
-// patch sends a patch and returns the status, 0 where there was none.
+// patch sends a patch and returns the status, or 0 if there was no response.
 func (s *testCluster) patch(i, base int, data []byte) int {
 	return s.send(http.MethodPatch, i, base, data)
 }
 
-// patchUntilDecided sends a patch until the response is definite, and returns its status.
+// patchUntilDecided is sendUntilDecided for a patch.
 func (s *testCluster) patchUntilDecided(i, base int, data []byte) int {
 	return s.sendUntilDecided(http.MethodPatch, i, base, data)
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -31,8 +31,8 @@
 // replica is the acceptor of the register with its disk. It is safe for concurrent use.
 //
 // A request that changes the state holds writeMu from the decision until the new state is on disk. Only then is the state in memory
-// replaced (Acceptor.MarkPersisted), so that other goroutines and replies only ever show a state that is on disk. Reads take mu alone and never wait for
-// the disk. Where both are held, writeMu is locked first.
+// replaced (Acceptor.MarkPersisted), so that other goroutines and replies only ever show a state that is on disk. Reads lock only mu and
+// never wait for the disk. If both are held, writeMu is locked first.
 type replica struct {
 	log         *logrus.Entry
 	hadState    bool          // the disk held a readable state when it was opened
@@ -70,7 +70,7 @@
 	return r, nil
 }
 
-// restore reads the state from the store's records, and fills the cache of configurations. It returns false where there is no readable
+// restore reads the state from the store's records, and fills the cache of configurations. It returns false if there is no readable
 // state.
 func (r *replica) restore(records []store.Record) (state register.State, restored bool) {
 	for _, record := range records {
@@ -139,7 +139,7 @@
 	r.log.WithError(err).WithField("place", corruption.String()).Error("store: a file was spoiled; written anew")
 }
 
-// persist appends a state, and the bytes of its configuration where they are new, to the store; then it replaces the state in memory. After
+// persist appends a state, and the bytes of its configuration if they are new, to the store. Then it replaces the state in memory. After
 // an error the state in memory is unchanged, and the caller must not answer as if it had changed. The caller holds writeMu.
 func (r *replica) persist(state *register.State, config []byte) error {
 	data, err := msgpack.Marshal(state)
--- a/internal/control/stagecontroller.go
+++ b/internal/control/stagecontroller.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// refreshInputs fetches the configuration, and unpacks the endpoint list where it has changed. It returns false until both are known, and if
+// refreshInputs fetches the configuration, and unpacks the endpoint list if it has changed. It returns false until both are known, and if
 // one can't be unpacked.
 func (s *stageController) refreshInputs(gossipState gossip.State) bool {
 	if gossipState.Table == nil || gossipState.Endpoints.ReadAt.IsZero() {
@@ -139,7 +139,7 @@
 	}
 }
 
-// totalDemands returns the sum of the live proxies' demands and the load of prefill servers, by service.
+// totalDemands returns, by service, the sum of the live proxies' demands together with the load of the prefill servers.
 func (s *stageController) totalDemands() map[string]stages.Demand {
 	totals := map[string]stages.Demand{}
 	for _, member := range s.control.node.Members() {
@@ -182,7 +182,7 @@
 	return loads
 }
 
-// publishPlan publishes which servers are changing their stage, as a newer plan under this process's token.
+// publishPlan publishes which servers are changing their stage, as a plan with the next sequence number under this process's token.
 func (s *stageController) publishPlan() {
 	s.planSequence++
 	s.control.node.SetPlan(message.StagePlan{Token: s.lease.token(), Sequence: s.planSequence, Stages: s.planner.Pending(s.now())})
--- a/internal/control/steadychange_test.go
+++ b/internal/control/steadychange_test.go
@@ -52,7 +52,7 @@
 }
 
 var _ = Describe("a machine whose disk was lost, during a series of changes", func() {
-	DescribeTable("votes again before the changes end", func(size int, perKB time.Duration) {
+	DescribeTable("is a voter again before the changes end", func(size int, perKB time.Duration) {
 		s := newTestCluster(3)
 		s.commitFirstConfig()
 		changes := s.startChanges(0, size)
@@ -99,7 +99,7 @@
 		}
 	})
 
-	It("are evicted where no process fetches them", func() {
+	It("are evicted if no process fetches them", func() {
 		r := &replica{}
 		for version := 1; version < 9; version++ {
 			cache(r, version)
--- a/internal/control/tenantlessor_test.go
+++ b/internal/control/tenantlessor_test.go
@@ -79,7 +79,7 @@
 		Eventually(grantedOf(100), waitTimeout).Should(BeNumerically("<=", 4))
 		status, _ = s.putText(0, 2, tenantConfig(3, `{"Name":"acme"}`))
 		Expect(status).To(Equal(http.StatusOK))
-		Eventually(grantedOf(100), waitTimeout).Should(BeEquivalentTo(-1), "it has no limit any more")
+		Eventually(grantedOf(100), waitTimeout).Should(BeEquivalentTo(-1), "the tenant no longer has a limit")
 	})
 
 	It("don't exist if no tenant has a limit", func() {
--- a/internal/control/tenantlimits.go
+++ b/internal/control/tenantlimits.go
@@ -34,7 +34,7 @@
 	return len(t.limits) > 0
 }
 
-// limitOf returns the limit of a tenant, the zero value where it has none.
+// limitOf returns the limit of a tenant, or the zero value if it has none.
 func (t *currentTable) limitOf(tenant string) tokenlease.Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,7 +42,7 @@
 	return t.limits[tenant]
 }
 
-// refresh unpacks the configuration where it has changed. The caller holds mu.
+// refresh unpacks the configuration if it has changed. The caller holds mu.
 func (t *currentTable) refresh() {
 	gossipState, _ := t.control.node.State()
 	if gossipState.Table == t.packed {
--- a/internal/control/tenants_test.go
+++ b/internal/control/tenants_test.go
@@ -21,7 +21,7 @@
 	return append(bytes.TrimSuffix(testConfig(version, 0), []byte("}")), fmt.Sprintf(`,"Tenants":[%s]}`, tenants)...)
 }
 
-// putText sends a configuration until the response is definite, and returns its status and body.
+// putText sends a configuration until the response is neither missing nor 503, and returns its status and body.
 func (s *testCluster) putText(i, base int, data []byte) (status int, text string) {
 	Eventually(func() int {
 		request, err := http.NewRequest(http.MethodPut, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
@@ -40,7 +40,7 @@
 	return status, text
 }
 
-// publishedTable returns the table that a process gossips, nil where it has none.
+// publishedTable returns the table that a process gossips, or nil if it has none.
 func (s *testCluster) publishedTable(i int) *routeconfig.Table {
 	gossipState, _ := s.machines[i].control.node.State()
 	if gossipState.Table == nil {
@@ -52,7 +52,7 @@
 }
 
 var _ = Describe("a configuration with tenants", func() {
-	It("is rejected where two tenants share a key, in one line that names both and not the key", func() {
+	It("is rejected if two tenants share a key, with a one-line error that names both tenants but not the key", func() {
 		s := newTestCluster(3)
 		status, text := s.putText(0, 0, tenantConfig(1, `{"Name":"acme","ApiKeys":["secret-1"]},{"Name":"bolt","ApiKeys":["secret-2","secret-1"]}`))
 		Expect(status).To(Equal(http.StatusBadRequest))
--- a/internal/control/testcluster_test.go
+++ b/internal/control/testcluster_test.go
@@ -90,7 +90,7 @@
 	pause := c.network.perKB * time.Duration(count) / 1000
 	c.network.mu.Unlock()
 	if pause > 0 {
-		time.Sleep(pause) // the delay of the bytes
+		time.Sleep(pause) // simulates the network's delay
 	}
 	return count, err
 }
@@ -176,10 +176,10 @@
 		version, strings.Repeat("r", max(size, 1)))
 }
 
-// put sends a configuration and returns the status, 0 where there was none.
+// put sends a configuration and returns the status, or 0 if there was no response.
 func (s *testCluster) put(i, base int, data []byte) int { return s.send(http.MethodPut, i, base, data) }
 
-// send sends a change and returns the status, 0 where there was none.
+// send sends a change and returns the status, or 0 if there was no response.
 func (s *testCluster) send(method string, i, base int, data []byte) int {
 	request, err := http.NewRequest(method, "http://"+s.operatorAddress(i)+"/config", bytes.NewReader(data))
 	Expect(err).NotTo(HaveOccurred())
@@ -192,7 +192,7 @@
 	return response.StatusCode
 }
 
-// sendUntilDecided sends a change, unchanged, until the response is definite, as an operator does, and returns its status.
+// sendUntilDecided sends the same change, as an operator does, until the response is neither missing nor 503. It returns its status.
 func (s *testCluster) sendUntilDecided(method string, i, base int, data []byte) (status int) {
 	Eventually(func() int {
 		status = s.send(method, i, base, data)
@@ -222,7 +222,7 @@
 	return version
 }
 
-// storedVersion returns the version on a machine's disk, 0 where the bytes of its configuration are missing.
+// storedVersion returns the version on a machine's disk, or 0 if the bytes of its configuration are missing.
 func (s *testCluster) storedVersion(i int) int {
 	value := s.machines[i].control.replica.state().Value
 	if s.machines[i].control.replica.configBytes(value.ConfigDigest) == nil {
--- a/internal/control/voters.go
+++ b/internal/control/voters.go
@@ -28,7 +28,7 @@
 // voterReply is the outcome of one call to a voter: prepareReply, acceptReply or err is set.
 type voterReply struct {
 	from         register.Voter
-	isAccept     bool // the request was an accept, also where it failed
+	isAccept     bool // the request was an accept request, also if err is set
 	prepareReply *register.PrepareReply
 	acceptReply  *register.AcceptReply
 	err          error
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -29,7 +29,7 @@
 	earlierEnds  []segmentEnd // ends of earlier segments that the next segment has to record
 }
 
-// Open reads a folder, creating it where it is missing, and returns its records in order: those of the newest readable snapshot, then
+// Open reads a folder, which it creates if it is missing, and returns its records in order: those of the newest readable snapshot, then
 // those of the segments after it. Places that could not be read are returned as well; the caller decides whether it may go on
 // without what was lost there. Nothing is written before the first Append or Snapshot.
 func Open(dir string) (*Store, []Record, []Corruption, error) {
@@ -149,7 +149,7 @@
 	return s.removeBefore(sequence)
 }
 
-// removeBefore removes all files with a lower number. It goes on after a file that can't be removed.
+// removeBefore removes all files with a lower sequence number. It continues after a file that can't be removed.
 func (s *Store) removeBefore(sequence uint64) error {
 	segments, snapshots, err := listSequences(s.folder)
 	if err != nil {
