--- a/cmd/hazelfleet/beside_test.go
+++ b/cmd/hazelfleet/beside_test.go
@@ -118,7 +118,7 @@
 	return sendRequest(fmt.Sprintf("%s:%d", machineIP(i), m.base+21))
 }
 
-// commitFirstConfig puts the first configuration and waits until all proxies serve by it.
+// commitFirstConfig puts the first configuration and waits until all proxies serve requests according to it.
 func (m *colocatedFleet) commitFirstConfig() {
 	Eventually(func() int { return m.sendChange(http.MethodPut, allMachines-1, 0, firstConfig) }, waitTimeout).Should(Equal(http.StatusOK))
 	for i := range allMachines {
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -204,7 +204,7 @@
 	rng          *rand.Rand
 	disk         *simulatedDisk
 	entries      []string // appended entries; those whose Append failed, prefixed by "?", may be missing
-	acknowledged int      // entries at the beginning that are certainly stored, but for those with "?"
+	acknowledged int      // number of leading entries that must be found again, except those with "?"
 	next         int      // text of the latest entry
 }
 
