--- a/policy/endpointlist_test.go
+++ b/policy/endpointlist_test.go
@@ -25,7 +25,7 @@
 			r.advance(5)
 			q := r.request(Request{ID: 1, Deadline: 6})
 			if sent := len(q.attempts) == 1; sent != c.ok {
-				t.Errorf("request sent to a gone host: %v, want %v", sent, c.ok)
+				t.Errorf("request sent to a gone host: %v", sent)
 			}
 		})
 	}
