--- a/internal/decide/quota/accounttable.go
+++ b/internal/decide/quota/accounttable.go
@@ -3,19 +3,20 @@
 import "math"
 
 const (
-	// poolFraction of a window's quota is the capacity of a pool. Danger: all that is in buckets and pools can be used at once, in
-	// addition to a window's quota; but a pool smaller than a request lends nothing.
+	// poolFraction of a window's quota is the capacity of a pool. Danger: all tokens in buckets and pools can be used at once, in
+	// addition to a window's quota; but a pool smaller than a request can't lend. minPoolRequests is the minimum, in requests.
 	poolFraction    = 1.0 / 8
 	minPoolRequests = 2.0
-	// quietFraction of a window must have passed without a draw before overflow flows to the parent continuously. Until then it is
-	// deposited when the account is next settled.
+	// quietFraction of a window must pass without a draw before an account overflows to the parent continuously. Until then its
+	// excess is deposited when the account is next settled.
 	quietFraction = 1.0 / 16
-	// epochFraction of a window is how long a group counts as wanting tokens after it has asked.
+	// epochFraction of a window is the length of an epoch. A group counts as wanting tokens in the epoch in which it asked and in
+	// the next one.
 	epochFraction = 1.0 / 8
-	// minScheduleSeconds is the least time until an account is due again.
+	// minScheduleSeconds is the minimum time until an account is due again.
 	minScheduleSeconds = 1e-3
-	// maxDuePerCall bounds the due accounts that one request processes. Danger: after a long silence all groups are due at once,
-	// and the event loop would stall. Processed late, a deposit is made as a lump.
+	// maxDuePerCall bounds the due accounts that one request processes. Danger: after a long idle time all groups are due at once,
+	// and the event loop would stall. An account that is processed late deposits its excess all at once.
 	maxDuePerCall = 32
 )
 
@@ -25,7 +26,7 @@
 	tree          *Tree
 	accounts      []account
 	queue         []dueCell
-	queueIndex    []int32 // position of each account in the queue, from 1; 0: not queued
+	queueIndex    []int32 // position of each account in the queue, from 1; 0 if it is not queued
 	overflow      float64 // tokens that found no room
 	epochSeconds  float64
 	quietSeconds  float64
@@ -40,20 +41,20 @@
 	part := 1 / float64(max(settings.Replicas, 1))
 	least := 0.0
 	if limit.Measure == Requests {
-		least = 1 // a quota below one request per window still adds up to one
+		least = 1 // so that a quota below one request per window accumulates to one request
 	}
 	for n := range t.accounts {
 		group, a := &tree.nodes[n], &t.accounts[n]
 		a.SettledAt, a.CapSettledAt, a.LastDrawnAt, a.Epoch, a.AskedEpoch, a.DemandWindow = now, now, math.Inf(-1), -1, -1, -1
 		a.OwnInflow = group.unassigned[i] / limit.WindowSeconds * part
 		if group.inner {
-			// A pool holds more than what its children may deposit as a lump.
+			// The pool must have room for what its children may deposit at once.
 			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*least)
 		} else {
 			a.Level = group.quota[i] * part
 			a.Capacity = max(a.Level, least)
 		}
-		// Danger: a floor that leaves less than one request would reject all other requests for good.
+		// Danger: a floor that leaves less than one request would reject all other requests forever.
 		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-least, 0))
 		if a.CapRate = group.cap[i] * part / limit.WindowSeconds; a.CapRate < math.Inf(1) {
 			a.CapLevel = max(a.CapRate*limit.WindowSeconds, least)
@@ -63,7 +64,7 @@
 	return t
 }
 
-// resetFlows computes all inflows anew and schedules the accounts that do not overflow. All accounts must be settled.
+// resetFlows recomputes all inflows and schedules the accounts that do not overflow. All accounts must be settled.
 func (t *accountTable) resetFlows(now float64) {
 	t.queue = t.queue[:0]
 	clear(t.queueIndex)
@@ -84,7 +85,7 @@
 	}
 }
 
-// setInflow changes the inflow of an account that is settled, like all above it.
+// setInflow changes the inflow of an account. It and all accounts above it must be settled.
 func (t *accountTable) setInflow(n int32, rate, now float64) {
 	a := &t.accounts[n]
 	rate = max(rate, 0)
@@ -97,7 +98,7 @@
 	}
 }
 
-// markDrawn records that something is drawn from an account, which ends its overflow.
+// markDrawn records a draw from an account, which ends its overflow.
 func (t *accountTable) markDrawn(n int32, now float64) {
 	a := &t.accounts[n]
 	a.LastDrawnAt = now
--- a/internal/decide/quota/audit.go
+++ b/internal/decide/quota/audit.go
@@ -1,7 +1,7 @@
 package quota
 
-// Audit returns the worst discrepancy between an account, its children's balances and its tally over all limits, and where it is.
-// It is 0 but for rounding.
+// Audit checks the invariants of all accounts: their levels, their children's balances and their tallies must match. It returns the
+// largest discrepancy, which is 0 except for rounding, and where it is.
 func (l *Limiter) Audit(now float64) (worst float64, at string) {
 	now = l.advance(now)
 	for _, table := range l.tables {
--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newLargeTree returns a tree with about so many groups on so many levels, each inner one with as many children.
+// newLargeTree returns a tree with about the given number of groups and levels, in which all inner groups have equally many children.
 func newLargeTree(t testing.TB, groups, depth int) *Tree {
 	fan := max(int(math.Round(math.Pow(float64(groups), 1/float64(depth)))), 1)
 	var all []Group
@@ -26,7 +26,7 @@
 		}
 		level = next
 	}
-	for d := 1; len(all) < min(groups, MaxGroups); d++ { // the remainder of that root
+	for d := 1; len(all) < min(groups, MaxGroups); d++ { // the remaining groups, as a chain
 		all = append(all, Group{Name: fmt.Sprintf("more%d", d), Parent: all[len(all)-1].Parent, Weight: 1})
 	}
 	tr, err := NewTree([]Limit{requestsPerSecond(1e5)}, all)
@@ -45,13 +45,13 @@
 	return leaves
 }
 
-// BenchmarkAdmit admits requests of all groups in turn: at half of the quota, at one and a half times the quota, and of one in 16
-// groups alone at the full quota, which depends on loans.
+// BenchmarkAdmit admits requests of all groups in turn at half of the quota and at one and a half times the quota, and requests of
+// one in 16 groups at the full quota, which needs loans.
 func BenchmarkAdmit(b *testing.B) {
 	for _, groups := range []int{10, 1000, 100_000} {
 		for _, depth := range []int{2, 4, 8} {
 			if groups == 10 && depth == 8 {
-				continue // ten groups do not have eight levels
+				continue // ten groups can't have eight levels
 			}
 			tr := newLargeTree(b, groups, depth)
 			leaves := leaves(tr)
--- a/internal/decide/quota/charge.go
+++ b/internal/decide/quota/charge.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// canDraw reports whether a child may draw from its parent's pool now, and records that it asks. The pool is settled.
+// canDraw reports whether a child may draw from its parent's pool now, and records that it asks. The pool must be settled.
 //
-// Children with a credit go first. Others take turns by their weights while the pool holds less than half of its capacity; beyond
-// that, tokens would only be wasted if they were held back.
+// While the pool holds less than half of its capacity, children with a credit go first, and the others take turns by their
+// weights. A fuller pool lends to all, since tokens that were held back would overflow.
 func (t *accountTable) canDraw(n int32, now float64) bool {
 	a, g := &t.accounts[n], &t.tree.links[n]
 	pool := &t.accounts[g.parent]
@@ -27,17 +27,17 @@
 		return true
 	case pool.Claimed > 0, g.weight == 0:
 		return false
-	case pool.Wanted <= g.weight: // no other child asks
+	case pool.Wanted <= g.weight: // no other child has asked
 		return true
 	}
-	// Danger: a turn that could be saved up or overdrawn without bound would lock out others, or the child itself, later.
+	// Danger: if turns could be saved up or overdrawn without bound, others, or the child itself, would be locked out later.
 	bound := pool.Capacity / pool.Wanted
 	a.Drawn = min(max(a.Drawn, pool.Turn-bound), pool.Turn+bound)
 	return a.Drawn <= pool.Turn
 }
 
-// shortfall returns how much of a need neither the group's bucket nor the pools above it can cover, 0 if they can. The accounts
-// are settled.
+// shortfall returns how much of a need the group's bucket and the pools above it can't cover, 0 if they cover it. The accounts
+// must be settled.
 func (t *accountTable) shortfall(group int32, need float64, floor bool, now float64) float64 {
 	need -= t.accounts[group].available(floor)
 	for n := group; need > 0; {
@@ -53,8 +53,8 @@
 	return 0
 }
 
-// charge takes an amount for a group, from its own bucket and then from the pools above it, the nearest first. What is missing
-// makes the bucket's level negative.
+// charge takes an amount for a group from its own bucket and then from the pools above it, the nearest first. If these don't
+// suffice, the level of the bucket becomes negative.
 func (t *accountTable) charge(group int32, amount float64, floor bool, now float64) {
 	for n := group; n >= 0; n = t.tree.links[n].parent {
 		a := &t.accounts[n]
@@ -65,8 +65,8 @@
 	}
 	a := &t.accounts[group]
 	if parent := t.tree.links[group].parent; a.IsOverflowing && a.Balance >= amount && t.accounts[parent].available(floor) >= amount {
-		// The bucket is full and its deposit is still there: the amount comes from the deposit. Danger: to end the overflow for each
-		// request, and to start it again soon after, costs more than all the rest where 100,000 groups ask now and then.
+		// The bucket is full and its deposit is still in the pool: the amount comes from the deposit. Danger: ending the overflow
+		// for each request, and restarting it soon after, would be the largest cost if 100,000 groups have occasional requests.
 		t.drawFromPool(group, parent, amount, now)
 		return
 	}
@@ -84,7 +84,7 @@
 	a.Level -= amount
 }
 
-// childAbove returns the child of a pool that is the group or is above it.
+// childAbove returns the child of a pool that is the group itself or an ancestor of it.
 func (t *accountTable) childAbove(group, pool int32) int32 {
 	for t.tree.links[group].parent != pool {
 		group = t.tree.links[group].parent
@@ -92,8 +92,8 @@
 	return group
 }
 
-// drawFromPool takes tokens from a pool above a group. Each group on the way draws from its parent. Tokens that are no child's
-// deposit are free of debt.
+// drawFromPool takes tokens from a pool above a group. Each group between them draws from its parent. Tokens that are not a
+// child's deposit cause no debt.
 func (t *accountTable) drawFromPool(group, from int32, amount, now float64) {
 	t.markDrawn(from, now)
 	pool := &t.accounts[from]
@@ -114,8 +114,8 @@
 	}
 }
 
-// cost returns what a request costs of a measure before it runs, and what must be available for it. Danger: a message larger than
-// any account could never be admitted, so bytes and work may overdraw the account, and the debt counts.
+// cost returns how much a request is charged before it runs, and how much must be available for it. Danger: a message larger than
+// the account could never be admitted, so bytes and work may overdraw the account, which then must refill first.
 func (t *accountTable) cost(q *Request) (cost, need float64) {
 	switch t.limit.Measure {
 	case Requests:
--- a/internal/decide/quota/demand.go
+++ b/internal/decide/quota/demand.go
@@ -1,9 +1,9 @@
 package quota
 
-// recordDemand records what a group asks for, and stretches the sidecar's part of the group's quota by recent demand, within the
-// bound: a group that asks for more than its part here usually asks for less elsewhere. Danger: without the bound, the parts of
-// all sidecars could add up to many times the quota. A part is never reduced, since what is left over here could not be lent to
-// other sidecars.
+// recordDemand records what a group asks for. If recent demand exceeds this sidecar's part of the group's quota, it increases the
+// part, by the fraction stretch at most: a group that asks for more than its part here usually asks for less at other sidecars.
+// Danger: without the limit, the parts of all sidecars could add up to many times the quota. A part is never reduced, since what
+// is left over here can't be lent to other sidecars.
 func (t *accountTable) recordDemand(group int32, amount, stretch, now float64) {
 	a := &t.accounts[group]
 	if epoch := int64(now / t.limit.WindowSeconds); a.DemandWindow != epoch {
@@ -20,7 +20,7 @@
 	a.Demand += amount
 }
 
-// resetStretch ends the stretch of a group that has asked for nothing.
+// resetStretch ends the stretch of a group that has had no requests.
 func (t *accountTable) resetStretch(n int32) {
 	if a := &t.accounts[n]; !t.tree.links[n].inner {
 		a.Stretch, a.DemandRate = 0, 0
--- a/internal/decide/quota/duequeue.go
+++ b/internal/decide/quota/duequeue.go
@@ -1,20 +1,21 @@
 package quota
 
-// dueCell is an entry of the queue of accounts, a heap by when they overflow at the latest. Its names are part of the stored form.
-// Danger: 100,000 accounts do not fit into a processor's cache, so the heap holds what it compares.
+// dueCell is an entry of the queue of accounts, a heap ordered by the time at which an account is due to overflow. Its field names
+// are part of the stored form. Danger: 100,000 accounts do not fit into a processor's cache, so the heap contains the times that
+// it compares.
 type dueCell struct {
 	Due  float64
 	Cell int32
 }
 
-// heapFan is the number of children of each entry: as many as share a cache line.
+// heapFan is the number of children of each entry of the heap: as many as fit into a cache line.
 const heapFan = 4
 
-// isBefore orders the queue. Entries due at the same time are ordered by group, independent of history.
+// isBefore orders the queue. Entries due at the same time are ordered by group, so that the order doesn't depend on history.
 func (x dueCell) isBefore(y dueCell) bool { return x.Due < y.Due || x.Due == y.Due && x.Cell < y.Cell }
 
-// schedule queues an account for when it will be full. Danger: one that is processed late deposits late, and one that is never
-// processed lends nothing.
+// schedule queues an account for the time at which it will be full. Danger: an account that is processed late deposits late, and one
+// that is never processed lends nothing.
 func (t *accountTable) schedule(n int32, now float64) {
 	a := &t.accounts[n]
 	if a.IsOverflowing || a.Inflow <= 0 {
@@ -75,7 +76,7 @@
 	t.queue[i], t.queueIndex[x.Cell] = x, int32(i+1)
 }
 
-// processDue lets accounts overflow that are due and full, up to a limit.
+// processDue processes up to limit accounts that are due: full ones begin to overflow, the others are scheduled again.
 func (t *accountTable) processDue(now float64, limit int, stretchFraction float64) {
 	for ; limit > 0 && len(t.queue) > 0 && t.queue[0].Due <= now; limit-- {
 		n := t.queue[0].Cell
--- a/internal/decide/quota/limit.go
+++ b/internal/decide/quota/limit.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Measure is what a limit counts.
+// Measure is the quantity that a limit counts.
 type Measure uint8
 
 // The measures.
@@ -19,7 +19,7 @@
 
 var measureNames = [measureCount]string{"requests", "bytes", "work", "open"}
 
-// String returns the name as in files. The fingerprint of stored states depends on it.
+// String returns the name that configuration files use. The fingerprint of stored states depends on it.
 func (m Measure) String() string { return measureNames[m] }
 
 // ParseMeasure returns the measure with a name.
@@ -32,12 +32,12 @@
 	return 0, false
 }
 
-// Limit is the quota of the root, the whole fleet, for a measure. It must not get a String method: the fingerprint of stored
-// states depends on how it prints.
+// Limit is the quota of the root, which is the whole fleet, for a measure. It must not get a String method: the fingerprint of
+// stored states depends on how it prints.
 type Limit struct {
 	Measure       Measure
 	WindowSeconds float64 // 0 for Open, which has no window
-	Quota         float64 // per window; for Open, at a time
+	Quota         float64 // per window; for Open, the number of requests in flight
 }
 
 // Name returns the name that files and reports use: "requests/10", or "open".
@@ -48,7 +48,7 @@
 	return l.Measure.String() + "/" + strconv.FormatFloat(l.WindowSeconds, 'g', -1, 64)
 }
 
-// checkLimits reports the first invalid limit, by its field.
+// checkLimits returns an error for the first invalid limit, which names its field.
 func checkLimits(limits []Limit) error {
 	if len(limits) == 0 || len(limits) > MaxLimits {
 		return fmt.Errorf("limits: %d, want 1 to %d", len(limits), MaxLimits)
--- a/internal/decide/quota/limiter.go
+++ b/internal/decide/quota/limiter.go
@@ -11,32 +11,32 @@
 	now        float64
 	stats      []Stats // by group
 	refusals   []Refusal
-	treeNumber int       // how many trees there were before the present one
-	groupMoves [][]int32 // for the last of these, the groups' numbers in the next tree; -1: none
+	treeNumber int       // number of the current tree: how many were replaced before
+	groupMoves [][]int32 // for each of the last replaced trees, the number of each group in the next tree; -1 if it was removed
 }
 
 // Decision is the result of Admit.
 type Decision struct {
 	Allowed           bool
-	Limit             int     // in Tree.Limits, that rejects the request
-	RetryAfterSeconds float64 // when the request could be admitted
+	Limit             int     // index in Tree.Limits of the limit that rejects the request
+	RetryAfterSeconds float64 // time until the request could be admitted
 }
 
 // Request describes a request before it is admitted.
 type Request struct {
-	Group       int32 // must accept requests, see Tree.AcceptsRequests
+	Group       int32 // number of the group, which must accept requests; see Tree.AcceptsRequests
 	Bytes       float64
-	MayUseFloor bool // it may use the groups' floors
+	MayUseFloor bool // it may use the floors of the groups
 
 	tree int // number of the tree that Group refers to
 }
 
-// NewRequest returns a request of a group of the present tree.
+// NewRequest returns a request of a group of the current tree.
 func (l *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
 	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: l.treeNumber}
 }
 
-// New returns a limiter without any use so far.
+// New returns a limiter with full buckets, whose groups have used nothing yet.
 func New(tree *Tree, settings Settings, now float64) *Limiter {
 	if settings.FadeSeconds <= 0 {
 		settings.FadeSeconds = DefaultFadeSeconds
@@ -55,7 +55,7 @@
 	return l
 }
 
-// Tree returns the present tree.
+// Tree returns the current tree.
 func (l *Limiter) Tree() *Tree { return l.tree }
 
 // advance moves the clock. A time before the last one, or +Inf or NaN, counts as the last one.
@@ -66,7 +66,7 @@
 	return l.now
 }
 
-// Admit decides on a request, and charges what it costs before it runs. A rejected request is not charged.
+// Admit decides whether a request is admitted. An admitted request is charged the part of its cost that is known before it runs.
 func (l *Limiter) Admit(now float64, q Request) Decision {
 	now = l.advance(now)
 	q.tree = l.treeNumber
@@ -111,13 +111,13 @@
 	return decision
 }
 
-// recordRefusal keeps why a request was rejected, for Explain.
+// recordRefusal records why a request was rejected, for Explain.
 func (l *Limiter) recordRefusal(limit int, retryAfterSeconds, shortfall, level float64, capped bool, q *Request) {
 	l.refusals[q.Group] = Refusal{At: l.now, Limit: int32(limit), Capped: capped, Lacked: shortfall, AfterS: retryAfterSeconds, Own: level}
 }
 
-// Complete charges the rest of an admitted request: the response's bytes and the server's work, which may overdraw the account.
-// elapsedSeconds is how long the request was in flight. It must be called once for each admitted request.
+// Complete charges the rest of an admitted request's cost: the response's bytes and the server's work, which may overdraw the
+// account. elapsedSeconds is how long the request was in flight. Complete must be called once for each admitted request.
 func (l *Limiter) Complete(now float64, q Request, elapsedSeconds, bytes, workSeconds float64) {
 	now = l.advance(now)
 	if q.Group = l.presentGroup(&q); q.Group < 0 {
@@ -127,7 +127,7 @@
 		amount := 0.0
 		switch l.tree.Limits[i].Measure {
 		case Open:
-			if counts := l.openCounts[i]; q.tree >= counts.sinceTree { // requests admitted before that were not counted
+			if counts := l.openCounts[i]; q.tree >= counts.sinceTree { // requests of earlier trees were not counted
 				counts.add(q.Group, -1)
 				counts.recordDuration(elapsedSeconds)
 			}
--- a/internal/decide/quota/limiter_test.go
+++ b/internal/decide/quota/limiter_test.go
@@ -17,12 +17,12 @@
 func TestIdleGroupLendsAndIsRepaid(t *testing.T) {
 	s := newPair(t)
 	got := s.runLoad(600, map[string]float64{"a": 200})
-	assert.InDelta(t, 60000, got["a"], 600, "what b leaves is lent")
+	assert.InDelta(t, 60000, got["a"], 600, "b's unused quota is lent")
 	_, owed := s.Tally(1, 0)
 	assert.InDelta(t, -30000, owed, 600)
 
 	got = s.runLoad(600, map[string]float64{"a": 200, "b": 200})
-	assert.InDelta(t, 33000, got["b"], 600, "b has its own, and a tenth of a's")
+	assert.InDelta(t, 33000, got["b"], 600, "b gets its own share, and a tenth of a's as repayment")
 	assert.InDelta(t, 60000, got["a"]+got["b"], 600)
 
 	s.runLoad(2*3600, map[string]float64{"a": 60, "b": 60})
@@ -37,17 +37,17 @@
 	s := newPair(t)
 	s.runLoad(600, map[string]float64{"a": 1000})
 	got := s.runLoad(10, map[string]float64{"a": 1000, "b": 200})
-	assert.GreaterOrEqual(t, got["b"], 500.0, "its quota of one window, whatever a has borrowed")
+	assert.GreaterOrEqual(t, got["b"], 500.0, "b gets its quota of one window, whatever a has borrowed")
 	got = s.runLoad(10, map[string]float64{"a": 1000, "b": 200})
-	assert.GreaterOrEqual(t, got["b"], 495.0, "and of the next, out of what comes in")
+	assert.GreaterOrEqual(t, got["b"], 495.0, "and that of the next window, from its inflow")
 }
 
 func TestWeightsDivideLoans(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 10, Weight: 3}, Group{Name: "b", Share: 10},
 		Group{Name: "none", Share: 10, Weight: 0}, Group{Name: "idle", Share: 70}))
-	s.runLoad(60, map[string]float64{"a": 100, "b": 500}) // buckets are empty then
+	s.runLoad(60, map[string]float64{"a": 100, "b": 500}) // empties the buckets
 	got := s.runLoad(600, map[string]float64{"a": 100, "b": 500})
-	assert.InDelta(t, 6000+3.0/4*48000, got["a"], 1500, "three parts of four, though b asks more")
+	assert.InDelta(t, 6000+3.0/4*48000, got["a"], 1500, "three quarters of the loans, although b asks for more")
 	assert.InDelta(t, 60000, got["a"]+got["b"], 600)
 }
 
@@ -57,9 +57,9 @@
 	s := newTestLimiter(t, tr)
 	s.runLoad(60, map[string]float64{"a": 300, "b": 300})
 	got := s.runLoad(600, map[string]float64{"a": 300, "b": 300})
-	assert.InDelta(t, 6000, got["a"], 1500, "while b wants it all")
+	assert.InDelta(t, 6000, got["a"], 1500, "only its own share while b wants all tokens")
 	got = s.runLoad(600, map[string]float64{"a": 300})
-	assert.InDelta(t, 60000, got["a"], 1500, "and then all of it")
+	assert.InDelta(t, 60000, got["a"], 1500, "all tokens once b wants none")
 }
 
 func TestManyBorrowersShareOneLender(t *testing.T) {
@@ -81,7 +81,7 @@
 	assert.InDelta(t, 60000, total, 600, "nothing is lent twice, and nothing is lost")
 }
 
-// newChain returns a limiter whose group c may borrow on three levels: from its sibling, and from the siblings of its parent and
+// newChain returns a limiter whose group c can borrow on three levels: from its sibling, and from the siblings of its parent and
 // grandparent.
 func newChain(t testing.TB) *testLimiter {
 	return newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "north", Share: 50}, Group{Name: "south", Share: 50},
@@ -99,13 +99,13 @@
 		y, _ := s.Tally(s.mustFind(name), 0)
 		assert.InDelta(t, owes*3600, y.Borrowed-y.Repaid, 3600*owes*0.02, name)
 	}
-	// The nearest pool goes first: while the sibling's share is enough, no other is drawn on.
+	// The nearest pool is used first: while the sibling's share is enough, no other is drawn on.
 	s = newChain(t)
 	s.runLoad(100, map[string]float64{"c": 24, "d": 1, "plain": 24, "south": 49})
 	s.runLoad(600, map[string]float64{"c": 22, "plain": 24, "south": 49})
 	north, _ := s.Tally(s.mustFind("north"), 0)
 	assert.Less(t, north.Borrowed, 40.0)
-	// When the lenders ask, each gets its own share at once.
+	// When the lenders have requests again, each gets its own share at once.
 	got = s.runLoad(10, map[string]float64{"c": 200, "d": 25, "plain": 50, "south": 100})
 	assert.GreaterOrEqual(t, got["d"], 124.0)
 	assert.GreaterOrEqual(t, got["plain"], 249.0)
@@ -117,13 +117,13 @@
 		Group{Name: "city", Parent: "north", Share: 100}, Group{Name: "c", Parent: "city", Share: 100}))
 	s.runLoad(600, map[string]float64{"c": 200})
 	got := s.runLoad(600, map[string]float64{"c": 200, "south": 200})
-	assert.InDelta(t, 33000, got["south"], 600, "its own, and what c pays, over three levels")
+	assert.InDelta(t, 33000, got["south"], 600, "its own share, and what c repays, over three levels")
 	assert.InDelta(t, 27000, got["c"], 600)
 }
 
 func TestOwnDepositIsNoLoan(t *testing.T) {
 	s := newChain(t)
-	s.runLoad(600, map[string]float64{"south": 90}) // it borrows what c and d leave, on three levels
+	s.runLoad(600, map[string]float64{"south": 90}) // it borrows the unused shares of c and d, over three levels
 	_, owed := s.Tally(s.mustFind("south"), 0)
 	_, claim := s.Tally(s.mustFind("c"), 0)
 	require.Less(t, owed, -10000.0)
@@ -131,10 +131,10 @@
 	got := s.runLoad(600, map[string]float64{"c": 90})
 	assert.Greater(t, got["c"], 600*85.0)
 	c, balance := s.Tally(s.mustFind("c"), 0)
-	assert.InEpsilon(t, claim, c.Returned+c.Expired, 0.03, "first it has back what it gave")
+	assert.InEpsilon(t, claim, c.Returned+c.Expired, 0.03, "first it draws its own deposits back")
 	assert.Negative(t, balance, "then it borrows")
 	_, south := s.Tally(s.mustFind("south"), 0)
-	assert.Greater(t, south, 0.0, "and south, which owed, has paid all back and is a lender")
+	assert.Greater(t, south, 0.0, "south has repaid its debt and is a lender now")
 }
 
 func TestBorrowerStopsAsking(t *testing.T) {
@@ -146,14 +146,14 @@
 
 	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "b", Share: 60}, Group{Name: "c", Share: 40}), Settings{RepayFraction: testRepayFraction})
 	s.requireBalanced()
-	s.Complete(s.at, taken, 1, 0, 0) // a request in flight completes after its group is gone
+	s.Complete(s.at, taken, 1, 0, 0) // a request in flight completes after its group was removed
 	_, left := s.Tally(s.mustFind("b"), 0)
-	assert.InDelta(t, claim, left, 1, "its lenders' claims stand")
+	assert.InDelta(t, claim, left, 1, "the credits of its lenders remain")
 	got := s.runLoad(600, map[string]float64{"b": 100, "c": 100})
-	assert.InDelta(t, 60000, got["b"]+got["c"], 2000, "but no more is taken than there is")
+	assert.InDelta(t, 60000, got["b"]+got["c"], 2000, "but no more tokens are used than there are")
 	s.runLoad(3*DefaultFadeSeconds, map[string]float64{"b": 10, "c": 10})
 	_, left = s.Tally(s.mustFind("b"), 0)
-	assert.Less(t, left, claim/10, "and they end")
+	assert.Less(t, left, claim/10, "and the credits fade")
 }
 
 func TestTreeChangesWhileLoansAreOut(t *testing.T) {
@@ -169,7 +169,7 @@
 	assert.Equal(t, tallied, now)
 	s.runLoad(600, map[string]float64{"x": 300, "b": 300, "new": 300})
 	_, still = s.Tally(s.mustFind("a"), 0)
-	assert.Greater(t, still, owed, "it pays on")
+	assert.Greater(t, still, owed, "it continues to repay")
 	s.Limiter = s.WithTree(s.at, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50}, Group{Name: "b", Share: 50}), Settings{RepayFraction: testRepayFraction})
 	s.requireBalanced()
 	got := s.runLoad(600, map[string]float64{"a": 50, "b": 50})
@@ -184,33 +184,33 @@
 	}
 	v := s.admit("a")
 	assert.False(t, v.Allowed)
-	assert.Equal(t, 0, v.Limit, "the short one is used up, the long one is open")
+	assert.Equal(t, 0, v.Limit, "the short window is used up, the long one is not")
 	assert.InDelta(t, 0.1, v.RetryAfterSeconds, 0.01)
 	s.at += v.RetryAfterSeconds
-	assert.True(t, s.admit("a").Allowed, "when it was said")
+	assert.True(t, s.admit("a").Allowed, "admitted after RetryAfterSeconds")
 
 	s.runLoad(1200, map[string]float64{"a": 10})
 	v = s.admit("a")
 	require.False(t, v.Allowed)
-	assert.Equal(t, 1, v.Limit, "the long one is used up")
+	assert.Equal(t, 1, v.Limit, "the long window is used up")
 	s.at += 0.4
 	for !s.admit("a").Allowed {
 		s.at += 0.01
 	}
-	assert.Positive(t, s.tables[0].accounts[1].Level, "while the short one is open")
+	assert.Positive(t, s.tables[0].accounts[1].Level, "the short window is not used up")
 	got := s.runLoad(3600, map[string]float64{"a": 10})
-	assert.InDelta(t, 7200, got["a"], 10, "what comes in with the long one")
+	assert.InDelta(t, 7200, got["a"], 10, "the quota of the long window")
 }
 
 func TestClockStopsJumpsAndGoesBack(t *testing.T) {
 	s := newPair(t)
 	served := 0
-	for range 10000 { // the clock stands still
+	for range 10000 { // while the clock stands still
 		if s.admit("a").Allowed {
 			served++
 		}
 	}
-	assert.Equal(t, 500, served, "the bucket, and nothing comes in")
+	assert.Equal(t, 500, served, "the full bucket, without inflow")
 	s.at += 3600 // the machine was suspended
 	served = 0
 	for range 10000 {
@@ -218,7 +218,7 @@
 			served++
 		}
 	}
-	assert.InDelta(t, 500+125, served, 1, "the bucket and the pool, not an hour's worth")
+	assert.InDelta(t, 500+125, served, 1, "the bucket and the pool, not the inflow of an hour")
 	s.requireBalanced()
 	before := s.at
 	s.at -= 7200
@@ -238,13 +238,14 @@
 	assert.InDelta(t, 100, got["b"], 4)
 	v := s.admit("a")
 	require.False(t, v.Allowed)
-	assert.LessOrEqual(t, v.RetryAfterSeconds, 45.0, "one request's time of its own, and what it pays back")
+	assert.LessOrEqual(t, v.RetryAfterSeconds, 45.0, "the time in which its share yields one request, plus repayments")
 }
 
-// Two groups want more than their shares. One retries at once after each rejection; the other waits for as long as the decision says.
+// TestRetryingGainsNothingOverWaiting has two groups with more demand than their shares. One retries at once after each rejection, the
+// other waits for RetryAfterSeconds.
 func TestRetryingGainsNothingOverWaiting(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "hasty", Share: 20}, Group{Name: "patient", Share: 20}, Group{Name: "idle", Share: 60}))
-	var waiting [60]float64 // each of its clients has one request in flight, and sends the next when that is admitted
+	var waiting [60]float64 // time of the next request of each client; each sends one request at a time
 	hasty, patient := 0, 0
 	for end := s.at + 120; s.at < end; s.at += 0.002 {
 		if s.admit("hasty").Allowed { // 500 requests per second
@@ -276,14 +277,14 @@
 
 func TestFloorIsNeverLent(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 50, Floor: 10}, Group{Name: "b", Share: 50}))
-	s.runLoad(60, map[string]float64{"a": 500, "b": 500}) // batch requests of the same group, and another group
+	s.runLoad(60, map[string]float64{"a": 500, "b": 500}) // requests that may not use the floor, of the same and another group
 	alerts := 0
 	for range 200 {
 		if s.Admit(s.at, Request{Group: s.mustFind("a"), MayUseFloor: true}).Allowed {
 			alerts++
 		}
 	}
-	assert.InDelta(t, 100, alerts, 2, "a fifth of the bucket is there for them")
+	assert.InDelta(t, 100, alerts, 2, "a fifth of the bucket is reserved for them")
 	alerts = 0
 	for i := range 600 {
 		s.at += 0.1
@@ -295,7 +296,7 @@
 			alerts++
 		}
 	}
-	assert.Equal(t, 200, alerts, "and all that comes in, before others")
+	assert.Equal(t, 200, alerts, "and the inflow goes to them first")
 	s.requireBalanced()
 }
 
@@ -305,7 +306,7 @@
 	require.True(t, s.Admit(s.at, q).Allowed)
 	s.Complete(s.at, q, 0.1, 14900, 0.1)
 	v := s.Admit(s.at, q)
-	require.False(t, v.Allowed, "the debt counts")
+	require.False(t, v.Allowed, "the overdrawn account rejects")
 	assert.InDelta(t, 5.1, v.RetryAfterSeconds, 0.01)
 	s.at += v.RetryAfterSeconds
 	require.True(t, s.Admit(s.at, q).Allowed)
@@ -314,7 +315,7 @@
 	assert.Equal(t, 1, v.Limit)
 	huge := Request{Group: s.mustFind("a"), Bytes: 1e6}
 	s.at += 3600
-	assert.True(t, s.Admit(s.at, huge).Allowed, "one that is larger than any window is taken up where all is there")
+	assert.True(t, s.Admit(s.at, huge).Allowed, "a request larger than the quota of a window is admitted if the account is full")
 	assert.False(t, s.Admit(s.at, huge).Allowed)
 }
 
@@ -324,11 +325,11 @@
 	for range 8 {
 		require.True(t, s.Admit(s.at, a).Allowed)
 	}
-	assert.False(t, s.Admit(s.at, a).Allowed, "beyond its cap")
+	assert.False(t, s.Admit(s.at, a).Allowed, "above its cap")
 	for range 3 {
-		require.True(t, s.Admit(s.at, b).Allowed, "its own, at once")
+		require.True(t, s.Admit(s.at, b).Allowed, "its own quota, at once")
 	}
-	assert.False(t, s.Admit(s.at, b).Allowed, "what is left is the floor")
+	assert.False(t, s.Admit(s.at, b).Allowed, "only the floor is left")
 	b.MayUseFloor = true
 	for range 2 {
 		require.True(t, s.Admit(s.at, b).Allowed)
@@ -339,7 +340,7 @@
 	for range 6 {
 		s.Complete(s.at, a, 0.1, 0, 0)
 	}
-	assert.True(t, s.Admit(s.at, b).Allowed, "what others leave")
+	assert.True(t, s.Admit(s.at, b).Allowed, "from the unused quota of others")
 	next := newTestTree(t, []Limit{{Open, 0, 10}}, Group{Name: "b", Share: 100})
 	s.Limiter = s.WithTree(s.at, next, Settings{})
 	s.Complete(s.at, a, 0.1, 0, 0)
@@ -347,9 +348,9 @@
 	for range 6 {
 		s.Complete(s.at, b, 0.1, 0, 0)
 	}
-	assert.Equal(t, int32(0), s.openCounts[0].open[0], "whoever goes, nothing is left over")
+	assert.Equal(t, int32(0), s.openCounts[0].open[0], "no request is counted any more after groups were removed")
 
-	// A limit that is added while requests are in flight has not counted them.
+	// A limit that is added while requests are in flight does not count these.
 	s = newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(1)}, Group{Name: "a", Share: 100}))
 	q := s.NewRequest(s.mustFind("a"), 0, false)
 	require.True(t, s.Admit(s.at, q).Allowed)
@@ -358,7 +359,7 @@
 	assert.Equal(t, int32(0), s.openCounts[1].open[0])
 }
 
-// The limiter is restored when the clock is an hour behind the snapshot's.
+// TestRestoreWithEarlierClock restores a limiter at a time an hour before that of the snapshot.
 func TestRestoreWithEarlierClock(t *testing.T) {
 	s := newPair(t)
 	s.runLoad(60, map[string]float64{"a": 200, "b": 200})
--- a/internal/decide/quota/node.go
+++ b/internal/decide/quota/node.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// newChild validates a group and returns its node below a parent.
+// newChild validates a group and returns its node, a child of the node at.
 func (t *Tree) newChild(at int32, g *Group) (node, error) {
 	p := &t.nodes[at]
 	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
@@ -61,13 +61,13 @@
 	depth      int32 // 0 for the root
 	inner      bool  // it has children
 	weight     float64
-	floor      float64 // fraction of its own quota
-	quota      []float64
-	unassigned []float64 // part of the quota that no child has
-	cap        []float64 // +Inf: none
+	floor      float64   // fraction of the group's own quota
+	quota      []float64 // by limit
+	unassigned []float64 // by limit: part of the quota that is not assigned to children
+	cap        []float64 // by limit; +Inf without a cap
 }
 
-// link is the part of a node that every decision reads.
+// link contains the fields of a node that every decision reads.
 type link struct {
 	weight float64
 	parent int32
--- a/internal/decide/quota/opencounts.go
+++ b/internal/decide/quota/opencounts.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// openCounts counts requests in flight. What is lent comes back when a request completes, so nothing is owed: a group may always
-// use its own quota, and what others leave of an ancestor's. Danger: a lender that asks for its own quota gets it at once, so
-// while borrowers' requests last, more requests are in flight than the quota allows.
+// openCounts counts requests in flight. What is lent comes back when a request completes, so there are no debts: a group may always
+// use its own quota, and the unused part of an ancestor's. Danger: a lender can use its own quota at once, so until borrowers'
+// requests have completed, more requests may be in flight than the quota allows.
 type openCounts struct {
 	tree        *Tree
-	open        []int32
+	open        []int32 // by group: requests in flight
 	quota       []float64
 	caps        []float64
-	peak        []int32
-	sinceTree   int // number of the first tree whose requests it has counted
-	meanSeconds float64
+	peak        []int32 // by group: maximum of open
+	sinceTree   int     // number of the first tree whose requests are counted
+	meanSeconds float64 // mean time that requests are in flight
 }
 
-// newOpenCounts returns the counts of a tree's groups for a limit.
+// newOpenCounts returns the counts of a tree's groups for the limit with index i.
 func newOpenCounts(tree *Tree, i int, settings *Settings) *openCounts {
 	o := &openCounts{tree: tree, open: make([]int32, tree.Len()), peak: make([]int32, tree.Len()), quota: make([]float64, tree.Len()), caps: make([]float64, tree.Len()),
 		meanSeconds: 0.1}
@@ -26,11 +26,11 @@
 			o.caps[n] = max(c*part, 1)
 		}
 	}
-	o.quota[0] = max(o.quota[0], 1) // a sidecar's part that is less than one request still admits one
+	o.quota[0] = max(o.quota[0], 1) // a sidecar admits one request even if its part is less
 	return o
 }
 
-// waitSeconds returns after how long a group may have one more request in flight, 0 if now.
+// waitSeconds estimates the time until a group may have one more request in flight, 0 if it may have it now.
 func (o *openCounts) waitSeconds(g int32, floor bool) float64 {
 	free := false
 	for n := g; n >= 0; n = o.tree.nodes[n].parent {
@@ -50,7 +50,7 @@
 	return max(o.meanSeconds/float64(max(o.open[0], 1)), 1e-3)
 }
 
-// add changes the counts of a group and all above it.
+// add adds n to the counts of a group and all groups above it.
 func (o *openCounts) add(g, n int32) {
 	for at := g; at >= 0; at = o.tree.nodes[at].parent {
 		o.open[at] += n
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTree draws a tree of any shape within the rules.
+// drawTree draws a valid tree of any shape.
 func drawTree(t *rapid.T) *Tree {
 	limits := []Limit{{Requests, rapid.SampledFrom([]float64{1, 10, 60}).Draw(t, "window"), rapid.Float64Range(0.5, 500).Draw(t, "quota")}}
 	if rapid.Bool().Draw(t, "bytes") {
@@ -61,12 +61,12 @@
 	at := startTime
 	var all []testEvent
 	for range rapid.IntRange(1, 25).Draw(t, "phases") {
-		at += rapid.SampledFrom([]float64{0, 0.5, 8, 100, 4000, -50}).Draw(t, "silence")
+		at += rapid.SampledFrom([]float64{0, 0.5, 8, 100, 4000, -50}).Draw(t, "pause")
 		e := testEvent{q: Request{Group: rapid.SampledFrom(leaves).Draw(t, "group"), Bytes: rapid.Float64Range(0, 3000).Draw(t, "bytes"),
-			MayUseFloor: rapid.Bool().Draw(t, "floor")}, bytes: rapid.Float64Range(0, 3000).Draw(t, "answer")}
+			MayUseFloor: rapid.Bool().Draw(t, "floor")}, bytes: rapid.Float64Range(0, 3000).Draw(t, "response bytes")}
 		other := rapid.SampledFrom(leaves).Draw(t, "other")
 		gap := rapid.SampledFrom([]float64{0, 0.001, 0.03, 0.7}).Draw(t, "gap")
-		for i := range rapid.IntRange(1, 150).Draw(t, "asked") {
+		for i := range rapid.IntRange(1, 150).Draw(t, "requests") {
 			at += gap
 			if e.at = at; i%2 == 1 {
 				e.q.Group, other = other, e.q.Group
@@ -86,7 +86,8 @@
 	return v
 }
 
-// Whatever happens, accounts balance, no more tokens are used than came in, and no cap is exceeded by more than one response.
+// TestAccountsBalance checks that accounts balance, that no more tokens are used than came in, and that no cap is exceeded by more than one
+// request and its response.
 func TestAccountsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -96,7 +97,7 @@
 		for i, e := range drawEvents(t, tr) {
 			v := e.replay(m)
 			if late = max(late, e.at); !v.Allowed && (v.RetryAfterSeconds <= 0 || v.RetryAfterSeconds > 31*86400) {
-				t.Fatalf("refused for %g s", v.RetryAfterSeconds)
+				t.Fatalf("rejected for %g s", v.RetryAfterSeconds)
 			}
 			if i%32 == 0 {
 				worst, at := m.Audit(late)
@@ -120,19 +121,19 @@
 			root := &m.tables[l].accounts[0]
 			most := limit.Quota/limit.WindowSeconds*(late-startTime) + stored + owed
 			if root.Tally.Used > most*(1+1e-9)+1e-3 {
-				t.Fatalf("%s: %g is used of %g that there was", limit.Name(), root.Tally.Used, most)
+				t.Fatalf("%s: %g tokens are used, but there were only %g", limit.Name(), root.Tally.Used, most)
 			}
 			for n := range m.tables[l].accounts {
 				c := &m.tables[l].accounts[n]
 				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-startTime+limit.WindowSeconds)+slack {
-					t.Fatalf("%s of %s: %g is used beyond its cap", limit.Name(), tr.Path(int32(n)), c.Tally.Used)
+					t.Fatalf("%s of %s: %g tokens are used, which exceeds the cap", limit.Name(), tr.Path(int32(n)), c.Tally.Used)
 				}
 			}
 		}
 	})
 }
 
-// The same events lead to the same decisions, also after a restart in between.
+// TestRestoredLimiterBehavesTheSame checks that the same events lead to the same decisions with a restart in between.
 func TestRestoredLimiterBehavesTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -155,7 +156,7 @@
 	})
 }
 
-// When no group asks, debts fade, and so do credits beyond what the pools hold.
+// TestDebtsFade checks that debts fade when no group has requests, and so do credits above what the pools hold.
 func TestDebtsFade(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
@@ -173,14 +174,14 @@
 					held += b.accounts[p].Level
 				}
 				if c.Balance < -1e-3*(1+c.Tally.Used) || c.Balance > held+0.01*(1+c.Tally.Used) {
-					t.Fatalf("%s of %s: a balance of %g is left, and there is %g", tr.Limits[l].Name(), tr.Path(int32(n)), c.Balance, held)
+					t.Fatalf("%s of %s: a balance of %g is left, and the pools hold %g", tr.Limits[l].Name(), tr.Path(int32(n)), c.Balance, held)
 				}
 			}
 		}
 	})
 }
 
-// The tree changes again and again while there are loans and requests in flight.
+// TestNewTreeKeepsAccounts replaces the tree several times while there are loans and requests in flight.
 func TestNewTreeKeepsAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(drawTree(t), Settings{RepayFraction: 0.1}, startTime)
--- a/internal/decide/quota/replace.go
+++ b/internal/decide/quota/replace.go
@@ -4,9 +4,9 @@
 	"slices"
 )
 
-// WithTree returns a limiter for another tree that goes on from this one, which must not be used any more. Levels, debts and
-// credits stay with a group's path, within its new bounds. Debts of removed groups are written off and their credits stay in the
-// pools; new groups start with a full bucket.
+// WithTree returns a limiter for another tree that continues from this one, which must no longer be used. Groups keep their levels,
+// debts and credits by path, within their new bounds. Debts of removed groups are written off and their credits stay in the pools;
+// new groups start with a full bucket.
 func (l *Limiter) WithTree(now float64, tree *Tree, settings Settings) *Limiter {
 	now = l.advance(now)
 	for _, table := range l.tables {
@@ -23,7 +23,7 @@
 			moved[n] = moved[parent]
 		}
 	}
-	// Danger: a request may complete long after its group's number refers to another group.
+	// Danger: when a request completes, its group's number may refer to another group. groupMoves maps it to the current one.
 	next.treeNumber, next.groupMoves = l.treeNumber+1, append(slices.Clone(l.groupMoves[max(0, len(l.groupMoves)-maxOldTrees+1):]), moved)
 	for i, counts := range next.openCounts {
 		if counts != nil {
@@ -42,10 +42,11 @@
 	return next
 }
 
-// maxOldTrees bounds the earlier trees whose requests in flight are still known.
+// maxOldTrees bounds the number of earlier trees whose requests in flight can still be mapped to groups.
 const maxOldTrees = 16
 
-// presentGroup returns the present number of a request's group, -1 if it is gone.
+// currentGroup returns the number of a request's group in the current tree, -1 if it is not known any more. A removed group is
+// replaced by its nearest ancestor that still exists.
 func (l *Limiter) presentGroup(q *Request) int32 {
 	g := q.Group
 	for tree := q.tree; tree < l.treeNumber && g >= 0; tree++ {
@@ -58,7 +59,7 @@
 	return g
 }
 
-// limitIndex returns the index of a limit by its name, -1 if there is none.
+// limitIndex returns the index of the limit with a name, -1 if there is none.
 func (t *Tree) limitIndex(limit string) int {
 	if i, ok := t.limit(limit); ok {
 		return i
--- a/internal/decide/quota/restore.go
+++ b/internal/decide/quota/restore.go
@@ -1,6 +1,6 @@
 package quota
 
-// Restore returns a limiter that goes on from a state. With the same tree and settings it continues as if it had never stopped.
+// Restore returns a limiter that continues from a state. With the same tree and settings it continues as if it had never stopped.
 // Otherwise groups keep their accounts by path and limit, as WithTree describes.
 func Restore(tree *Tree, settings Settings, s *State, now float64) *Limiter {
 	s.fillNames()
@@ -29,8 +29,8 @@
 	return l
 }
 
-// shiftTimes moves all times of a state. Danger: if the clock was set back while the program was down, the limiter would stand
-// still until it catches up.
+// shiftTimes adds an offset to all times of a state. Danger: if the clock was set back while the program was down, the limiter would
+// otherwise stand still until the clock reaches the time of the state.
 func (s *State) shiftTimes(by float64) {
 	s.At += by
 	for i := range s.Refusals {
@@ -49,8 +49,8 @@
 	}
 }
 
-// adoptState takes accounts and counters from a state of another tree. It returns the present numbers of the state's groups, -1
-// for those that are gone.
+// adoptState takes accounts and counters from a state of another tree. It returns the numbers of the state's groups in the current
+// tree, -1 for removed ones.
 func (l *Limiter) adoptState(s *State) []int {
 	s.fillNames()
 	to := make([]int, len(s.Paths))
@@ -82,7 +82,7 @@
 	return to
 }
 
-// adoptAccounts takes accounts of another tree; to maps their groups to the present ones.
+// adoptAccounts takes over the accounts of another tree; to maps its groups to the current ones.
 func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
@@ -91,7 +91,7 @@
 		a, old := &t.accounts[g], &cells[n]
 		a.CapLevel = min(old.CapLevel, a.CapLevel)
 		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
-			// Danger: a bucket that has grown must not stay as empty as it was, or it is below its floor until it fills.
+			// Danger: the added capacity of a bucket must be full, or the bucket is below its floor until it fills.
 			a.Level += max(a.Capacity-old.Capacity, 0)
 		}
 		if t.tree.links[g].inner {
@@ -105,7 +105,7 @@
 	for n := range t.accounts {
 		t.accounts[n].Equity = 0
 	}
-	for n := range t.accounts { // tokens that no balance accounts for are equity, or written off
+	for n := range t.accounts { // the difference between tokens and balances becomes equity
 		a := &t.accounts[n]
 		if t.tree.nodes[n].inner {
 			a.Equity += a.Level + a.Balance
--- a/internal/decide/quota/settle.go
+++ b/internal/decide/quota/settle.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// settle brings an account up to date. All accounts above it are settled.
+// settle updates an account to the time now. All accounts above it must be settled.
 func (t *accountTable) settle(n int32, now float64) {
 	a := &t.accounts[n]
 	dt := now - a.SettledAt
@@ -27,7 +27,7 @@
 			a.Equity += a.OwnInflow * taken
 		}
 		t.recordDeposit(a, a.Inflow*taken)
-		// Danger: a credit that starts to fade only when the account is settled would outlive the matching debt.
+		// Danger: a credit that starts to fade only when the account is settled would outlive the debt that corresponds to it.
 		t.fadeBalance(a, pool, min(a.Inflow*(taken-recent), max(a.Balance, 0)), inner)
 		return
 	}
@@ -73,7 +73,7 @@
 	a.addOffered(dt * (1 - lost/inflow))
 }
 
-// fastExp is math.Exp, faster for numbers just below 0.
+// fastExp returns math.Exp(x), which it approximates by a polynomial just below 0. x must not be positive.
 func fastExp(x float64) float64 {
 	if x > -1e-3 {
 		return 1 + x*(1+x*(0.5+x*(1.0/6+x/24)))
@@ -81,7 +81,7 @@
 	return math.Exp(x)
 }
 
-// recordDeposit records that the parent holds more of a group's tokens.
+// recordDeposit records that a group has deposited tokens with its parent.
 func (t *accountTable) recordDeposit(a *account, amount float64) {
 	repaid := min(amount, max(-a.Balance, 0))
 	a.Tally.Repaid += repaid
@@ -89,7 +89,7 @@
 	a.Balance += amount
 }
 
-// fadeBalance reduces a balance that has faded: an old debt is forgiven, an old credit expires.
+// fadeBalance reduces a balance by an amount that has faded: a debt is forgiven, a credit expires.
 func (t *accountTable) fadeBalance(a, pool *account, amount float64, isPool bool) {
 	if amount == 0 {
 		return
@@ -107,8 +107,8 @@
 	}
 }
 
-// deposit adds an amount to a pool, and what does not fit to those above it, and returns how much found room. A repayment first
-// repays what the pool's own group owes.
+// deposit adds an amount to a pool, and what does not fit to the pools above it, and returns how much found room. If repays is set,
+// the amount is first used to repay the pool's own debt.
 func (t *accountTable) deposit(n int32, amount float64, repays bool) (taken float64) {
 	a, parent := &t.accounts[n], t.tree.links[n].parent
 	if repays && a.Balance < 0 && parent >= 0 {
@@ -130,7 +130,7 @@
 	return taken + takenAbove
 }
 
-// settleChain settles an account and all above it.
+// settleChain settles an account and all accounts above it.
 func (t *accountTable) settleChain(n int32, now float64) {
 	if parent := t.tree.links[n].parent; parent >= 0 {
 		t.settleChain(parent, now)
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -18,7 +18,7 @@
 	Mark     uint64 // fingerprint of the tree and the settings
 	Paths    []string
 	Limits   []string
-	Books    []BookState // by limit; empty for Open, whose requests end with the process
+	Books    []BookState // by limit; empty for Open, since requests in flight end with the process
 	Stats    []Stats
 	Refusals []Refusal
 
@@ -28,26 +28,27 @@
 
 // BookState is the stored form of the accounts of one limit.
 type BookState struct {
-	Cells []byte // the accounts, by encoding/binary
+	Cells []byte // the accounts, encoded by encoding/binary
 	Queue []dueCell
 	Lost  float64
 
 	accounts []account
 }
 
-// stateVersion is raised whenever older programs would misread the stored form.
+// stateVersion must be incremented if older programs would misread the stored form.
 const stateVersion = 1
 
-// stateMagic begins each stored state.
+// stateMagic is the start of each stored state.
 var stateMagic = []byte("hazelwheel quota")
 
-// The errors of Decode. ErrNewer: a newer version of the program has written it. ErrDamaged: it is truncated or corrupted.
+// The errors of Decode. ErrNewer means that a newer version of the program has written the state, ErrDamaged that the state is truncated
+// or corrupted.
 var (
-	ErrNewer   = errors.New("it is of a newer version of the program")
+	ErrNewer   = errors.New("a newer version of the program has written it")
 	ErrDamaged = errors.New("it is damaged")
 )
 
-// State returns a snapshot, which may be encoded on another goroutine while the limiter goes on.
+// State returns a snapshot, which may be encoded on another goroutine while the limiter is in use.
 func (l *Limiter) State() *State {
 	s := &State{At: l.now, Stats: slices.Clone(l.stats), Refusals: slices.Clone(l.refusals), tree: l.tree, settings: l.settings}
 	for i, limit := range l.tree.Limits {
@@ -61,7 +62,7 @@
 	return s
 }
 
-// fillNames computes what Encode needs and State leaves out to return quickly.
+// fillNames computes the fields Mark and Paths, which State leaves out to return quickly.
 func (s *State) fillNames() {
 	if s.tree == nil || s.Paths != nil {
 		return
@@ -72,7 +73,7 @@
 	}
 }
 
-// fingerprint returns equal numbers for trees and settings under which accounts mean the same. It is stored.
+// fingerprint returns a hash of the tree and settings. Accounts can be restored unchanged if it is equal. It is stored.
 func (t *Tree) fingerprint(s *Settings) uint64 {
 	h := xxhash.New()
 	fmt.Fprint(h, *s, t.Limits)
@@ -106,11 +107,11 @@
 func Decode(raw []byte) (*State, error) {
 	rest, ok := bytes.CutPrefix(raw, stateMagic)
 	if !ok || len(rest) < 12 {
-		return nil, fmt.Errorf("%w: it does not begin like a snapshot of quotas", ErrDamaged)
+		return nil, fmt.Errorf("%w: it does not start like a snapshot of quotas", ErrDamaged)
 	}
 	version, sum, body := binary.LittleEndian.Uint32(rest), binary.LittleEndian.Uint64(rest[4:]), rest[12:]
 	if version > stateVersion {
-		return nil, fmt.Errorf("%w: %d, and this one knows %d", ErrNewer, version, stateVersion)
+		return nil, fmt.Errorf("%w: format version %d, this program supports at most %d", ErrNewer, version, stateVersion)
 	}
 	if xxhash.Sum64(body) != sum {
 		return nil, fmt.Errorf("%w: the checksum is wrong", ErrDamaged)
@@ -120,13 +121,13 @@
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if len(s.Books) != len(s.Limits) || len(s.Stats) != len(s.Paths) || len(s.Refusals) != len(s.Paths) {
-		return nil, fmt.Errorf("%w: its parts do not fit together", ErrDamaged)
+		return nil, fmt.Errorf("%w: its parts have different lengths", ErrDamaged)
 	}
 	for i := range s.Books {
 		state := &s.Books[i]
 		for _, x := range state.Queue {
 			if x.Cell < 0 || int(x.Cell) >= len(s.Paths) {
-				return nil, fmt.Errorf("%w: %s waits for an account that it has not", ErrDamaged, s.Limits[i])
+				return nil, fmt.Errorf("%w: the queue of %s refers to an account that does not exist", ErrDamaged, s.Limits[i])
 			}
 		}
 		if len(state.Cells) == 0 {
@@ -134,7 +135,7 @@
 		}
 		state.accounts = make([]account, len(s.Paths))
 		if binary.Size(state.accounts) != len(state.Cells) {
-			return nil, fmt.Errorf("%w: %s has another number of accounts", ErrDamaged, s.Limits[i])
+			return nil, fmt.Errorf("%w: %s has the wrong number of accounts", ErrDamaged, s.Limits[i])
 		}
 		if err := binary.Read(bytes.NewReader(state.Cells), binary.LittleEndian, state.accounts); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -13,7 +13,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// storedMachine has used accounts of every measure: loans, debts, a cap that was reached and requests that are open.
+// newUsedLimiter returns a limiter with accounts of every measure in use: with loans, debts, a cap that was reached and open requests.
 func storedMachine(t *testing.T) (*Limiter, *Tree, Settings, float64) {
 	tr := newTestTree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
 		Group{Name: "north", Share: 50}, Group{Name: "city", Parent: "north", Share: 60, Floor: 10}, Group{Name: "port", Parent: "north", Share: 30, Cap: 90},
@@ -34,8 +34,9 @@
 	return m, tr, settings, now
 }
 
-// TestSnapshotFormIsKept encodes a machine's state to the bytes that released versions write, and goes on from these bytes. Danger: gob
-// matches fields by their Go names, and the accounts are written in the order of cell's fields; renaming or moving one forgets it.
+// TestSnapshotFormIsKept checks that a limiter's state is encoded to the bytes that released versions write, and can be restored from them.
+// Danger: gob matches fields by their Go names, and accounts are written in the order of their fields; if a field is renamed or moved, its
+// stored value is lost.
 func TestSnapshotFormIsKept(t *testing.T) {
 	m, tr, settings, now := storedMachine(t)
 	got, err := m.State().Encode()
@@ -47,14 +48,14 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, got), "a snapshot of the same machine has other bytes")
+	require.True(t, bytes.Equal(want, got), "the snapshot differs from the golden file")
 
 	s, err := Decode(want)
 	require.NoError(t, err)
 	next := Restore(tr, settings, s, now)
 	again, err := next.State().Encode()
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, again), "what is read is written the same")
+	require.True(t, bytes.Equal(want, again), "a restored state is encoded to the same bytes")
 	for g := range int32(tr.Len()) {
 		assert.Equal(t, m.Stats(g), next.Stats(g))
 		for i := range tr.Limits[:3] {
--- a/internal/decide/quota/testlimiter_test.go
+++ b/internal/decide/quota/testlimiter_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requestsPerSecond is a limit of requests over 10 s.
+// requestsPerSecond returns a limit of n requests per second, with a window of 10 s.
 func requestsPerSecond(n float64) Limit { return Limit{Requests, 10, n * 10} }
 
 func newTestTree(t testing.TB, limits []Limit, groups ...Group) *Tree {
@@ -43,12 +43,12 @@
 	return g
 }
 
-// admit decides on a request of a group now.
+// admit decides on a request of a group at the current time.
 func (s *testLimiter) admit(name string) Decision {
 	return s.Admit(s.at, Request{Group: s.mustFind(name)})
 }
 
-// runLoad lets groups ask for so many requests per second each, evenly, and returns how many were admitted.
+// runLoad sends evenly spaced requests at a rate per group for some seconds, and returns how many of each group were admitted.
 func (s *testLimiter) runLoad(forS float64, ratePS map[string]float64) map[string]float64 {
 	type source struct {
 		name   string
@@ -56,7 +56,7 @@
 		nextAt float64
 	}
 	var all []source
-	for _, n := range s.tree.nodes { // in the order of the tree, since maps have none
+	for _, n := range s.tree.nodes { // in the order of the tree, since the order of maps is random
 		if r := ratePS[n.name]; r > 0 {
 			all = append(all, source{n.name, 1 / r, s.at + 1/r})
 		}
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -17,19 +17,19 @@
 // Group is a group as it is configured. Percentages are of the parent's quotas.
 type Group struct {
 	Name   string
-	Parent string             // name of the parent; "": the root
+	Parent string             // name of the parent; "" for the root
 	Share  float64            // percent
-	Weight float64            // among its siblings, when they want more of a pool than it holds
-	Cap    float64            // percent; 0: no cap
-	Floor  float64            // percent, within the share: reserved for requests that may use it
-	Quotas map[string]float64 // by a limit's name; replaces the share
+	Weight float64            // its part relative to its siblings when they want more of a pool than it holds
+	Cap    float64            // percent; 0 for no cap
+	Floor  float64            // percent, at most Share: reserved for requests with MayUseFloor
+	Quotas map[string]float64 // by name of a limit, in its unit; replaces the share
 }
 
 // Tree is a validated tree of groups. It is immutable. Groups are numbered from 0, the root.
 type Tree struct {
 	Limits []Limit
 	nodes  []node // the root first, parents before children
-	links  []link // of the nodes
+	links  []link // of nodes, in the same order
 	byName map[string]int32
 }
 
@@ -39,7 +39,7 @@
 // Error returns the path and the reason.
 func (f *GroupError) Error() string { return f.Path + ": " + f.Reason }
 
-// NewTree validates groups, which may come in any order. An error names the path of the group or the limit at fault.
+// NewTree validates limits and groups, which may be in any order. Its errors contain the path of the invalid group or the limit.
 func NewTree(limits []Limit, groups []Group) (*Tree, error) {
 	if err := checkLimits(limits); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 		root.quota[i], root.cap[i] = l.Quota, math.Inf(1)
 	}
 	t.nodes = append(make([]node, 0, len(groups)+1), root)
-	for at := int32(0); int(at) < len(t.nodes); at++ { // the list grows during the loop: parents first
+	for at := int32(0); int(at) < len(t.nodes); at++ { // breadth first: the list grows during the loop
 		if err := t.addChildren(at, groups, children[t.nodes[at].name]); err != nil {
 			return nil, err
 		}
@@ -91,7 +91,7 @@
 	return t, nil
 }
 
-// addChildren appends a node's children, and computes what they leave of its quotas.
+// addChildren appends a node's children, and computes which part of its quotas is not assigned to them.
 func (t *Tree) addChildren(at int32, groups []Group, children []int) error {
 	p := &t.nodes[at]
 	p.inner = len(children) > 0
@@ -107,7 +107,7 @@
 			t.nodes[at].unassigned[l] -= n.quota[l]
 		}
 		t.byName[n.name] = int32(len(t.nodes))
-		t.nodes = append(t.nodes, n) // within its capacity
+		t.nodes = append(t.nodes, n) // does not reallocate
 	}
 	if shares > 100+1e-6 {
 		return &GroupError{t.Path(at), fmt.Sprintf("its children's shares come to %.6g %%, over 100 %%", shares)}
@@ -117,7 +117,7 @@
 		if p.unassigned[l] < -1e-9*p.quota[l] {
 			return &GroupError{t.Path(at), fmt.Sprintf("its children's quotas of %s come to %.6g, over its own %.6g", limit.Name(), p.quota[l]-p.unassigned[l], p.quota[l])}
 		}
-		// Danger: rounding would otherwise leave a tiny rest, an inflow that fills a pool in a million years.
+		// Danger: rounding may leave a tiny remainder, whose inflow would take a million years to fill a pool.
 		if p.unassigned[l] = max(p.unassigned[l], 0); p.unassigned[l] < 1e-9*p.quota[l] {
 			p.unassigned[l] = 0
 		}
@@ -135,7 +135,7 @@
 	return 0, false
 }
 
-// limitNames returns all names for an error text.
+// limitNames returns the names of all limits for an error message.
 func (t *Tree) limitNames() string {
 	var names []string
 	for _, l := range t.Limits {
@@ -144,7 +144,7 @@
 	return strings.Join(names, ", ")
 }
 
-// pathOf returns the path of a group among groups that may be invalid: it ends at a parent that is absent or repeated.
+// pathOf returns the path of a group among groups that may be invalid. It stops at a missing parent or after a cycle.
 func pathOf(groups []Group, byName map[string]int, i int) string {
 	path, seen := groups[i].Name, map[int]bool{i: true}
 	for {
@@ -180,7 +180,7 @@
 	return t.nodes[g].path
 }
 
-// Find returns the group with a path or a name.
+// Find returns the number of the group with a path or a name.
 func (t *Tree) Find(path string) (int32, bool) {
 	g, ok := t.byName[path[strings.LastIndexByte(path, '.')+1:]]
 	if !ok || t.nodes[g].path != path && t.nodes[g].name != path {
@@ -192,7 +192,7 @@
 // Name returns the name of a group.
 func (t *Tree) Name(g int32) string { return t.nodes[g].name }
 
-// AcceptsRequests reports whether requests may belong to a group: it has no children.
+// AcceptsRequests reports whether requests may belong to a group: only groups without children accept them.
 func (t *Tree) AcceptsRequests(g int32) bool { return g > 0 && !t.nodes[g].inner }
 
 // Parent returns the parent of a group, -1 for the root.
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -4,8 +4,8 @@
 type View struct {
 	At     float64     `json:"at"`
 	Groups []GroupView `json:"groups"`
-	All    int         `json:"all"`            // how many groups there are in all
-	Lost   []float64   `json:"lost,omitempty"` // by limit: tokens that found no room
+	All    int         `json:"all"`            // number of groups in the tree, without the root
+	Lost   []float64   `json:"lost,omitempty"` // by limit: tokens that have overflowed the root
 	Limits []string    `json:"limits"`
 }
 
@@ -31,7 +31,7 @@
 	Tally     `json:"tally"`
 }
 
-// View returns the state of at most so many groups; of a larger tree, those that have had requests.
+// View returns the state of at most limit groups. If the tree is larger, it leaves out groups without requests.
 func (l *Limiter) View(now float64, limit int) View {
 	now = l.advance(now)
 	decision := View{At: now, All: l.tree.Len() - 1, Groups: []GroupView{}}
@@ -67,7 +67,7 @@
 	return decision
 }
 
-// subtreeCounts sums the requests of each group and all below it.
+// subtreeCounts returns the admitted and rejected requests of each group, including all groups below it.
 func (l *Limiter) subtreeCounts() (served, refused []uint64) {
 	served, refused = make([]uint64, len(l.stats)), make([]uint64, len(l.stats))
 	for n := len(l.stats) - 1; n >= 0; n-- {
@@ -81,7 +81,7 @@
 	return served, refused
 }
 
-// groupView returns the state of a group. Its accounts are settled.
+// groupView returns the state of a group. Its accounts must be settled.
 func (l *Limiter) groupView(n int32) GroupView {
 	group := &l.tree.nodes[n]
 	g := GroupView{Path: l.tree.Path(n), Depth: int(group.depth), Served: l.stats[n].Served, Rejected: l.stats[n].Refused}
@@ -97,12 +97,12 @@
 	return g
 }
 
-// Explanation says why a group's last rejected request was rejected, with the present state of the group and those above it.
+// Explanation says why a group's last rejected request was rejected, and has the current state of the group and those above it.
 type Explanation struct {
 	Group             string      `json:"group"`
 	Rejected          uint64      `json:"refused"`
 	AgoSeconds        float64     `json:"ago_s"`
-	Limit             string      `json:"limit"` // "": no request was rejected
+	Limit             string      `json:"limit"` // empty if no request was rejected
 	Capped            bool        `json:"capped"`
 	Shortfall         float64     `json:"lacked"`
 	Level             float64     `json:"own"`
--- a/internal/decide/quota/wait.go
+++ b/internal/decide/quota/wait.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// minCapacity returns the least capacity of buckets and caps.
+// minCapacity returns the minimum capacity of buckets and caps.
 func (t *accountTable) minCapacity() float64 {
 	if t.limit.Measure == Requests {
 		return 1
@@ -10,14 +10,14 @@
 	return 0
 }
 
-// waitSeconds returns how long an amount takes at a rate, at most a window, or the time for one request where a window brings less
-// than one.
+// waitSeconds returns how long an amount takes to accrue at a rate. The result is at most a window, or the time for one request if
+// a window yields less than one.
 func (t *accountTable) waitSeconds(amount, rate float64) float64 {
 	longest := max(t.limit.WindowSeconds, t.minCapacity()/max(rate, 1e-9))
-	return min(max(amount/max(rate, 1e-9)+1e-6, 1e-3), longest, 31*86400) // the least wait is above a clock's resolution
+	return min(max(amount/max(rate, 1e-9)+1e-6, 1e-3), longest, 31*86400) // the minimum is above the resolution of clocks
 }
 
-// retryAfterSeconds returns when a need could be covered: by the group's own bucket, or by its turn at the nearest pool with
+// retryAfterSeconds estimates the time until a need can be covered by the group's own bucket or by its turn at the nearest pool with
 // inflow, whichever is sooner.
 func (t *accountTable) retryAfterSeconds(group int32, need float64, floor bool) float64 {
 	a := &t.accounts[group]
@@ -40,7 +40,7 @@
 	return earliest
 }
 
-// capWaitSeconds returns for how long the cap of a group, or of one above it, rejects a need; 0: it does not.
+// capWaitSeconds returns for how long the cap of a group, or of one above it, rejects a need, 0 if it does not.
 func (t *accountTable) capWaitSeconds(group int32, need, now float64) (seconds float64) {
 	for n := group; n > 0; n = t.tree.links[n].parent {
 		a := &t.accounts[n]
