--- a/internal/decide/quota/account.go
+++ b/internal/decide/quota/account.go
@@ -71,8 +71,8 @@
 }
 
 // available returns how much of an account a request may use.
-func (a *account) available(floor bool) float64 {
-	if floor {
+func (a *account) available(mayUseFloor bool) float64 {
+	if mayUseFloor {
 		return max(a.Level, 0)
 	}
 	return max(a.Level-a.Reserve, 0)
--- a/internal/decide/quota/accounttable.go
+++ b/internal/decide/quota/accounttable.go
@@ -39,9 +39,9 @@
 	t := &accountTable{limit: limit, tree: tree, accounts: make([]account, len(tree.nodes)), epochSeconds: epochFraction * limit.WindowSeconds, quietSeconds: quietFraction * limit.WindowSeconds,
 		repayFraction: settings.RepayFraction, fadeSeconds: settings.FadeSeconds, queue: make([]dueCell, 0, len(tree.nodes)), queueIndex: make([]int32, len(tree.nodes))}
 	part := 1 / float64(max(settings.Replicas, 1))
-	least := 0.0
+	minCapacity := 0.0
 	if limit.Measure == Requests {
-		least = 1 // so that a quota below one request per window accumulates to one request
+		minCapacity = 1 // so that a quota below one request per window accumulates to one request
 	}
 	for n := range t.accounts {
 		group, a := &tree.nodes[n], &t.accounts[n]
@@ -49,15 +49,15 @@
 		a.OwnInflow = group.unassigned[i] / limit.WindowSeconds * part
 		if group.inner {
 			// The pool must have room for what its children may deposit at once.
-			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*least)
+			a.Capacity = max(group.quota[i]*part*poolFraction, minPoolRequests*minCapacity)
 		} else {
 			a.Level = group.quota[i] * part
-			a.Capacity = max(a.Level, least)
+			a.Capacity = max(a.Level, minCapacity)
 		}
 		// Danger: a floor that leaves less than one request would reject all other requests forever.
-		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-least, 0))
+		a.Reserve = min(a.Capacity*group.floor, max(a.Capacity-minCapacity, 0))
 		if a.CapRate = group.cap[i] * part / limit.WindowSeconds; a.CapRate < math.Inf(1) {
-			a.CapLevel = max(a.CapRate*limit.WindowSeconds, least)
+			a.CapLevel = max(a.CapRate*limit.WindowSeconds, minCapacity)
 		}
 	}
 	t.resetFlows(now)
--- a/internal/decide/quota/bench_test.go
+++ b/internal/decide/quota/bench_test.go
@@ -56,12 +56,12 @@
 			tr := newLargeTree(b, groups, depth)
 			leaves := leaves(tr)
 			few := leaves[:max(len(leaves)/16, 1)]
-			for _, how := range []struct {
-				name   string
-				ratePS float64
-				who    []int32
+			for _, load := range []struct {
+				name       string
+				perSecond  float64
+				requesters []int32
 			}{{"half", 5e4, leaves}, {"over", 1.5e5, leaves}, {"loans", 1e5, few}} {
-				b.Run(fmt.Sprintf("groups=%d/depth=%d/%s", groups, depth, how.name), func(b *testing.B) {
+				b.Run(fmt.Sprintf("groups=%d/depth=%d/%s", groups, depth, load.name), func(b *testing.B) {
 					b.ReportAllocs()
 					var before, after runtime.MemStats
 					runtime.GC()
@@ -69,11 +69,11 @@
 					m := New(tr, Settings{RepayFraction: 0.1}, startTime)
 					runtime.GC()
 					runtime.ReadMemStats(&after)
-					at, served, step := startTime, 0, 1/how.ratePS
+					at, served, step := startTime, 0, 1/load.perSecond
 					b.ResetTimer()
 					for i := range b.N {
 						at += step
-						if m.Admit(at, Request{Group: how.who[i*7919%len(how.who)]}).Allowed {
+						if m.Admit(at, Request{Group: load.requesters[i*7919%len(load.requesters)]}).Allowed {
 							served++
 						}
 					}
--- a/internal/decide/quota/charge.go
+++ b/internal/decide/quota/charge.go
@@ -38,15 +38,15 @@
 
 // shortfall returns how much of a need the group's bucket and the pools above it can't cover, 0 if they cover it. The accounts
 // must be settled.
-func (t *accountTable) shortfall(group int32, need float64, floor bool, now float64) float64 {
-	need -= t.accounts[group].available(floor)
+func (t *accountTable) shortfall(group int32, need float64, mayUseFloor bool, now float64) float64 {
+	need -= t.accounts[group].available(mayUseFloor)
 	for n := group; need > 0; {
 		parent := t.tree.links[n].parent
 		if parent < 0 {
 			return need
 		}
 		if t.canDraw(n, now) {
-			need -= t.accounts[parent].available(floor)
+			need -= t.accounts[parent].available(mayUseFloor)
 		}
 		n = parent
 	}
@@ -55,7 +55,7 @@
 
 // charge takes an amount for a group from its own bucket and then from the pools above it, the nearest first. If these don't
 // suffice, the level of the bucket becomes negative.
-func (t *accountTable) charge(group int32, amount float64, floor bool, now float64) {
+func (t *accountTable) charge(group int32, amount float64, mayUseFloor bool, now float64) {
 	for n := group; n >= 0; n = t.tree.links[n].parent {
 		a := &t.accounts[n]
 		a.Tally.Used += amount
@@ -64,19 +64,19 @@
 		}
 	}
 	a := &t.accounts[group]
-	if parent := t.tree.links[group].parent; a.IsOverflowing && a.Balance >= amount && t.accounts[parent].available(floor) >= amount {
+	if parent := t.tree.links[group].parent; a.IsOverflowing && a.Balance >= amount && t.accounts[parent].available(mayUseFloor) >= amount {
 		// The bucket is full and its deposit is still in the pool: the amount comes from the deposit. Danger: ending the overflow
 		// for each request, and restarting it soon after, would be the largest cost if 100,000 groups have occasional requests.
 		t.drawFromPool(group, parent, amount, now)
 		return
 	}
 	t.markDrawn(group, now)
-	fromBucket := min(amount, a.available(floor))
+	fromBucket := min(amount, a.available(mayUseFloor))
 	a.Level -= fromBucket
 	amount -= fromBucket
 	for n := t.tree.links[group].parent; n >= 0 && amount > 0; n = t.tree.links[n].parent {
-		if pool := &t.accounts[n]; pool.available(floor) > 0 && t.canDraw(t.childAbove(group, n), now) {
-			drawn := min(amount, pool.available(floor))
+		if pool := &t.accounts[n]; pool.available(mayUseFloor) > 0 && t.canDraw(t.childAbove(group, n), now) {
+			drawn := min(amount, pool.available(mayUseFloor))
 			t.drawFromPool(group, n, drawn, now)
 			amount -= drawn
 		}
--- a/internal/decide/quota/limiter.go
+++ b/internal/decide/quota/limiter.go
@@ -32,8 +32,8 @@
 }
 
 // NewRequest returns a request of a group of the current tree.
-func (l *Limiter) NewRequest(g int32, bytes float64, floor bool) Request {
-	return Request{Group: g, Bytes: bytes, MayUseFloor: floor, tree: l.treeNumber}
+func (l *Limiter) NewRequest(g int32, bytes float64, mayUseFloor bool) Request {
+	return Request{Group: g, Bytes: bytes, MayUseFloor: mayUseFloor, tree: l.treeNumber}
 }
 
 // New returns a limiter with full buckets, whose groups have used nothing yet.
@@ -120,7 +120,7 @@
 // account. elapsedSeconds is how long the request was in flight. Complete must be called once for each admitted request.
 func (l *Limiter) Complete(now float64, q Request, elapsedSeconds, bytes, workSeconds float64) {
 	now = l.advance(now)
-	if q.Group = l.presentGroup(&q); q.Group < 0 {
+	if q.Group = l.currentGroup(&q); q.Group < 0 {
 		return
 	}
 	for i, table := range l.tables {
--- a/internal/decide/quota/node.go
+++ b/internal/decide/quota/node.go
@@ -12,11 +12,11 @@
 	if at > 0 {
 		n.path = p.path + "." + g.Name
 	}
-	percent := func(v float64) bool { return v >= 0 && v <= 100 }
+	isPercent := func(v float64) bool { return v >= 0 && v <= 100 }
 	switch {
 	case n.depth > MaxDepth:
 		return n, &GroupError{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
-	case !percent(g.Share):
+	case !isPercent(g.Share):
 		return n, &GroupError{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
 	case !(g.Weight >= 0 && g.Weight <= 1e6):
 		return n, &GroupError{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
@@ -24,7 +24,7 @@
 		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
 	case !(g.Floor >= 0 && g.Floor <= g.Share):
 		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
-	case !percent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
+	case !isPercent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
 		return n, &GroupError{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
 	}
 	if g.Floor > 0 {
--- a/internal/decide/quota/opencounts.go
+++ b/internal/decide/quota/opencounts.go
@@ -31,7 +31,7 @@
 }
 
 // waitSeconds estimates the time until a group may have one more request in flight, 0 if it may have it now.
-func (o *openCounts) waitSeconds(g int32, floor bool) float64 {
+func (o *openCounts) waitSeconds(g int32, mayUseFloor bool) float64 {
 	free := false
 	for n := g; n >= 0; n = o.tree.nodes[n].parent {
 		next, group := float64(o.open[n]+1), &o.tree.nodes[n]
@@ -39,7 +39,7 @@
 			return max(o.meanSeconds/float64(max(o.open[n], 1)), 1e-3)
 		}
 		quota := o.quota[n]
-		if !floor {
+		if !mayUseFloor {
 			quota *= 1 - group.floor
 		}
 		free = free || next <= quota+1e-9
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -93,14 +93,14 @@
 		tr := drawTree(t)
 		m := New(tr, Settings{RepayFraction: rapid.Float64Range(0, 1).Draw(t, "repay"), FadeSeconds: rapid.Float64Range(10, 1e5).Draw(t, "fade")}, startTime)
 		first := m.State()
-		late := startTime
+		latest := startTime
 		for i, e := range drawEvents(t, tr) {
 			v := e.replay(m)
-			if late = max(late, e.at); !v.Allowed && (v.RetryAfterSeconds <= 0 || v.RetryAfterSeconds > 31*86400) {
+			if latest = max(latest, e.at); !v.Allowed && (v.RetryAfterSeconds <= 0 || v.RetryAfterSeconds > 31*86400) {
 				t.Fatalf("rejected for %g s", v.RetryAfterSeconds)
 			}
 			if i%32 == 0 {
-				worst, at := m.Audit(late)
+				worst, at := m.Audit(latest)
 				if worst > 1e-3 {
 					t.Fatalf("event %d: %s is off by %g", i, at, worst)
 				}
@@ -119,13 +119,13 @@
 				}
 			}
 			root := &m.tables[l].accounts[0]
-			most := limit.Quota/limit.WindowSeconds*(late-startTime) + stored + owed
+			most := limit.Quota/limit.WindowSeconds*(latest-startTime) + stored + owed
 			if root.Tally.Used > most*(1+1e-9)+1e-3 {
 				t.Fatalf("%s: %g tokens are used, but there were only %g", limit.Name(), root.Tally.Used, most)
 			}
 			for n := range m.tables[l].accounts {
 				c := &m.tables[l].accounts[n]
-				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(late-startTime+limit.WindowSeconds)+slack {
+				if c.CapRate < 1e300 && c.Tally.Used > c.CapRate*(latest-startTime+limit.WindowSeconds)+slack {
 					t.Fatalf("%s of %s: %g tokens are used, which exceeds the cap", limit.Name(), tr.Path(int32(n)), c.Tally.Used)
 				}
 			}
@@ -161,12 +161,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTree(t)
 		m := New(tr, Settings{RepayFraction: 0.2, FadeSeconds: 600}, startTime)
-		late := startTime
+		latest := startTime
 		for _, e := range drawEvents(t, tr) {
 			e.replay(m)
-			late = max(late, e.at)
+			latest = max(latest, e.at)
 		}
-		m.Audit(late + 40*600)
+		m.Audit(latest + 40*600)
 		for l, b := range m.tables {
 			for n := range b.accounts {
 				c, held := &b.accounts[n], 0.0
@@ -185,15 +185,15 @@
 func TestNewTreeKeepsAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New(drawTree(t), Settings{RepayFraction: 0.1}, startTime)
-		late := startTime
+		latest := startTime
 		for range 3 {
 			for _, e := range drawEvents(t, m.tree) {
-				e.at += late - startTime
+				e.at += latest - startTime
 				e.replay(m)
-				late = max(late, e.at)
+				latest = max(latest, e.at)
 			}
-			m = m.WithTree(late, drawTree(t), Settings{RepayFraction: 0.1})
-			worst, at := m.Audit(late)
+			m = m.WithTree(latest, drawTree(t), Settings{RepayFraction: 0.1})
+			worst, at := m.Audit(latest)
 			if worst > 1e-3 {
 				t.Fatalf("%s is off by %g", at, worst)
 			}
--- a/internal/decide/quota/replace.go
+++ b/internal/decide/quota/replace.go
@@ -47,7 +47,7 @@
 
 // currentGroup returns the number of a request's group in the current tree, -1 if it is not known any more. A removed group is
 // replaced by its nearest ancestor that still exists.
-func (l *Limiter) presentGroup(q *Request) int32 {
+func (l *Limiter) currentGroup(q *Request) int32 {
 	g := q.Group
 	for tree := q.tree; tree < l.treeNumber && g >= 0; tree++ {
 		at := len(l.groupMoves) - (l.treeNumber - tree)
--- a/internal/decide/quota/restore.go
+++ b/internal/decide/quota/restore.go
@@ -31,20 +31,20 @@
 
 // shiftTimes adds an offset to all times of a state. Danger: if the clock was set back while the program was down, the limiter would
 // otherwise stand still until the clock reaches the time of the state.
-func (s *State) shiftTimes(by float64) {
-	s.At += by
+func (s *State) shiftTimes(offset float64) {
+	s.At += offset
 	for i := range s.Refusals {
-		s.Refusals[i].At += by
+		s.Refusals[i].At += offset
 	}
 	for i := range s.Books {
 		state := &s.Books[i]
 		for n := range state.accounts {
 			a := &state.accounts[n]
-			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+by, a.LastDrawnAt+by, a.CapSettledAt+by
+			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+offset, a.LastDrawnAt+offset, a.CapSettledAt+offset
 			a.Epoch, a.AskedEpoch, a.DemandWindow = -1, -1, -1
 		}
 		for n := range state.Queue {
-			state.Queue[n].Due += by
+			state.Queue[n].Due += offset
 		}
 	}
 }
@@ -83,12 +83,12 @@
 }
 
 // adoptAccounts takes over the accounts of another tree; to maps its groups to the current ones.
-func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
+func (t *accountTable) adoptAccounts(oldAccounts []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
 			continue
 		}
-		a, old := &t.accounts[g], &cells[n]
+		a, old := &t.accounts[g], &oldAccounts[n]
 		a.CapLevel = min(old.CapLevel, a.CapLevel)
 		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
 			// Danger: the added capacity of a bucket must be full, or the bucket is below its floor until it fills.
@@ -105,7 +105,7 @@
 	for n := range t.accounts {
 		t.accounts[n].Equity = 0
 	}
-	for n := range t.accounts { // the difference between tokens and balances becomes equity
+	for n := range t.accounts { // tokens that no balance accounts for become equity; a negative difference is written off
 		a := &t.accounts[n]
 		if t.tree.nodes[n].inner {
 			a.Equity += a.Level + a.Balance
--- a/internal/decide/quota/state.go
+++ b/internal/decide/quota/state.go
@@ -53,11 +53,11 @@
 	s := &State{At: l.now, Stats: slices.Clone(l.stats), Refusals: slices.Clone(l.refusals), tree: l.tree, settings: l.settings}
 	for i, limit := range l.tree.Limits {
 		s.Limits = append(s.Limits, limit.Name())
-		var table BookState
+		var book BookState
 		if l.tables[i] != nil {
-			table = BookState{accounts: slices.Clone(l.tables[i].accounts), Queue: slices.Clone(l.tables[i].queue), Lost: l.tables[i].overflow}
+			book = BookState{accounts: slices.Clone(l.tables[i].accounts), Queue: slices.Clone(l.tables[i].queue), Lost: l.tables[i].overflow}
 		}
-		s.Books = append(s.Books, table)
+		s.Books = append(s.Books, book)
 	}
 	return s
 }
--- a/internal/decide/quota/stored_form_test.go
+++ b/internal/decide/quota/stored_form_test.go
@@ -14,7 +14,7 @@
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 // newUsedLimiter returns a limiter with accounts of every measure in use: with loans, debts, a cap that was reached and open requests.
-func storedMachine(t *testing.T) (*Limiter, *Tree, Settings, float64) {
+func newUsedLimiter(t *testing.T) (*Limiter, *Tree, Settings, float64) {
 	tr := newTestTree(t, []Limit{{Requests, 10, 100}, {Bytes, 60, 1 << 20}, {Work, 10, 5}, {Open, 0, 8}},
 		Group{Name: "north", Share: 50}, Group{Name: "city", Parent: "north", Share: 60, Floor: 10}, Group{Name: "port", Parent: "north", Share: 30, Cap: 90},
 		Group{Name: "ministry", Share: 20, Weight: 2}, Group{Name: "others"})
@@ -38,7 +38,7 @@
 // Danger: gob matches fields by their Go names, and accounts are written in the order of their fields; if a field is renamed or moved, its
 // stored value is lost.
 func TestSnapshotFormIsKept(t *testing.T) {
-	m, tr, settings, now := storedMachine(t)
+	m, tr, settings, now := newUsedLimiter(t)
 	got, err := m.State().Encode()
 	require.NoError(t, err)
 	path := filepath.Join("testdata", "quotas.snapshot")
--- a/internal/decide/quota/testlimiter_test.go
+++ b/internal/decide/quota/testlimiter_test.go
@@ -49,7 +49,7 @@
 }
 
 // runLoad sends evenly spaced requests at a rate per group for some seconds, and returns how many of each group were admitted.
-func (s *testLimiter) runLoad(forS float64, ratePS map[string]float64) map[string]float64 {
+func (s *testLimiter) runLoad(seconds float64, perSecond map[string]float64) map[string]float64 {
 	type source struct {
 		name   string
 		every  float64
@@ -57,11 +57,11 @@
 	}
 	var all []source
 	for _, n := range s.tree.nodes { // in the order of the tree, since the order of maps is random
-		if r := ratePS[n.name]; r > 0 {
+		if r := perSecond[n.name]; r > 0 {
 			all = append(all, source{n.name, 1 / r, s.at + 1/r})
 		}
 	}
-	served, end := map[string]float64{}, s.at+forS
+	served, end := map[string]float64{}, s.at+seconds
 	for {
 		first := &source{nextAt: end}
 		for i := range all {
--- a/internal/decide/quota/tree.go
+++ b/internal/decide/quota/tree.go
@@ -162,11 +162,11 @@
 
 // isValidName reports whether a name has only letters, digits, '_' and '-'.
 func isValidName(s string) bool {
-	odd := func(r rune) bool {
-		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
-		return !letter && r != '_' && r != '-'
+	isInvalid := func(r rune) bool {
+		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+		return !isAlphanumeric && r != '_' && r != '-'
 	}
-	return s != "" && len(s) <= maxNameLength && !strings.ContainsFunc(s, odd)
+	return s != "" && len(s) <= maxNameLength && !strings.ContainsFunc(s, isInvalid)
 }
 
 // Len returns the number of groups, including the root.
--- a/internal/decide/quota/view.go
+++ b/internal/decide/quota/view.go
@@ -34,15 +34,15 @@
 // View returns the state of at most limit groups. If the tree is larger, it leaves out groups without requests.
 func (l *Limiter) View(now float64, limit int) View {
 	now = l.advance(now)
-	decision := View{At: now, All: l.tree.Len() - 1, Groups: []GroupView{}}
+	view := View{At: now, All: l.tree.Len() - 1, Groups: []GroupView{}}
 	for i, table := range l.tables {
-		decision.Limits = append(decision.Limits, l.tree.Limits[i].Name())
+		view.Limits = append(view.Limits, l.tree.Limits[i].Name())
 		lost := 0.0
 		if table != nil {
 			table.settleAll(now)
 			lost = table.overflow
 		}
-		decision.Lost = append(decision.Lost, lost)
+		view.Lost = append(view.Lost, lost)
 	}
 	served, refused := l.subtreeCounts()
 	var visit func(n int32)
@@ -51,20 +51,20 @@
 		p := l.tree.nodes[n].parent
 		children[p] = append(children[p], int32(n))
 	}
-	quietToo := l.tree.Len() <= limit
+	includesIdle := l.tree.Len() <= limit
 	visit = func(n int32) {
-		if len(decision.Groups) >= limit || !quietToo && n > 0 && served[n]+refused[n] == 0 {
+		if len(view.Groups) >= limit || !includesIdle && n > 0 && served[n]+refused[n] == 0 {
 			return
 		}
 		g := l.groupView(n)
 		g.Served, g.Rejected = served[n], refused[n]
-		decision.Groups = append(decision.Groups, g)
+		view.Groups = append(view.Groups, g)
 		for _, child := range children[n] {
 			visit(child)
 		}
 	}
 	visit(0)
-	return decision
+	return view
 }
 
 // subtreeCounts returns the admitted and rejected requests of each group, including all groups below it.
--- a/internal/decide/quota/wait.go
+++ b/internal/decide/quota/wait.go
@@ -19,21 +19,21 @@
 
 // retryAfterSeconds estimates the time until a need can be covered by the group's own bucket or by its turn at the nearest pool with
 // inflow, whichever is sooner.
-func (t *accountTable) retryAfterSeconds(group int32, need float64, floor bool) float64 {
+func (t *accountTable) retryAfterSeconds(group int32, need float64, mayUseFloor bool) float64 {
 	a := &t.accounts[group]
 	rate := a.Inflow
 	if a.Balance < 0 {
 		rate *= 1 - t.repayFraction
 	}
 	reserve := a.Reserve
-	if floor {
+	if mayUseFloor {
 		reserve = 0
 	}
 	earliest := t.waitSeconds(need+reserve-a.Level, rate)
 	for n := group; t.tree.links[n].parent >= 0; n = t.tree.links[n].parent {
 		pool, weight := &t.accounts[t.tree.links[n].parent], t.tree.links[n].weight
-		if pool.Inflow > 0 && weight > 0 && !floor {
-			missing := need - a.available(floor) - pool.available(floor)
+		if pool.Inflow > 0 && weight > 0 && !mayUseFloor {
+			missing := need - a.available(mayUseFloor) - pool.available(mayUseFloor)
 			return min(earliest, t.waitSeconds(max(missing, 0), pool.Inflow*weight/max(pool.Wanted, weight)))
 		}
 	}
