--- a/internal/decide/swim/view_test.go
+++ b/internal/decide/swim/view_test.go
@@ -45,40 +45,40 @@
 func TestStableRank(t *testing.T) {
 	p := NewStableRank(4, 5)
 	now := 100.0
-	see := func(rank, count int, forS float64) (moves int) {
-		for end := now + forS; now < end; now += 0.25 {
+	observe := func(rank, count int, seconds float64) (changes int) {
+		for end := now + seconds; now < end; now += 0.25 {
 			if p.Update(now, rank, count) {
-				moves++
+				changes++
 			}
 		}
-		return moves
+		return changes
 	}
-	place := func(rank, count int) {
+	assertCurrent := func(rank, count int) {
 		t.Helper()
 		r, c := p.Current()
 		assert.Equal(t, [2]int{rank, count}, [2]int{r, c})
 	}
-	place(4, 5)
-	assert.Zero(t, see(0, 1, 30), "alone")
+	assertCurrent(4, 5)
+	assert.Zero(t, observe(0, 1, 30), "alone")
 	assert.True(t, p.IsConfigured())
-	assert.Equal(t, 1, see(4, 5, 10), "an observed rank replaces the configured one even if the numbers are equal")
+	assert.Equal(t, 1, observe(4, 5, 10), "an observed rank replaces the configured one even if the numbers are equal")
 	assert.False(t, p.IsConfigured())
 	for range 20 {
-		assert.Zero(t, see(3, 5, 1)+see(4, 5, 1))
+		assert.Zero(t, observe(3, 5, 1)+observe(4, 5, 1))
 	}
-	assert.Equal(t, 1, see(7, 60, 10))
-	place(7, 60)
-	moves := 0
+	assert.Equal(t, 1, observe(7, 60, 10))
+	assertCurrent(7, 60)
+	changes := 0
 	for i := range 40 {
-		moves += see(7, 61+i, 0.5)
+		changes += observe(7, 61+i, 0.5)
 	}
-	assert.InDelta(t, 3, moves, 1, "a rank that keeps changing is adopted from time to time")
-	see(7, 100, 5)
-	place(7, 100)
-	see(0, 1, 5)
-	place(4, 5)
+	assert.InDelta(t, 3, changes, 1, "a rank that keeps changing is adopted from time to time")
+	observe(7, 100, 5)
+	assertCurrent(7, 100)
+	observe(0, 1, 5)
+	assertCurrent(4, 5)
 	assert.True(t, p.IsConfigured())
-	see(1_000_003, 2_000_000, 5)
+	observe(1_000_003, 2_000_000, 5)
 	r, c := p.Current()
 	assert.Equal(t, 5*maxScale, c, "a count far from the configured one is bounded")
 	assert.Less(t, r, c)
@@ -122,29 +122,29 @@
 // TestLinkEndsDuringUpdates checks that the other links still get the updates if a link breaks while they are sent.
 func TestLinkEndsDuringUpdates(t *testing.T) {
 	for breaks := 1; breaks <= 5; breaks++ {
-		do := &breakingLinks{updates: map[int]int{}}
-		do.view = New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, do)
+		actions := &breakingLinks{updates: map[int]int{}}
+		actions.view = New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, actions)
 		hello := func(id ID) Hello {
 			return Hello{Self: Record{ID: id, Version: Version{1 << 32, 1}, Address: ID.String(id)}}
 		}
 		for number := 1; number <= 5; number++ {
-			do.view.LinkUp(100, number, "", hello(ID(number+1)))
+			actions.view.LinkUp(100, number, "", hello(ID(number+1)))
 		}
-		clear(do.updates)
-		do.breaks = breaks
-		do.view.HandleMessage(100, 5, &Message{Records: []Record{hello(99).Self}})
+		clear(actions.updates)
+		actions.breaks = breaks
+		actions.view.HandleMessage(100, 5, &Message{Records: []Record{hello(99).Self}})
 		for number := 1; number <= 4; number++ {
-			assert.Positive(t, do.updates[number], "link %d, %d breaks", number, breaks)
+			assert.Positive(t, actions.updates[number], "link %d, %d breaks", number, breaks)
 		}
-		assert.Equal(t, breaks == 5, do.breaks == 5, "an update is not sent over the link that it came over")
+		assert.Equal(t, breaks == 5, actions.breaks == 5, "an update is not sent over the link that it came over")
 	}
 }
 
 // TestRequestLinks checks that links are kept to the requested members, but to at most maxRequestedLinks, and to none that is dead or
 // left.
 func TestRequestLinks(t *testing.T) {
-	do := &dialRecorder{addresses: map[string]bool{}}
-	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, do)
+	actions := &dialRecorder{addresses: map[string]bool{}}
+	v := New(100, Record{ID: 1, Version: Version{1 << 32, 1}, Address: "self:1"}, Settings{Seed: 1}, actions)
 	hello := func(id ID) Hello {
 		return Hello{Self: Record{ID: id, Version: Version{1 << 32, 1}, Address: ID.String(id)}}
 	}
@@ -154,7 +154,7 @@
 	}
 	v.LinkUp(100, 1, "", hello(60))
 	v.HandleMessage(100, 1, m)
-	clear(do.addresses)
+	clear(actions.addresses)
 	var ids []ID
 	for id := ID(2); id < 40; id++ {
 		ids = append(ids, id)
@@ -188,9 +188,9 @@
 	assert.LessOrEqual(t, left, ringCount)
 }
 
-// TestViewBoundsWhatPeersClaim checks that whatever peers send, no call panics, and ranks, the own incarnation and the number of members
+// TestViewHandlesArbitraryMessages checks that whatever peers send, no call panics, and ranks, the own incarnation and the number of members
 // stay within their bounds.
-func TestViewBoundsWhatPeersClaim(t *testing.T) {
+func TestViewHandlesArbitraryMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self := Record{ID: 1, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "self", Address: "self:1"}
 		friend := Record{ID: 2, Version: Version{Incarnation: 1 << 32, BootID: 1}, Name: "friend", Address: "friend:1"}
--- a/internal/decide/swim/wire_form_test.go
+++ b/internal/decide/swim/wire_form_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestFiguresForm compares the JSON encoding of Stats, which the admin endpoint returns, with a golden file.
-func TestFiguresForm(t *testing.T) {
+// TestStatsForm compares the JSON encoding of Stats, which the admin endpoint returns, with a golden file.
+func TestStatsForm(t *testing.T) {
 	value := Stats{Accusations: 1, Refutations: 2, Deaths: 3, Stalls: 4, Rejected: 5, Syncs: 6}
 	requireComplete(t, "figures", reflect.ValueOf(value))
 	golden, err := os.ReadFile(filepath.Join("testdata", "wire", "figures.json"))
