--- a/internal/decide/tokenlease/lessee_test.go
+++ b/internal/decide/tokenlease/lessee_test.go
@@ -124,7 +124,7 @@
 	assert.EqualValues(t, 3000, p.lessee.Spendable(recoveredAt+0.1, "acme"))
 }
 
-func TestSurplusIsHandedBack(t *testing.T) {
+func TestSurplusIsReturned(t *testing.T) {
 	p := newPair(t)
 	decision := p.ask(recoveredAt, 3000)
 	p.lessee.Refund(decision.Payment)
--- a/internal/decide/tokenlease/lessor_test.go
+++ b/internal/decide/tokenlease/lessor_test.go
@@ -130,7 +130,7 @@
 	assert.Zero(t, l.report(recoveredAt, "c", tokenlease.Report{LeaseID: 1, Reserve: 100}).Granted)
 }
 
-func TestRefusedLesseesAreToldToTakeTurns(t *testing.T) {
+func TestRetryDelayGrowsWithCompetingLessees(t *testing.T) {
 	l := newTestLessor(t)
 	l.report(recoveredAt, "a", tokenlease.Report{LeaseID: 1, Need: 750})
 	alone := l.report(recoveredAt, "b", tokenlease.Report{LeaseID: 1, Need: 200}).RetrySeconds
--- a/internal/decide/tokenlease/simchecks_test.go
+++ b/internal/decide/tokenlease/simchecks_test.go
@@ -12,8 +12,8 @@
 	s.after(spendableCheckInterval, s.checkSpendable)
 	for _, t := range s.tenants {
 		held, available := int64(0), 0.0
-		for _, h := range s.hosts {
-			if !h.isGone {
+		for _, h := range s.allLessees {
+			if !h.isReplaced {
 				held += h.lessee.Spendable(h.clock.read(s.now), t.name)
 			}
 		}
@@ -26,8 +26,8 @@
 		}
 		window := s.plan.allowance.WindowSeconds
 		capacity := t.maxOver(s.now, s.now, window, func(limit tokenlease.Limit) float64 { return orInf(limit, s.plan.allowance.Capacity(limit)) })
-		if float64(held)+available > capacity+1 && s.problem == "" {
-			s.problem = fmt.Sprintf("seed %d: %s at %.3f s: lessees hold %d tokens and lessors can grant %.0f, together at most %.0f are allowed", s.plan.seed, t.name, s.now, held, available,
+		if float64(held)+available > capacity+1 && s.violation == "" {
+			s.violation = fmt.Sprintf("seed %d: %s at %.3f s: lessees hold %d tokens and lessors can grant %.0f, together at most %.0f are allowed", s.plan.seed, t.name, s.now, held, available,
 				capacity)
 		}
 	}
@@ -44,12 +44,12 @@
 // checkBound returns the first violation, "" if there is none. In each window, spent tokens must not exceed Allowance.MaxSpent, nor the capacity
 // and the tokens that accrue in the window, which are less.
 func (s *simulation) checkBound() string {
-	if s.problem != "" {
-		return s.problem
+	if s.violation != "" {
+		return s.violation
 	}
 	for _, t := range s.tenants {
-		if problem := s.checkWindows(t); problem != "" {
-			return problem
+		if violation := s.checkWindows(t); violation != "" {
+			return violation
 		}
 	}
 	return ""
--- a/internal/decide/tokenlease/simfaults_test.go
+++ b/internal/decide/tokenlease/simfaults_test.go
@@ -75,7 +75,7 @@
 
 // restartLessee kills a proxy and restarts it with an empty state.
 func (s *simulation) restartLessee(index int, down float64) {
-	s.lessees[index].isGone = true // its tokens are lost
+	s.lessees[index].isReplaced = true // its tokens are lost
 	next := s.newLessee(index)
 	next.isDown = true
 	s.lessees[index] = next
--- a/internal/decide/tokenlease/simnetwork_test.go
+++ b/internal/decide/tokenlease/simnetwork_test.go
@@ -45,7 +45,7 @@
 func (s *simulation) send(h *lesseeHost, call tokenlease.Call) {
 	isOver := false
 	end := func(handle func()) {
-		if !isOver && !h.isGone && !h.isDown {
+		if !isOver && !h.isReplaced && !h.isDown {
 			isOver = true
 			handle()
 			s.step(h)
@@ -77,7 +77,7 @@
 			// Half of the hosts drop a reply that comes after the timeout. The others have not noticed the timeout and pass the reply on.
 			if s.rng.Float64() < 0.5 {
 				end(func() { h.lessee.HandleReply(h.clock.read(s.now), call, reply) })
-			} else if !h.isGone && !h.isDown {
+			} else if !h.isReplaced && !h.isDown {
 				isOver = true
 				h.lessee.HandleReply(h.clock.read(s.now), call, reply)
 				s.step(h)
--- a/internal/decide/tokenlease/simulation_test.go
+++ b/internal/decide/tokenlease/simulation_test.go
@@ -29,18 +29,18 @@
 
 // simulation is one simulated run of a fleet.
 type simulation struct {
-	plan    plan
-	rng     *rand.Rand
-	now     float64 // true time
-	events  eventQueue
-	order   int // of the last event
-	tenants []*tenant
-	lessees []*lesseeHost
-	lessors []*lessorHost
-	roles   [tokenlease.Shares]role
-	runs    int
-	hosts   []*lesseeHost // all lessees that have ever run
-	problem string        // the first violation that was found during the run
+	plan       plan
+	rng        *rand.Rand
+	now        float64 // true time
+	events     eventQueue
+	order      int // of the last event
+	tenants    []*tenant
+	lessees    []*lesseeHost
+	lessors    []*lessorHost
+	roles      [tokenlease.Shares]role
+	runs       int
+	allLessees []*lesseeHost // all lessees that have ever run
+	violation  string        // the first violation that was found during the run
 }
 
 // plan contains the random parameters of a run.
@@ -94,12 +94,12 @@
 // lesseeHost is a proxy: it drives a Lessee as the real host does.
 type lesseeHost struct {
 	process
-	index     int
-	run       int
-	lessee    *tokenlease.Lessee
-	waiting   map[tokenlease.Ticket]waitingRequest
-	stepDueAt float64
-	isGone    bool // the run was replaced
+	index      int
+	run        int
+	lessee     *tokenlease.Lessee
+	waiting    map[tokenlease.Ticket]waitingRequest
+	stepDueAt  float64
+	isReplaced bool // the run was replaced
 }
 
 type waitingRequest struct {
@@ -135,7 +135,7 @@
 	h := &lesseeHost{process: s.newProcess(), index: index, run: s.runs, waiting: map[tokenlease.Ticket]waitingRequest{}}
 	h.lessee = tokenlease.NewLessee(fmt.Sprint(index, "/", s.runs))
 	h.lessee.SetHome(index)
-	s.hosts = append(s.hosts, h)
+	s.allLessees = append(s.allLessees, h)
 	return h
 }
 
@@ -151,7 +151,7 @@
 
 // step calls Step and executes what it returns.
 func (s *simulation) step(h *lesseeHost) {
-	if h.isDown || h.isGone {
+	if h.isDown || h.isReplaced {
 		return
 	}
 	if h.isFrozen(s.now) {
@@ -186,7 +186,7 @@
 	request.isAdmitted = true
 	if s.rng.Float64() < 0.02 {
 		s.after(s.uniform(0, 0.2), func() {
-			if !h.isGone && !h.isDown {
+			if !h.isReplaced && !h.isDown {
 				h.lessee.Refund(decision.Payment)
 				s.step(h)
 			}
@@ -195,7 +195,7 @@
 	}
 	waiting.tenant.payments = append(waiting.tenant.payments, payment{s.now, request.tokens})
 	s.after(s.uniform(0, 0.1), func() {
-		if !h.isGone && !h.isDown {
+		if !h.isReplaced && !h.isDown {
 			h.lessee.Commit(h.clock.read(s.now), decision.Payment)
 			s.step(h)
 		}
