--- a/internal/decide/quota/accounttable.go
+++ b/internal/decide/quota/accounttable.go
@@ -10,8 +10,7 @@
 	// quietFraction of a window must pass without a draw before an account overflows to the parent continuously. Until then its
 	// excess is deposited when the account is next settled.
 	quietFraction = 1.0 / 16
-	// epochFraction of a window is the length of an epoch. A group counts as wanting tokens in the epoch in which it asked and in
-	// the next one.
+	// epochFraction of a window is the length of an epoch. A group that asks for tokens counts as wanting them in the next epoch.
 	epochFraction = 1.0 / 8
 	// minScheduleSeconds is the minimum time until an account is due again.
 	minScheduleSeconds = 1e-3
--- a/internal/decide/quota/limiter_test.go
+++ b/internal/decide/quota/limiter_test.go
@@ -137,7 +137,7 @@
 	assert.Greater(t, south, 0.0, "south has repaid its debt and is a lender now")
 }
 
-func TestBorrowerStopsAsking(t *testing.T) {
+func TestBorrowerIsRemoved(t *testing.T) {
 	s := newTestLimiter(t, newTestTree(t, []Limit{requestsPerSecond(100)}, Group{Name: "a", Share: 40}, Group{Name: "b", Share: 40}, Group{Name: "c", Share: 20}))
 	s.runLoad(600, map[string]float64{"a": 200})
 	_, claim := s.Tally(s.mustFind("b"), 0)
--- a/internal/decide/quota/property_test.go
+++ b/internal/decide/quota/property_test.go
@@ -119,9 +119,9 @@
 				}
 			}
 			root := &m.tables[l].accounts[0]
-			most := limit.Quota/limit.WindowSeconds*(latest-startTime) + stored + owed
-			if root.Tally.Used > most*(1+1e-9)+1e-3 {
-				t.Fatalf("%s: %g tokens are used, but there were only %g", limit.Name(), root.Tally.Used, most)
+			maxUsed := limit.Quota/limit.WindowSeconds*(latest-startTime) + stored + owed
+			if root.Tally.Used > maxUsed*(1+1e-9)+1e-3 {
+				t.Fatalf("%s: %g tokens are used, but there were only %g", limit.Name(), root.Tally.Used, maxUsed)
 			}
 			for n := range m.tables[l].accounts {
 				c := &m.tables[l].accounts[n]
