--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -222,7 +222,7 @@
 	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
 	case succeeded: // by a process that continues this identity
 		n.handleReplacement()
-		n.view.Silence(n.loop.Now())
+		n.view.AbandonIdentity(n.loop.Now())
 		n.closeListener()
 	case n.roles != nil && n.roles.releaseLeases(n.loop.Now()): // the members learn of it once the roles have other holders
 	default:
--- a/internal/decide/swim/identity.go
+++ b/internal/decide/swim/identity.go
@@ -105,8 +105,8 @@
 	v.sendUpdates()
 }
 
-// Silence stops using the identity without an announcement, since a replacement uses it from now on.
-func (v *View) Silence(now float64) {
+// AbandonIdentity stops using the identity without an announcement, since a replacement uses it from now on.
+func (v *View) AbandonIdentity(now float64) {
 	v.advanceClock(now)
 	if !v.lostIdentity {
 		v.lostIdentity = true
