--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -223,7 +223,7 @@
 	case !ending || n.isReplaced || n.isLeaving || n.view == nil:
 	case succeeded: // another process continues this identity
 		n.handleReplacement()
-		n.view.Silence(n.loop.Now())
+		n.view.AbandonIdentity(n.loop.Now())
 		n.closeListener()
 	case n.roles != nil && n.roles.releaseLeases(n.loop.Now()): // the other members are told once the roles have other holders
 	default:
--- a/internal/decide/quota/node.go
+++ b/internal/decide/quota/node.go
@@ -5,18 +5,18 @@
 	"math"
 )
 
-// newChild validates a group and returns its node below a parent.
+// newChild validates a group and returns its node, a child of the node at.
 func (t *Tree) newChild(at int32, g *Group) (node, error) {
 	p := &t.nodes[at]
 	n := node{name: g.Name, path: g.Name, parent: at, depth: p.depth + 1, weight: g.Weight}
 	if at > 0 {
 		n.path = p.path + "." + g.Name
 	}
-	percent := func(v float64) bool { return v >= 0 && v <= 100 }
+	isPercent := func(v float64) bool { return v >= 0 && v <= 100 }
 	switch {
 	case n.depth > MaxDepth:
 		return n, &GroupError{n.path, fmt.Sprintf("it is deeper than %d groups", MaxDepth)}
-	case !percent(g.Share):
+	case !isPercent(g.Share):
 		return n, &GroupError{n.path, fmt.Sprintf("share: want percent of its parent, 0 to 100, not %g", g.Share)}
 	case !(g.Weight >= 0 && g.Weight <= 1e6):
 		return n, &GroupError{n.path, fmt.Sprintf("weight: want 0 to 1000000, not %g", g.Weight)}
@@ -24,7 +24,7 @@
 		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% is above the parent", g.Floor)}
 	case !(g.Floor >= 0 && g.Floor <= g.Share):
 		return n, &GroupError{n.path, fmt.Sprintf("floor: %g %% of its parent is above its share, %g %%", g.Floor, g.Share)}
-	case !percent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
+	case !isPercent(g.Cap) || g.Cap > 0 && g.Cap < g.Share:
 		return n, &GroupError{n.path, fmt.Sprintf("cap: want percent of its parent from its share, %g, to 100, not %g", g.Share, g.Cap)}
 	}
 	if g.Floor > 0 {
@@ -61,13 +61,13 @@
 	depth      int32 // 0 for the root
 	inner      bool  // it has children
 	weight     float64
-	floor      float64 // fraction of its own quota
-	quota      []float64
-	unassigned []float64 // part of the quota that no child has
-	cap        []float64 // +Inf: none
+	floor      float64   // fraction of the group's own quota
+	quota      []float64 // by limit
+	unassigned []float64 // by limit: part of the quota that is not assigned to children
+	cap        []float64 // by limit; +Inf without a cap
 }
 
-// link is the part of a node that every decision reads.
+// link contains the fields of a node that every decision reads.
 type link struct {
 	weight float64
 	parent int32
--- a/internal/decide/quota/restore.go
+++ b/internal/decide/quota/restore.go
@@ -1,6 +1,6 @@
 package quota
 
-// Restore returns a limiter that goes on from a state. With the same tree and settings it continues as if it had never stopped.
+// Restore returns a limiter that continues from a state. With the same tree and settings it continues as if it had never stopped.
 // Otherwise groups keep their accounts by path and limit, as WithTree describes.
 func Restore(tree *Tree, settings Settings, s *State, now float64) *Limiter {
 	s.fillNames()
@@ -29,28 +29,28 @@
 	return l
 }
 
-// shiftTimes moves all times of a state. Danger: if the clock was set back while the program was down, the limiter would stand
-// still until it catches up.
-func (s *State) shiftTimes(by float64) {
-	s.At += by
+// shiftTimes adds an offset to all times of a state. Danger: if the clock was set back while the program was down, the limiter would
+// otherwise stand still until the clock reaches the time of the state.
+func (s *State) shiftTimes(offset float64) {
+	s.At += offset
 	for i := range s.Refusals {
-		s.Refusals[i].At += by
+		s.Refusals[i].At += offset
 	}
 	for i := range s.Books {
 		state := &s.Books[i]
 		for n := range state.accounts {
 			a := &state.accounts[n]
-			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+by, a.LastDrawnAt+by, a.CapSettledAt+by
+			a.SettledAt, a.LastDrawnAt, a.CapSettledAt = a.SettledAt+offset, a.LastDrawnAt+offset, a.CapSettledAt+offset
 			a.Epoch, a.AskedEpoch, a.DemandWindow = -1, -1, -1
 		}
 		for n := range state.Queue {
-			state.Queue[n].Due += by
+			state.Queue[n].Due += offset
 		}
 	}
 }
 
-// adoptState takes accounts and counters from a state of another tree. It returns the present numbers of the state's groups, -1
-// for those that are gone.
+// adoptState takes accounts and counters from a state of another tree. It returns the numbers of the state's groups in the current
+// tree, -1 for removed ones.
 func (l *Limiter) adoptState(s *State) []int {
 	s.fillNames()
 	to := make([]int, len(s.Paths))
@@ -82,16 +82,16 @@
 	return to
 }
 
-// adoptAccounts takes accounts of another tree; to maps their groups to the present ones.
-func (t *accountTable) adoptAccounts(cells []account, to []int, now float64) {
+// adoptAccounts takes over the accounts of another tree; to maps its groups to the current ones.
+func (t *accountTable) adoptAccounts(oldAccounts []account, to []int, now float64) {
 	for n, g := range to {
 		if g < 0 {
 			continue
 		}
-		a, old := &t.accounts[g], &cells[n]
+		a, old := &t.accounts[g], &oldAccounts[n]
 		a.CapLevel = min(old.CapLevel, a.CapLevel)
 		if a.Level = min(old.Level, a.Capacity); !t.tree.links[g].inner {
-			// Danger: a bucket that has grown must not stay as empty as it was, or it is below its floor until it fills.
+			// Danger: the added capacity of a bucket must be full, or the bucket is below its floor until it fills.
 			a.Level += max(a.Capacity-old.Capacity, 0)
 		}
 		if t.tree.links[g].inner {
@@ -105,7 +105,7 @@
 	for n := range t.accounts {
 		t.accounts[n].Equity = 0
 	}
-	for n := range t.accounts { // tokens that no balance accounts for are equity, or written off
+	for n := range t.accounts { // tokens that no balance accounts for become equity; a negative difference is written off
 		a := &t.accounts[n]
 		if t.tree.nodes[n].inner {
 			a.Equity += a.Level + a.Balance
