--- a/internal/coordination/fault_role.go
+++ b/internal/coordination/fault_role.go
@@ -21,8 +21,9 @@
 	// An ended fault is remembered for retentionSeconds plus retentionFraction of its duration, since the rates of clocks differ by up
 	// to 5 %.
 	retentionSeconds, retentionFraction = 600.0, 0.2
-	// forwardSlack is the fraction of a retry interval that must have passed before a message that is received again is forwarded again.
-	forwardSlack = 0.9
+	// forwardRetryFraction is the fraction of a retry interval that must have passed before a message that is received again is
+	// forwarded again.
+	forwardRetryFraction = 0.9
 )
 
 // faultRole is the role "drill": a fault that an operator starts at one sidecar runs at all sidecars. The sidecar that has checked the
@@ -144,7 +145,7 @@
 // handleOrder handles an order on its way to the holder: the holder announces it, other sidecars forward it.
 func (r *faultRole) handleOrder(now float64, order *faultOrder, token uint64, from *peers.Link) {
 	run := r.trackRun(now, order)
-	if run == nil || now < run.forwardedAt+forwardSlack*faultOrderRetrySeconds || now >= run.endsAt {
+	if run == nil || now < run.forwardedAt+forwardRetryFraction*faultOrderRetrySeconds || now >= run.endsAt {
 		return
 	}
 	if run.forwardedAt = now; r.heldToken != 0 {
--- a/internal/coordination/lease_status.go
+++ b/internal/coordination/lease_status.go
@@ -145,8 +145,8 @@
 	return s
 }
 
-// appendFigures appends the metrics of leases and roles for the admin command DUMP.
-func (m *roleManager) appendFigures(all []sidecar.Metric) []sidecar.Metric {
+// appendMetrics appends the metrics of leases and roles for the admin command DUMP.
+func (m *roleManager) appendMetrics(all []sidecar.Metric) []sidecar.Metric {
 	add := func(name string, value uint64) { all = append(all, sidecar.Metric{Name: name, Value: value}) }
 	table, local := m.leaseView()
 	add("owner_electors", uint64(len(table.Voters)))
--- a/internal/coordination/list_relay.go
+++ b/internal/coordination/list_relay.go
@@ -71,10 +71,10 @@
 }
 
 // ListRead implements sidecar.ListObserver: it relays an object that this sidecar's watch has received from discovery.
-func (n *Node) ListRead(before uint64, held bool, raw []byte) {
+func (n *Node) ListRead(previousIndex uint64, held bool, raw []byte) {
 	n.run(func() {
 		if n.roles != nil && n.roles.listRelay != nil {
-			n.roles.listRelay.handleDiscoveryUpdate(before, held, raw)
+			n.roles.listRelay.handleDiscoveryUpdate(previousIndex, held, raw)
 		}
 	})
 }
@@ -111,7 +111,7 @@
 
 // handleDiscoveryUpdate sends an update of this sidecar's watch to all if this sidecar is a holder. The arguments are those of
 // sidecar.ListObserver.ListRead.
-func (l *listRelay) handleDiscoveryUpdate(before uint64, held bool, raw []byte) {
+func (l *listRelay) handleDiscoveryUpdate(previousIndex uint64, held bool, raw []byte) {
 	defer l.serveWaiters()
 	l.directWatchUpdatedAt = l.now()
 	r := l.activeSource()
@@ -122,7 +122,7 @@
 	u := listUpdate{Discovery: v.DiscoveryAddress, Index: v.Index, Checksum: v.Checksum}
 	if raw != nil && held && v.Index > l.announcedIndex { // otherwise the others have the delta already, or will request the list
 		if delta := compress(raw); len(delta) <= maxDeltaBytes {
-			u.BaseIndex, u.Delta = before, delta
+			u.BaseIndex, u.Delta = previousIndex, delta
 		}
 	}
 	l.publish(r, u)
--- a/internal/coordination/list_relay_test.go
+++ b/internal/coordination/list_relay_test.go
@@ -61,21 +61,21 @@
 		n, loop, lists := newListNode()
 		l := n.roles.listRelay
 		// The list of discovery: version i consists of the changes up to i.
-		truth := endpointset.New(nil, nil)
-		var sums []uint64
+		discovered := endpointset.New(nil, nil)
+		var checksums []uint64
 		var updates []listUpdate
 		versions := rapid.IntRange(1, 10).Draw(t, "versions")
 		for i := range versions + 1 {
 			raw, err := json.Marshal(map[string]any{"index": i, "snapshot": i == 0, "endpoints": []map[string]any{{"name": string(rune('a' + i%4)), "address": "x:1",
 				"status": rapid.SampledFrom([]string{"SERVING", "DRAINING", "DELETED"}).Draw(t, "status"), "weight": i}}})
 			require.NoError(t, err)
-			_, _, err = truth.Apply(raw, 1)
+			_, _, err = discovered.Apply(raw, 1)
 			require.NoError(t, err)
 			if i == 0 {
 				require.NoError(t, lists.ApplyList(raw))
 			}
-			sums = append(sums, truth.Checksum())
-			updates = append(updates, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: truth.Checksum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
+			checksums = append(checksums, discovered.Checksum())
+			updates = append(updates, listUpdate{Discovery: "d:1", Index: uint64(i), Checksum: discovered.Checksum(), BaseIndex: uint64(max(i-1, 0)), Delta: compress(raw)})
 		}
 		index, freshAt := uint64(0), 0.0
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -100,7 +100,7 @@
 			v, ok := lists.ListVersion()
 			require.True(t, ok)
 			require.GreaterOrEqual(t, v.Index, index, "no version is replaced by an earlier one")
-			require.Equal(t, sums[v.Index], v.Checksum)
+			require.Equal(t, checksums[v.Index], v.Checksum)
 			if index = v.Index; l.newestFreshAt() > freshAt {
 				freshAt = l.newestFreshAt()
 			}
--- a/internal/coordination/log_limiter.go
+++ b/internal/coordination/log_limiter.go
@@ -33,11 +33,11 @@
 }
 
 // logMemberChange logs a change of a member's state.
-func (l *logLimiter) logMemberChange(now float64, log *slog.Logger, r swim.Record, was swim.State, known bool) {
+func (l *logLimiter) logMemberChange(now float64, log *slog.Logger, r swim.Record, previous swim.State, known bool) {
 	if !l.allow(now) {
 		return
 	}
-	before := was.String()
+	before := previous.String()
 	if !known {
 		before = "unknown"
 	}
--- a/internal/coordination/maintenance_commands.go
+++ b/internal/coordination/maintenance_commands.go
@@ -25,7 +25,7 @@
 	answered    bool    // reply is set
 	requestedAt float64 // when it was last submitted here; -Inf: never
 	forwardedAt float64 // when it was last sent; -Inf: never
-	seenAt      float64 // when it or its reply was last received
+	lastSeenAt  float64 // when it or its reply was last received
 }
 
 // submit returns the reply to a command that is submitted at this sidecar. Without a reply yet, the command is sent towards the holder
@@ -46,7 +46,7 @@
 func (r *maintenanceRole) trackCommand(now float64, c *maintenance.Command) *trackedCommand {
 	for _, t := range r.commands {
 		if t.Nonce == c.Nonce {
-			t.seenAt = now
+			t.lastSeenAt = now
 			return t
 		}
 	}
@@ -54,13 +54,13 @@
 	if len(r.commands) >= maxCommands {
 		return nil
 	}
-	t := &trackedCommand{Command: *c, requestedAt: math.Inf(-1), forwardedAt: math.Inf(-1), seenAt: now}
+	t := &trackedCommand{Command: *c, requestedAt: math.Inf(-1), forwardedAt: math.Inf(-1), lastSeenAt: now}
 	r.commands = append(r.commands, t)
 	return t
 }
 
 func (r *maintenanceRole) expireCommands(now float64) {
-	r.commands = slices.DeleteFunc(r.commands, func(t *trackedCommand) bool { return now-max(t.seenAt, t.requestedAt) > replyRetentionSeconds })
+	r.commands = slices.DeleteFunc(r.commands, func(t *trackedCommand) bool { return now-max(t.lastSeenAt, t.requestedAt) > replyRetentionSeconds })
 }
 
 // handleCommand handles a command on its way to the holder: the holder executes it, other sidecars forward it.
@@ -70,7 +70,7 @@
 	case t == nil:
 	case r.heldToken != 0:
 		r.execute(now, t)
-	case now >= t.forwardedAt+forwardSlack*commandRetrySeconds:
+	case now >= t.forwardedAt+forwardRetryFraction*commandRetrySeconds:
 		r.forwardCommand(now, t, from)
 	}
 }
@@ -117,7 +117,7 @@
 // publishReply sends a reply to all members, since the command may have been submitted at any of them.
 func (r *maintenanceRole) publishReply(now float64, reply *maintenance.Reply) {
 	if reply.Token != 0 {
-		reachStep("handed")
+		callStepHook("handed")
 	}
 	if r.roles.broadcast(maintenanceRoleName, kindCommandReply, mustMarshal(reply)) {
 		r.recordReply(now, reply)
@@ -128,7 +128,7 @@
 func (r *maintenanceRole) recordReply(now float64, reply *maintenance.Reply) {
 	for _, t := range r.commands {
 		if t.Nonce == reply.Nonce && !t.answered {
-			t.answered, t.reply, t.seenAt = true, *reply, now
+			t.answered, t.reply, t.lastSeenAt = true, *reply, now
 		}
 	}
 }
--- a/internal/coordination/maintenance_holder.go
+++ b/internal/coordination/maintenance_holder.go
@@ -38,7 +38,7 @@
 		return
 	case record.Version > 0:
 		r.carriedOver = nil
-		reachStep("agreed")
+		callStepHook("agreed")
 	}
 	for i := range state.Plans {
 		state.Plans[i].AgeSeconds = r.planAge(now, &state.Plans[i])
@@ -145,7 +145,7 @@
 		return
 	}
 	if r.proposed == nil && drainedServers(state) > drainedServers(&r.state) {
-		reachStep("empty")
+		callStepHook("empty")
 	}
 	r.proposed, r.writeRetryAt = body, now+writeRetrySeconds
 	r.writeRecord(r.coordinator.Version()+1, body)
@@ -198,6 +198,6 @@
 	}
 	if r.roles.broadcast(maintenanceRoleName, kindRecord, mustMarshal(m)) && m.Body != nil {
 		r.announcedVersion, r.announcedEpoch = r.version, r.epoch
-		reachStep("told")
+		callStepHook("told")
 	}
 }
--- a/internal/coordination/maintenance_record.go
+++ b/internal/coordination/maintenance_record.go
@@ -64,7 +64,7 @@
 	}
 	slices.Sort(names)
 	for name := range r.outSince {
-		if _, out := slices.BinarySearch(names, name); !out {
+		if _, isCordoned := slices.BinarySearch(names, name); !isCordoned {
 			delete(r.outSince, name)
 		}
 	}
--- a/internal/coordination/maintenance_role.go
+++ b/internal/coordination/maintenance_role.go
@@ -17,7 +17,7 @@
 // not proposed yet) and "handed" (a reply that hands a server to a maintenance agent is about to be sent).
 var OnMaintenanceStep func(step string)
 
-func reachStep(step string) {
+func callStepHook(step string) {
 	if OnMaintenanceStep != nil {
 		OnMaintenanceStep(step)
 	}
--- a/internal/coordination/maintenance_status.go
+++ b/internal/coordination/maintenance_status.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, server := range r.servers.Servers() {
-		if _, out := r.outSince[server.Name]; out {
+		if _, isCordoned := r.outSince[server.Name]; isCordoned {
 			s.Cordoned = append(s.Cordoned, server.Name)
 			if server.IsKeptInUse {
 				s.Reinstated = append(s.Reinstated, server.Name)
--- a/internal/coordination/maintenance_survey.go
+++ b/internal/coordination/maintenance_survey.go
@@ -60,8 +60,8 @@
 		status := maintenance.ServerStatus{Server: server.Name, Site: server.Zone, Type: server.Type, Capacity: server.Weight,
 			ListedBy: boolToInt(server.IsListed), DrainingBy: boolToInt(server.IsDraining), CordonedBy: boolToInt(server.IsCordoned),
 			WarmingUpBy: boolToInt(server.IsWarmingUp), UnresponsiveBy: boolToInt(server.IsUnavailable), InFlight: server.InFlight, Busy: server.IsBusy}
-		if before, known := r.serverCompleted[server.Name]; known {
-			status.CompletedPerSecond = float64(server.AttemptsEnded-before) / spanSeconds
+		if previous, known := r.serverCompleted[server.Name]; known {
+			status.CompletedPerSecond = float64(server.AttemptsEnded-previous) / spanSeconds
 		}
 		r.serverCompleted[server.Name] = server.AttemptsEnded
 		report.Servers = append(report.Servers, status)
--- a/internal/coordination/membership_actions.go
+++ b/internal/coordination/membership_actions.go
@@ -31,8 +31,8 @@
 }
 
 // MemberChanged implements swim.Actions.
-func (a membershipActions) MemberChanged(r swim.Record, was swim.State, known bool) {
-	a.node.memberLogs.logMemberChange(a.node.loop.Now(), a.node.log, r, was, known)
+func (a membershipActions) MemberChanged(r swim.Record, previous swim.State, known bool) {
+	a.node.memberLogs.logMemberChange(a.node.loop.Now(), a.node.log, r, previous, known)
 }
 
 // ReplaceIdentity implements swim.Actions.
--- a/internal/coordination/response_budget.go
+++ b/internal/coordination/response_budget.go
@@ -18,10 +18,10 @@
 // take takes the bytes of a response out of the budget. If the budget is too small now, it returns when to try again, at most
 // maxWaitSeconds later. A response that exceeds the burst may be sent once the budget is full.
 func (b *responseBudget) take(now float64, bytes int, maxWaitSeconds float64) (retryAt float64, ok bool) {
-	need := float64(bytes)
-	if left := b.bucket.Refill(now, responseBytesPerSecond, responseBurstBytes); left < need && left < responseBurstBytes {
-		return now + min((need-left)/responseBytesPerSecond, maxWaitSeconds), false
+	needed := float64(bytes)
+	if available := b.bucket.Refill(now, responseBytesPerSecond, responseBurstBytes); available < needed && available < responseBurstBytes {
+		return now + min((needed-available)/responseBytesPerSecond, maxWaitSeconds), false
 	}
-	b.bucket.Take(need)
+	b.bucket.Take(needed)
 	return 0, true
 }
--- a/internal/coordination/role_messages.go
+++ b/internal/coordination/role_messages.go
@@ -124,9 +124,9 @@
 	if s == nil || msg.Token == 0 {
 		return
 	}
-	ok, greatest := m.fence.Admit(msg.Role, msg.Token)
+	ok, highest := m.fence.Admit(msg.Role, msg.Token)
 	if !ok {
-		m.reject(link, s, msg, greatest)
+		m.reject(link, s, msg, highest)
 		return
 	}
 	if s.heldToken != 0 && msg.Token > s.heldToken {
@@ -137,7 +137,7 @@
 	if msg.Kind == frames.KindRejected {
 		// A rejection is sent back over the link by which the rejected message came. It is forwarded only if its token is new here:
 		// forwarded more than once it could circulate for ever.
-		if back := m.node.links[s.lastLink]; back != nil && isNewToken && back != link {
+		if back := m.node.links[s.lastBroadcastLink]; back != nil && isNewToken && back != link {
 			m.send(back, msg)
 		}
 		return
@@ -146,7 +146,7 @@
 		if !s.received.accept(msg.Token, msg.Sequence) {
 			return
 		}
-		s.lastLink = link.Number
+		s.lastBroadcastLink = link.Number
 		m.flood(msg, link)
 	}
 	if s.acceptedTokens[s.acceptedTokensAt] != msg.Token {
@@ -160,16 +160,16 @@
 }
 
 // reject drops a message whose token is too low, and replies with the highest token and the table of leases.
-func (m *roleManager) reject(link *peers.Link, s *roleState, msg *frames.RoleMessage, greatest uint64) {
+func (m *roleManager) reject(link *peers.Link, s *roleState, msg *frames.RoleMessage, highest uint64) {
 	s.rejected++
 	if m.rejectionLogs.allow(m.node.loop.Now()) {
-		m.node.log.Warn("an old owner's effect is refused", "job", msg.Role, "token", msg.Token, "greatest", greatest, "origin", swim.ID(msg.Origin),
+		m.node.log.Warn("an old owner's effect is refused", "job", msg.Role, "token", msg.Token, "greatest", highest, "origin", swim.ID(msg.Origin),
 			"from", link.Hello.Name, "kind", msg.Kind)
 	}
 	if msg.Kind == frames.KindRejected {
 		return
 	}
-	m.send(link, &frames.RoleMessage{Role: msg.Role, Token: greatest, Origin: uint64(m.node.state.ID), Kind: frames.KindRejected})
+	m.send(link, &frames.RoleMessage{Role: msg.Role, Token: highest, Origin: uint64(m.node.state.ID), Kind: frames.KindRejected})
 	if m.lease != nil {
 		if table := m.lease.Table(); table.Epoch > 0 {
 			link.Send(frames.TopicLease, mustMarshal(&lease.Message{Table: &table}))
--- a/internal/coordination/roles.go
+++ b/internal/coordination/roles.go
@@ -56,11 +56,11 @@
 	rejected  uint64 // messages whose token was too low
 	malformed uint64 // messages whose body could not be decoded or was implausible
 
-	received         replayWindow
-	maxToken         uint64    // highest token of an accepted message
-	lastLink         int       // link by which the last broadcast arrived
-	acceptedTokens   [8]uint64 // ring buffer of the tokens of accepted messages, with an entry for each change
-	acceptedTokensAt int
+	received          replayWindow
+	maxToken          uint64    // highest token of an accepted message
+	lastBroadcastLink int       // link by which the last broadcast arrived
+	acceptedTokens    [8]uint64 // ring buffer of the tokens of accepted messages, with an entry for each change
+	acceptedTokensAt  int
 }
 
 // roleManager starts and stops the singleton roles as their leases start and end, and sends and receives their messages. It belongs to
@@ -77,7 +77,7 @@
 	maintenance *maintenanceRole
 
 	membershipChanges uint64  // swim.View.Changes as of the last SetMembers
-	fitnessAt         float64 // when updateFitness is due
+	fitnessCheckAt    float64 // when updateFitness is due
 	ineligibleReason  string  // why this sidecar is not fit to hold roles; empty: it is fit
 	leaveDeadline     float64 // 0: this sidecar does not leave
 	logs              logLimiter
@@ -113,7 +113,7 @@
 	o := &m.node.options
 	settings := lease.Settings{InitialVoters: o.Voters, Address: o.Advertise, Roles: o.Roles, RecordedRoles: []string{maintenanceRoleName}, Seed: o.Rand.Uint64()}
 	m.lease, err = lease.New(m.node.loop.Now(), id, settings, saved, leaseActions{m})
-	m.membershipChanges, m.fitnessAt = 0, 0
+	m.membershipChanges, m.fitnessCheckAt = 0, 0
 	for _, s := range m.states {
 		s.unfit = false
 	}
@@ -155,7 +155,7 @@
 		m.membershipChanges = c
 		m.lease.SetMembers(now, m.leaseMembers())
 	}
-	if now >= m.fitnessAt {
+	if now >= m.fitnessCheckAt {
 		m.updateFitness(now)
 	}
 	if now >= m.lease.NextTick() {
@@ -175,7 +175,7 @@
 	if m.lease == nil {
 		return now + fitnessIntervalSeconds
 	}
-	next := min(m.lease.NextTick(), m.fitnessAt)
+	next := min(m.lease.NextTick(), m.fitnessCheckAt)
 	for _, s := range m.states {
 		if s.role != nil {
 			next = min(next, s.nextTick)
@@ -198,7 +198,7 @@
 
 // updateFitness tells the lease protocol whether this sidecar is fit to hold roles.
 func (m *roleManager) updateFitness(now float64) {
-	m.fitnessAt = now + fitnessIntervalSeconds
+	m.fitnessCheckAt = now + fitnessIntervalSeconds
 	fit, reason := m.node.options.RoleHost.CanTakeRoles()
 	if reason != m.ineligibleReason {
 		m.logInfo("eligibility for roles changed", "eligible", fit, "reason", reason)
--- a/internal/coordination/state.go
+++ b/internal/coordination/state.go
@@ -66,11 +66,11 @@
 	if saved.Err != nil || saved.Data == nil {
 		return s, saved.Err
 	}
-	head, body, found := bytes.Cut(saved.Data, []byte{'\n'})
+	header, body, found := bytes.Cut(saved.Data, []byte{'\n'})
 	var magic string
 	var version, length int
 	var checksum uint32
-	n, _ := fmt.Sscanf(string(head), "%s %d %d %x", &magic, &version, &length, &checksum)
+	n, _ := fmt.Sscanf(string(header), "%s %d %d %x", &magic, &version, &length, &checksum)
 	switch {
 	case n < 2 || magic != stateMagic:
 		return s, errCorrupt
--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -117,13 +117,13 @@
 
 // markOf returns the mark of an open file.
 func markOf(file *os.File) (fileMark, error) {
-	var st unix.Statx_t
-	if err := unix.Statx(int(file.Fd()), "", unix.AT_EMPTY_PATH, unix.STATX_INO|unix.STATX_BTIME, &st); err != nil {
+	var stat unix.Statx_t
+	if err := unix.Statx(int(file.Fd()), "", unix.AT_EMPTY_PATH, unix.STATX_INO|unix.STATX_BTIME, &stat); err != nil {
 		return fileMark{}, fmt.Errorf("statx: %w", err)
 	}
-	m := fileMark{inode: st.Ino}
-	if st.Mask&unix.STATX_BTIME != 0 {
-		m.birth = st.Btime.Sec*1e9 + int64(st.Btime.Nsec)
+	m := fileMark{inode: stat.Ino}
+	if stat.Mask&unix.STATX_BTIME != 0 {
+		m.birth = stat.Btime.Sec*1e9 + int64(stat.Btime.Nsec)
 	}
 	return m, nil
 }
--- a/internal/coordination/statefile/store_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -25,23 +25,23 @@
 		f.Save([]byte(text), func(err error) { done <- err })
 		return <-done
 	}
-	f := open()
-	assert.Nil(t, f.Load().Data)
-	require.NoError(t, save(f, "first"))
+	older := open()
+	assert.Nil(t, older.Load().Data)
+	require.NoError(t, save(older, "first"))
 	first, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, text := range []string{"second", "third"} {
-		require.NoError(t, save(f, text))
+		require.NoError(t, save(older, text))
 	}
-	g := open()
-	s := g.Load()
+	newer := open()
+	s := newer.Load()
 	assert.Equal(t, "third", string(s.Data))
 	assert.False(t, s.IsCopy)
-	require.NoError(t, save(g, "fourth"))
-	assert.ErrorIs(t, save(f, "fifth"), ErrConflict)
-	g = open()
-	assert.Equal(t, "fourth", string(g.Load().Data))
-	require.NoError(t, save(g, "sixth"))
+	require.NoError(t, save(newer, "fourth"))
+	assert.ErrorIs(t, save(older, "fifth"), ErrConflict)
+	newer = open()
+	assert.Equal(t, "fourth", string(newer.Load().Data))
+	require.NoError(t, save(newer, "sixth"))
 
 	for name, put := range map[string]func() error{
 		"over it":  func() error { return os.WriteFile(path, first, 0o600) },
@@ -50,10 +50,10 @@
 		"kept old": func() error { return os.WriteFile(path, []byte("hazelwheel-peer 1 5 0\nfirst"), 0o600) },
 	} {
 		require.NoError(t, put())
-		h := open()
-		s := h.Load()
+		restarted := open()
+		s := restarted.Load()
 		assert.Contains(t, string(s.Data), "first", name)
 		assert.Equal(t, name != "kept old", s.IsCopy, name)
-		assert.NoError(t, save(h, "again"), name)
+		assert.NoError(t, save(restarted, "again"), name)
 	}
 }
--- a/internal/coordination/status.go
+++ b/internal/coordination/status.go
@@ -81,14 +81,14 @@
 		byState[m.State]++
 	}
 	view, links := n.view.Stats(), n.peers.Stats()
-	figures := []sidecar.Metric{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
+	metrics := []sidecar.Metric{{Name: "peers_alive", Value: byState[swim.Alive]}, {Name: "peers_suspected", Value: byState[swim.Suspect]},
 		{Name: "peers_dead", Value: byState[swim.Dead]}, {Name: "peers_left", Value: byState[swim.Left]}, {Name: "peers_links", Value: uint64(links.Links)},
 		{Name: "peers_rank", Value: uint64(rank)}, {Name: "peers_count", Value: uint64(count)}, {Name: "peers_deaths", Value: view.Deaths},
 		{Name: "peers_refutations", Value: view.Refutations}, {Name: "peers_sent_bytes", Value: links.SentBytes}}
 	if n.roles != nil {
-		figures = n.roles.appendFigures(figures)
+		metrics = n.roles.appendMetrics(metrics)
 	}
-	return figures
+	return metrics
 }
 
 // roundTenths rounds seconds to tenths, for display.
--- a/internal/coordination/stored_form_test.go
+++ b/internal/coordination/stored_form_test.go
@@ -20,9 +20,9 @@
 		"state_2": s,
 		"state_1": {ID: 1 << 40, Generation: 7},
 	} {
-		back, err := (&SavedState{Data: []byte(golden(t, "stored", file))}).decode()
+		decoded, err := (&SavedState{Data: []byte(golden(t, "stored", file))}).decode()
 		require.NoError(t, err, file)
-		assert.Equal(t, want, back, file)
+		assert.Equal(t, want, decoded, file)
 	}
 	_, err := (&SavedState{Data: []byte(golden(t, "stored", "state_2")), IsCopy: true}).decode()
 	assert.ErrorIs(t, err, errCopied)
--- a/internal/coordination/wire_form_test.go
+++ b/internal/coordination/wire_form_test.go
@@ -56,9 +56,9 @@
 		t.Run(c.file, func(t *testing.T) {
 			body := mustMarshal(c.value)
 			assert.Equal(t, golden(t, "wire", c.file+".hex"), hex.EncodeToString(body))
-			back := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
-			require.NoError(t, frames.Unmarshal(body, back))
-			assert.Equal(t, c.value, back)
+			decoded := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
+			require.NoError(t, frames.Unmarshal(body, decoded))
+			assert.Equal(t, c.value, decoded)
 		})
 	}
 }
@@ -134,13 +134,13 @@
 }
 
 // Operators' tools read the metrics by their names.
-func TestFigureNames(t *testing.T) {
+func TestMetricNames(t *testing.T) {
 	n, loop := newTestNode(Options{Settings: Settings{Roles: expandListRoles([]string{listRoleName, reportRoleName, faultRoleName, maintenanceRoleName})}})
 	n.peers = peers.New("yard", 1, n, loop, n.log)
 	n.view = swim.New(loop.now, swim.Record{ID: 1}, swim.Settings{}, membershipActions{n})
 	var names []string
-	for _, figure := range n.Metrics() {
-		names = append(names, figure.Name)
+	for _, metric := range n.Metrics() {
+		names = append(names, metric.Name)
 	}
 	assert.Equal(t, golden(t, "answers", "figures.txt"), strings.Join(names, "\n"))
 }
