--- a/internal/decide/swim/record.go
+++ b/internal/decide/swim/record.go
@@ -36,11 +36,11 @@
 	return "unknown"
 }
 
-// IsDeadOrLeft reports whether a member no longer takes part.
+// IsDeadOrLeft reports whether a member takes part no more.
 func (s State) IsDeadOrLeft() bool { return s >= Dead }
 
-// Version orders the records of one identity. Danger: if a state folder is copied, two processes have the same identity and may use the
-// same incarnations; the BootID distinguishes them.
+// Version orders the records of one identity. Danger: two processes may have the same identity, from a copied state folder, and count
+// incarnations alike; the BootID tells them apart.
 type Version struct {
 	Incarnation uint64 `msgpack:"i"` // grows with each start of the process, and with each refutation
 	BootID      uint64 `msgpack:"l"` // random, drawn at the start of the process
@@ -88,7 +88,7 @@
 	case c > 0:
 		return b, true
 	}
-	durable := a.Durable || b.Durable // senders of older releases don't know the field and omit it
+	durable := a.Durable || b.Durable // a sender of an older release doesn't know the field and omits it
 	if b.State > a.State {
 		if b.State == Suspect {
 			b.Accusers = mergeAccusers(a.Accusers, b.Accusers)
--- a/internal/decide/swim/view.go
+++ b/internal/decide/swim/view.go
@@ -171,7 +171,7 @@
 }
 
 // Rank returns the position of this member among those that are not dead and have not left, in the order of IDs, and their number.
-// Members that died less than holdSeconds ago still count, so that a flapping member changes no rank.
+// Members that died less than holdSeconds ago still count, so that a flapping member moves no rank.
 func (v *View) Rank(holdSeconds float64) (rank, count int) {
 	rank, _ = v.indexOf(v.self.ID)
 	count = len(v.entries)
