--- a/internal/coordination/response_budget.go
+++ b/internal/coordination/response_budget.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/internal/peers/tokenbucket"
 
-// The byte rate and burst of one role's responses.
+// Limits of the responses that a sidecar sends for one role: average rate and burst.
 const (
 	responseBytesPerSecond = 32 << 10
 	responseBurstBytes     = 64 << 10
--- a/internal/coordination/statefile/store.go
+++ b/internal/coordination/statefile/store.go
@@ -140,7 +140,7 @@
 			return dir, nil
 		}
 		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(deadline) {
-			_ = dir.Close() // opened for reading
+			_ = dir.Close() // no error is lost: opened for reading
 			return nil, fmt.Errorf("flock: %w", err)
 		}
 	}
@@ -207,7 +207,7 @@
 	case err != nil:
 		return err
 	}
-	defer func() { _ = file.Close() }() // opened for reading
+	defer func() { _ = file.Close() }() // no error is lost: opened for reading
 	switch mark, err := markOf(file); {
 	case err != nil:
 		return err
--- a/internal/coordination/statefile/store_test.go
+++ b/internal/coordination/statefile/store_test.go
@@ -44,16 +44,16 @@
 	require.NoError(t, save(newer, "sixth"))
 
 	for name, put := range map[string]func() error{
-		"over it":  func() error { return os.WriteFile(path, first, 0o600) },
-		"anew":     func() error { return errors.Join(os.Remove(path), os.WriteFile(path, first, 0o600)) },
-		"renamed":  func() error { return errors.Join(os.WriteFile(path+"x", first, 0o600), os.Rename(path+"x", path)) },
-		"kept old": func() error { return os.WriteFile(path, []byte("hazelwheel-peer 1 5 0\nfirst"), 0o600) },
+		"overwritten":               func() error { return os.WriteFile(path, first, 0o600) },
+		"removed and written again": func() error { return errors.Join(os.Remove(path), os.WriteFile(path, first, 0o600)) },
+		"renamed":                   func() error { return errors.Join(os.WriteFile(path+"x", first, 0o600), os.Rename(path+"x", path)) },
+		"earlier format":            func() error { return os.WriteFile(path, []byte("hazelwheel-peer 1 5 0\nfirst"), 0o600) },
 	} {
 		require.NoError(t, put())
 		restarted := open()
 		s := restarted.Load()
 		assert.Contains(t, string(s.Data), "first", name)
-		assert.Equal(t, name != "kept old", s.IsCopy, name)
+		assert.Equal(t, name != "earlier format", s.IsCopy, name)
 		assert.NoError(t, save(restarted, "again"), name)
 	}
 }
--- a/internal/decide/lease/doc.go
+++ b/internal/decide/lease/doc.go
@@ -5,9 +5,9 @@
 //
 // # State machine
 //
-// A Node is one member's part in the protocol: voter, leader and lease holder in one. It does no I/O, starts no goroutine and reads no clock. The
-// caller passes the time, in seconds of the member's own monotonic clock, with each call, and carries out what the Node asks for by
-// Actions. Calls to one Node must not overlap. The same calls with the same Settings.Seed lead to the same actions.
+// A Node is one member's part in the protocol: voter, leader and lease holder in one. It does no I/O, starts no goroutine and reads no
+// clock. The caller passes the time, in seconds of the member's own monotonic clock, with each call, and carries out what the Node asks
+// for by Actions. Calls to one Node must not overlap. The same calls with the same Settings.Seed lead to the same actions.
 //
 // # Persist before send
 //
--- a/internal/decide/lease/leave.go
+++ b/internal/decide/lease/leave.go
@@ -52,7 +52,7 @@
 }
 
 // Leave ends all leases and releases their grants. Once leadership is transferred, the member stops taking part as a voter. The
-// caller goes on calling the Node until HasLeft.
+// caller keeps calling the Node until HasLeft returns true.
 func (n *Node) Leave(now float64) {
 	n.advanceTo(now)
 	if !n.leaving && !n.retired {
--- a/internal/decide/lease/node_test.go
+++ b/internal/decide/lease/node_test.go
@@ -264,7 +264,7 @@
 	}
 }
 
-// A node that can't persist its state neither votes nor leads, and the others go on without it.
+// A node that can't persist its state neither votes nor leads, and the others continue without it.
 func TestNodeWithFullDiskDoesNotVote(t *testing.T) {
 	c := newCluster(t, 3, "list")
 	c.runUntil(110)
--- a/internal/decide/maintenance/selection.go
+++ b/internal/decide/maintenance/selection.go
@@ -11,7 +11,7 @@
 // The orders. A server that is unavailable anyway comes first in all but AsListed.
 const (
 	LookAhead   Order = iota // servers of critical sites first (see candidate.isCriticalSite), then least impact first
-	LeastImpact              // least present impact on the fleet first
+	LeastImpact              // the server whose drain has the least impact on the fleet now comes first
 	LeastLoad                // least loaded first
 	SitesInTurn              // a server of the site with the most pending servers first
 	AsListed                 // in the order of the plan
