--- a/internal/sidecarconfig/config.go
+++ b/internal/sidecarconfig/config.go
@@ -1,5 +1,5 @@
-// Package sidecarconfig reads and validates the configuration of a sidecar: the environment variables GW_* and the file that GW_CONFIG names.
-// Errors are one line that names the invalid field.
+// Package sidecarconfig reads and validates the configuration of a sidecar: the file that GW_CONFIG names and the environment variables
+// GW_*. An error is one line that begins with the name of the invalid field or variable.
 package sidecarconfig
 
 import (
@@ -11,28 +11,29 @@
 	"strconv"
 )
 
-// The environment variables. One that is set overrides the file's field, unless the file has changed that field since the start.
+// Environment variables. One that is set overrides its field in the file, unless that field has changed since the process started.
 const (
 	EnvName      = "GW_NAME"
 	EnvListen    = "GW_LISTEN"
 	EnvDiscovery = "GW_DISCOVERY"
 	EnvOps       = "GW_OPS"
 
-	// EnvPassed names the descriptor of a listening socket for clients that the process has inherited.
+	// EnvPassed holds the number of an inherited descriptor: a socket that listens for clients.
 	EnvPassed = "GW_PASSED_SOCKET"
-	EnvFile   = "GW_CONFIG"
+	// EnvFile holds the path of the configuration file.
+	EnvFile = "GW_CONFIG"
 )
 
-// The limits of a file that sets none.
+// Defaults for limits that the file does not set.
 const (
 	defaultCores    = 1
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	// minSockets is the smallest limit that leaves descriptors for traffic beside those that the process itself holds.
+	// minSockets is the lowest valid limit: with fewer, the descriptors of the process itself leave too few for traffic.
 	minSockets = 64
 )
 
-// Limits bound what the process may use.
+// Limits are the resources that the process may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -44,37 +45,38 @@
 	Name      string
 	Listen    string
 	Discovery string
-	Ops       string // where operators call; empty: nowhere
+	Ops       string // address of the admin endpoint; empty: there is none
 	Seed      uint64
 	Limits    Limits
-	Known     json.RawMessage // a list of hosts in discovery's form, as last held; may be empty
+	Known     json.RawMessage // the last known list of servers, in discovery's format; may be empty
 	Settings  Settings
-	Warnings  []string // a line for each setting that was missing or invalid and was replaced
+	Warnings  []string // one line for each missing or invalid setting that was replaced
 	Passed    int      // the descriptor of the inherited socket; 0: there is none
 
-	initial [4]string // overridable of the file at the start
+	initial [4]string // the file's overridable fields when the process started
 }
 
-// file is the configuration in the form of its JSON.
+// file is the JSON form of the configuration file.
 type file struct {
 	Name, Listen, Discovery, Ops, Seed string
 	Limits                             Limits
 	Known, Settings                    json.RawMessage
 }
 
-// overridable returns the fields that environment variables override.
+// overridable returns the fields that environment variables can override.
 func (f *file) overridable() [4]string { return [4]string{f.Name, f.Listen, f.Discovery, f.Ops} }
 
-// Load reads the file at path and the environment variables.
+// Load reads the file at path and applies the environment variables.
 func Load(path string, getenv func(string) string) (Config, error) { return load(path, getenv, nil) }
 
-// Reload reads the file of a running process again. Danger: environment variables are as old as the process. A field that the file has changed
-// since is newer than its variable and takes precedence.
+// Reload reads the file again. Environment variables date from the start of the process, so a field of the file that has changed since then
+// takes precedence over its variable.
 func (c *Config) Reload(path string, getenv func(string) string) (Config, error) {
 	return load(path, getenv, &c.initial)
 }
 
-// load reads the file at path and the environment variables. initial is overridable of the file at the start, nil at the start itself.
+// load reads the file at path and applies the environment variables. initial holds the overridable fields of the
+// file that the process started with; it is nil for the first load.
 func load(path string, getenv func(string) string, initial *[4]string) (Config, error) {
 	if path == "" {
 		return Config{}, fmt.Errorf("%s: not set, and no --config given", EnvFile)
@@ -86,16 +88,16 @@
 	return parse(raw, getenv, initial)
 }
 
-// Parse parses a file without environment variables.
+// Parse parses the content of a file without applying environment variables.
 func Parse(raw []byte) (Config, error) {
 	return parse(raw, func(string) string { return "" }, nil)
 }
 
-// parse parses a file and applies the environment variables. initial is as for load.
+// parse parses the content of a file and applies the environment variables; initial is that of load.
 func parse(raw []byte, getenv func(string) string, initial *[4]string) (Config, error) {
 	f := file{Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("%s: not the JSON that is wanted: %w", EnvFile, err)
+		return Config{}, fmt.Errorf("%s: invalid JSON, or a field of the wrong type: %w", EnvFile, err)
 	}
 	current := f.overridable()
 	if initial == nil {
@@ -110,7 +112,7 @@
 	if v := getenv(EnvPassed); v != "" {
 		fd, err := strconv.Atoi(v)
 		if err != nil || fd < 3 {
-			return c, fmt.Errorf("%s: %q is not the number of a passed descriptor", EnvPassed, v)
+			return c, fmt.Errorf("%s: %q is not the number of an inherited descriptor", EnvPassed, v)
 		}
 		c.Passed = fd
 	}
@@ -132,11 +134,13 @@
 	return c, c.validate()
 }
 
-// unknownReplicas is the number of sidecars that is assumed where the settings give none. Danger: a sidecar that assumes it is alone probes every
-// server each second and connects to all of them; hundreds that do overload servers. One that assumes many others still serves.
+// unknownReplicas is the number of sidecars that is assumed if the settings give none. It is high because a sidecar that assumes it is alone
+// probes every server each second and connects to all of them, and hundreds of such sidecars overload the servers. A sidecar that assumes
+// too many others still serves.
 const unknownReplicas = 100
 
-// replaceInvalid replaces settings that are missing or invalid and that a sidecar can do without by safe ones, with a line in Warnings for each.
+// replaceInvalid replaces missing or invalid settings about the fleet by safe values, with a line in Warnings for each, so that they do not
+// keep the sidecar from starting.
 func (c *Config) replaceInvalid() {
 	s := &c.Settings.Policy
 	if s.Replicas < 1 {
@@ -147,10 +151,10 @@
 	if s.Self < 0 || s.Self >= s.Replicas {
 		sum := fnv.New32a()
 		sum.Write([]byte(c.Name)) // never fails
-		own := int(sum.Sum32() % uint32(s.Replicas))
+		derived := int(sum.Sum32() % uint32(s.Replicas))
 		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.selfIndex: %d is not below the %d replicas: %d is used, by the sidecar's name",
-			s.Self, s.Replicas, own))
-		s.Self = own
+			s.Self, s.Replicas, derived))
+		s.Self = derived
 	}
 }
 
--- a/internal/sidecarconfig/config_test.go
+++ b/internal/sidecarconfig/config_test.go
@@ -10,16 +10,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sound = `{"name":"n3","listen":"10.0.0.4:3000","discovery":"10.2.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"10.0.0.4:3000","discovery":"10.2.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":0.5,"memory_mb":2048,"sockets":4096},"known":{"index":41},"later":1,
 	"settings":{"classes":[{"name":"a","effect":"free","giveUpS":3,"objectiveS":1}],"replicasOfMe":3,
 	"limits":{"connectTimeoutS":0.25}}}`
 
-func nothing(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func TestLoad(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(sound), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(validConfig), 0o600))
 	c, err := Load(path, func(name string) string {
 		return map[string]string{EnvName: "n4", EnvListen: "127.0.0.1:1", EnvDiscovery: "127.0.0.1:2"}[name]
 	})
@@ -29,17 +29,18 @@
 	assert.Equal(t, Limits{0.5, 2048, 4096}, c.Limits)
 	assert.Equal(t, 0.25, c.Settings.ConnectTimeoutS)
 
-	_, err = Load("", nothing)
+	_, err = Load("", emptyEnv)
 	assert.ErrorContains(t, err, "GW_CONFIG")
-	_, err = Load(path+"x", nothing)
+	_, err = Load(path+"x", emptyEnv)
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
 
-// A variable gives way to what its field in the file has said since the start, and to no other field.
+// After a reload, a field that differs from the file at the start takes precedence over its environment variable; the variables of unchanged
+// fields still apply.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
-		text := strings.Replace(sound, "10.2.0.1:8500", discovery, 1)
+		text := strings.Replace(validConfig, "10.2.0.1:8500", discovery, 1)
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	}
 	getenv := func(name string) string {
@@ -58,8 +59,8 @@
 	}
 }
 
-// An error is one line that begins with the field.
-func TestFaultsAreNamed(t *testing.T) {
+// An error is one line that begins with the name of the invalid field.
+func TestErrorsBeginWithTheField(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{`"n3"`, `""`, "name"},
 		{`10.0.0.4:3000`, `somewhere:3000`, "listen"},
@@ -78,7 +79,7 @@
 		{`{"name":"n3"`, `{"name":3`, "GW_CONFIG"},
 		{`{"name"`, `{name`, "GW_CONFIG"},
 	} {
-		_, err := parse([]byte(strings.Replace(sound, c.from, c.to, 1)), nothing, nil)
+		_, err := parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), emptyEnv, nil)
 		if assert.Error(t, err, c.field) {
 			assert.True(t, strings.HasPrefix(err.Error(), c.field+":"), "%s: %v", c.field, err)
 			assert.NotContains(t, err.Error(), "\n")
@@ -86,12 +87,12 @@
 	}
 }
 
-// What a sidecar is told of its fleet never keeps it from starting: safe bounds are used, with a line for the log.
-func TestDoubtfulFleets(t *testing.T) {
+// Missing or invalid settings about the fleet do not keep a sidecar from starting: they are replaced by safe values, with a warning each.
+func TestInvalidFleetSettingsAreReplaced(t *testing.T) {
 	for _, c := range []struct {
 		from, to string
 		replicas int
-		doubts   []string
+		warnings []string
 	}{
 		{"later", "later", 3, nil},
 		{`"replicasOfMe":3`, `"replicasOfMe":0`, unknownReplicas, []string{"settings.replicasOfMe:"}},
@@ -102,14 +103,14 @@
 		{`"replicasOfMe":3`, `"selfIndex":-1,"replicasOfMe":3`, 3, []string{"settings.selfIndex: -1 "}},
 		{`"replicasOfMe":3`, `"selfIndex":400`, unknownReplicas, []string{"settings.replicasOfMe:", "settings.selfIndex: 400 "}},
 	} {
-		c0, err := parse([]byte(strings.Replace(sound, c.from, c.to, 1)), nothing, nil)
+		cfg, err := parse([]byte(strings.Replace(validConfig, c.from, c.to, 1)), emptyEnv, nil)
 		require.NoError(t, err, c.to)
-		assert.Equal(t, c.replicas, c0.Settings.Policy.Replicas, c.to)
-		assert.Less(t, c0.Settings.Policy.Self, c.replicas, c.to)
-		assert.GreaterOrEqual(t, c0.Settings.Policy.Self, 0, c.to)
-		require.Len(t, c0.Warnings, len(c.doubts), c.to)
-		for i, begin := range c.doubts {
-			assert.True(t, strings.HasPrefix(c0.Warnings[i], begin), c0.Warnings[i])
+		assert.Equal(t, c.replicas, cfg.Settings.Policy.Replicas, c.to)
+		assert.Less(t, cfg.Settings.Policy.Self, c.replicas, c.to)
+		assert.GreaterOrEqual(t, cfg.Settings.Policy.Self, 0, c.to)
+		require.Len(t, cfg.Warnings, len(c.warnings), c.to)
+		for i, prefix := range c.warnings {
+			assert.True(t, strings.HasPrefix(cfg.Warnings[i], prefix), cfg.Warnings[i])
 		}
 	}
 }
--- a/internal/sidecarconfig/dialable.go
+++ b/internal/sidecarconfig/dialable.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// Jobs are all that one sidecar of a fleet can do on behalf of all.
+// Jobs are the names of the roles that one sidecar holds for its whole fleet.
 var Jobs = []string{"list", "report", "drill", "works"}
 
-// Dialable reports whether a text is an address with a port that others can dial.
+// Dialable reports whether s is a host:port address that other processes can dial: it has a port other than 0, and its host is not the
+// unspecified address.
 func Dialable(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	n, bad := strconv.ParseUint(port, 10, 16)
--- a/internal/sidecarconfig/settings.go
+++ b/internal/sidecarconfig/settings.go
@@ -7,21 +7,20 @@
 	"hazelwheel/policy"
 )
 
-// Settings are the facts that the deployment tells an instance: what the decisions need, and what only
-// a program on sockets needs.
+// Settings are the settings object of a deployment: those that the policy uses, and those that only a process with network connections uses.
 type Settings struct {
 	Policy policy.Settings
 
-	Zones           []string // names; a zone's number is its place
-	HostTypes       []string // likewise
-	ReportFields    []string // names of the values of a load report, in the order of policy.Report
-	ConnectTimeoutS float64  // a connection that is not up by then has failed
-	RetryAfter      bool     // a refused client is told when to come again
-	AnswerSlackS    float64  // how long after the deadline an answer still counts
+	Zones           []string // names, indexed by zone number
+	HostTypes       []string // names, indexed by host type number
+	ReportFields    []string // names of the values in a load report, in the order of policy.Report
+	ConnectTimeoutS float64  // a dial that takes longer has failed
+	RetryAfter      bool     // responses to throttled requests say when to retry
+	AnswerSlackS    float64  // a response that is later than the deadline by no more than this still counts
 }
 
-// message is the settings text as it comes; keys that are not named here are skipped.
-type message struct {
+// settingsJSON is the JSON form of the settings. Unknown keys are ignored.
+type settingsJSON struct {
 	Classes []struct {
 		Name, Effect, DedupScope                string
 		GiveUpS, ObjectiveS, WindowS, LateWorth float64
@@ -64,12 +63,12 @@
 	effects = map[string]policy.Effect{"free": policy.Safe, "guarded": policy.Keyed, "single_shot": policy.Unsafe}
 	groups  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
 		"cell": policy.GroupCell}
-	fields = map[string]policy.ReportField{"busy_reqs": policy.FieldInflight, "pending": policy.FieldQueue}
+	reportFields = map[string]policy.ReportField{"busy_reqs": policy.FieldInflight, "pending": policy.FieldQueue}
 )
 
-// ParseSettings reads the settings object, from the simulator's first message or a configuration file.
+// ParseSettings parses the settings object of the simulator's first message or of a configuration file.
 func ParseSettings(raw []byte) (Settings, error) {
-	var m message
+	var m settingsJSON
 	if err := json.Unmarshal(raw, &m); err != nil {
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -90,16 +89,16 @@
 		SlowStartFraction: m.Obligations.ColdFrom, SlowStartSeconds: m.Obligations.ColdS,
 		SlowStartMultiple: m.Obligations.FallMultiple, SlowStartWindowSeconds: m.Obligations.FallS,
 	}
-	if m.Locality != nil { // without a place every zone is as far
+	if m.Locality != nil { // without a zone of its own, a sidecar treats all zones alike
 		s.Policy.Zone, s.Policy.CrossZonePrice = *m.Locality, m.Deductions.CrossZone
 	}
 	for _, name := range m.Report.Fields {
-		s.Policy.ReportFields = append(s.Policy.ReportFields, fields[name])
+		s.Policy.ReportFields = append(s.Policy.ReportFields, reportFields[name])
 	}
 	for _, c := range m.Classes {
-		effect, ok := effects[c.Effect]
-		group, known := groups[c.DedupScope]
-		if !ok || !known {
+		effect, isKnownEffect := effects[c.Effect]
+		group, isKnownGroup := groups[c.DedupScope]
+		if !isKnownEffect || !isKnownGroup {
 			return s, fmt.Errorf("settings: class %q: unknown effect %q or scope %q", c.Name, c.Effect, c.DedupScope)
 		}
 		s.Policy.Classes = append(s.Policy.Classes, policy.Class{
--- a/internal/sidecarconfig/settings_test.go
+++ b/internal/sidecarconfig/settings_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, bad := range []string{`{`, `{"classes": [{"effect": "odd"}]}`} {
 		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("settings %s were taken", bad)
+			t.Errorf("invalid settings %s were accepted", bad)
 		}
 	}
 }
