--- a/internal/frontend/admin/commands.go
+++ b/internal/frontend/admin/commands.go
@@ -11,12 +11,12 @@
 const (
 	// loopTimeout limits how long a command waits for the event loop. Clients wait for one second.
 	loopTimeout = 700 * time.Millisecond
-	// maxSnapshotAgeSeconds is how old the published figures may be before HEALTH reports that the loop stands still.
+	// maxSnapshotAgeSeconds is how old the published snapshot may be before HEALTH reports that the event loop is stalled.
 	maxSnapshotAgeSeconds = 3.0
 )
 
-// LeaseCommands are what the commands about leases, roles and maintenance do. Each is called on the event loop and returns the answer's
-// text with its line feed, or an error for the operator.
+// LeaseCommands are the functions behind the commands about leases, roles and maintenance. Each is called on the event loop and returns the
+// answer with its line feed, or an error to show to the operator.
 type LeaseCommands struct {
 	Status            func() ([]byte, error)               // OWNERS
 	Voters            func() ([]byte, error)               // ELECTORS
@@ -26,11 +26,11 @@
 	SubmitMaintenance func(command []byte) ([]byte, error) // WORK command, which is JSON
 }
 
-// command is a command of the sidecar itself.
+// command is a command that does not depend on the fleet.
 type command struct {
 	word        string
-	needsServer bool                                    // it has the name of a server as its argument
-	run         func(s *Server, argument string) []byte // argument is the word itself if there is none
+	needsServer bool                                    // its argument is the name of a server
+	run         func(s *Server, argument string) []byte // argument is the command's word if it takes none
 }
 
 // commands are the commands that every sidecar has.
@@ -51,8 +51,8 @@
 	}},
 }
 
-// execute executes the command of a line and returns its answer, with the line feed. Words are separated by spaces; the case of the first
-// one does not matter.
+// execute executes the command in a line and returns its answer with the line feed. Words are separated by spaces; case is ignored in the
+// first one.
 func (s *Server) execute(line string) []byte {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -80,7 +80,7 @@
 	return fmt.Appendf(nil, "ERR unknown call %.40q\n", words[0])
 }
 
-// executeFleetCommand executes a command of a sidecar that is a member of a fleet; known is false if it is none.
+// executeFleetCommand executes a command that only members of a fleet have; known is false if the line is no such command.
 func (s *Server) executeFleetCommand(words []string, line string) (answer []byte, known bool) {
 	switch word := strings.ToUpper(words[0]); {
 	case s.Peers != nil && len(words) == 1 && word == "PEERS":
@@ -103,7 +103,7 @@
 	return nil, false
 }
 
-// queryLoop returns what a function returns that is called on the event loop.
+// queryLoop calls query on the event loop and returns its text, or a line with the error.
 func (s *Server) queryLoop(query func() ([]byte, error)) []byte {
 	result := make(chan []byte, 1)
 	answer := s.runOnLoop("", func() error {
@@ -117,7 +117,8 @@
 	return answer
 }
 
-// runOnLoop has the event loop call a function and answers with a message once it has returned. A late loop calls it after the answer.
+// runOnLoop calls f on the event loop and returns an OK line with the message, or a line with the error. If the loop does not get to it within
+// loopTimeout, f is still called later.
 func (s *Server) runOnLoop(message string, f func() error) []byte {
 	done := make(chan error, 1)
 	s.controller.Do(func() { done <- f() })
@@ -132,7 +133,7 @@
 	}
 }
 
-// health answers HEALTH: whether this process can serve.
+// health answers HEALTH, which reports whether this process can serve.
 func (s *Server) health(string) []byte {
 	switch f := s.controller.StatusSnapshot(); {
 	case f == nil:
@@ -145,7 +146,7 @@
 	return []byte("OK serving\n")
 }
 
-// dump answers DUMP: the published figures, one a line. Their names are read by operators' tools.
+// dump answers DUMP with the published metrics, one per line. Operators' tools depend on the names.
 func (s *Server) dump(string) []byte {
 	f := s.controller.StatusSnapshot()
 	if f == nil {
--- a/internal/frontend/admin/line.go
+++ b/internal/frontend/admin/line.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// MaxMaintenanceLine limits the line of the command WORK, which has a maintenance plan in it, and maxLine all others; in bytes, with the
-// line feed.
+// MaxMaintenanceLine limits the line of the command WORK, which contains a maintenance plan, and maxLine limits all other lines. Both are in
+// bytes and include the line feed.
 const (
 	MaxMaintenanceLine = 32 << 10
 	maxLine            = 512
@@ -22,7 +22,7 @@
 	errLineIncomplete = errors.New("the line has no end")
 )
 
-// readLine reads up to the first line feed; what follows it is not used. The error wraps errLineTooLong or errLineIncomplete, or is the
+// readLine reads a line; bytes after its line feed are ignored. The error wraps errLineTooLong or errLineIncomplete, or is the
 // reader's.
 func readLine(r io.Reader) (string, error) {
 	b := make([]byte, maxLine)
--- a/internal/frontend/admin/server.go
+++ b/internal/frontend/admin/server.go
@@ -1,8 +1,8 @@
-// Package admin is the admin endpoint of a sidecar: an address of its own at which operators' tools send one command a connection, as a
-// line of text, and get one answer. docs/operators describes the commands.
+// Package admin is the admin endpoint of a sidecar: an address of its own at which operators' tools send one command per connection,
+// as a line of text, and receive one answer. docs/operators describes the commands.
 //
-// It runs on goroutines beside the event loop. What it reports is what the loop has last published, and what it changes is posted to the
-// loop, so that neither a late loop nor a silent client holds up the other.
+// It runs on goroutines beside the event loop. It reports the snapshot that the loop has published last and posts changes to the loop, so
+// that a delayed loop and a silent client do not block each other.
 package admin
 
 import (
@@ -18,24 +18,24 @@
 )
 
 const (
-	// maxConnections limits the connections at a time. Above it the one that has waited longest for its line is closed for a new one.
+	// maxConnections limits concurrent connections. At the limit, a new one replaces the oldest one that has not sent its complete line.
 	maxConnections = sidecar.AdminDescriptors - 2
-	// commandTimeout limits how long a client may take for its line.
+	// commandTimeout limits how long a client may take to send its line.
 	commandTimeout = 10 * time.Second
 	// lingerTimeout limits how long a client may take to read the answer and close, and maxLingerBytes what it may send meanwhile. Danger:
 	// closing with unread bytes would reset the connection, and the client could lose the answer.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 64 << 10
-	// acceptRetryInterval is the pause after an accept that failed, for instance for want of a descriptor.
+	// acceptRetryInterval is the pause after a failed accept, for example when the process is out of descriptors.
 	acceptRetryInterval = 5 * time.Millisecond
 )
 
 // Controller is the sidecar as the admin endpoint uses it. StatusSnapshot and Do may be called from any goroutine, all others on the event loop
 // alone. The errors are shown to the operator.
 type Controller interface {
-	// StatusSnapshot returns the snapshot that the loop has published last, nil before the first.
+	// StatusSnapshot returns the snapshot that the loop published last, nil before the first one.
 	StatusSnapshot() *sidecar.StatusSnapshot
-	// Do has the loop call f.
+	// Do calls f on the event loop.
 	Do(f func())
 	// CordonServer takes a server out of use, UncordonServer undoes it.
 	CordonServer(server string) error
@@ -54,18 +54,18 @@
 
 	address    string
 	controller Controller
-	now        func() float64 // seconds, by the clock of sidecar.StatusSnapshot.TakenAt
+	now        func() float64 // in seconds, by the same clock as sidecar.StatusSnapshot.TakenAt
 	listener   net.Listener
 
-	mu          sync.Mutex // guards what follows
-	waiting     []net.Conn // whose line is not complete, the oldest first
+	mu          sync.Mutex // guards the fields below
+	waiting     []net.Conn // connections whose line is not complete, oldest first
 	connections int
 }
 
 // ErrListen is wrapped by the errors of Listen. Its text is the key of the address in the settings.
 var ErrListen = errors.New("ops")
 
-// New returns a server that does not listen yet. now is the clock of the controller's figures.
+// New returns a server that does not listen yet. now is the clock of the controller's snapshots.
 func New(address string, controller Controller, now func() float64) *Server {
 	return &Server{address: address, controller: controller, now: now}
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// admit counts a connection as waiting for its line. It reports false if there are too many and none of them waits.
+// admit counts a new connection, which waits for its line. It returns false at the limit if no other connection can be replaced.
 func (s *Server) admit(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 	return true
 }
 
-// endWaiting records that a connection's line is complete, or that none will come.
+// endWaiting records that a connection no longer waits for its line.
 func (s *Server) endWaiting(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// serve answers the command of a connection and closes it.
+// serve reads a command from a connection, answers it and closes the connection.
 func (s *Server) serve(c net.Conn) {
 	defer func() {
 		s.mu.Lock()
--- a/internal/frontend/admin/server_test.go
+++ b/internal/frontend/admin/server_test.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// fakeController records the changes that it is asked for, and makes them at once.
+// fakeController records the changes that are requested of it. Do calls functions at once.
 type fakeController struct{ changes []string }
 
 func (c *fakeController) StatusSnapshot() *sidecar.StatusSnapshot { return &sidecar.StatusSnapshot{} }
@@ -27,7 +27,7 @@
 func (c *fakeController) DrainByOperator() error   { c.changes = append(c.changes, "leave"); return nil }
 func (c *fakeController) UndrainByOperator() error { c.changes = append(c.changes, "join"); return nil }
 
-// FuzzCommand checks that any line is answered by complete lines that begin as they should, and that only commands change anything.
+// FuzzCommand checks that the answer to any line is complete and well-formed, and that only the commands for changes change anything.
 func FuzzCommand(f *testing.F) {
 	for _, line := range []string{"HEALTH\n", "DUMP\r\n", "OFFLINE s-1\n", "ONLINE\n", "LEAVE now\n", "JOIN", "\x00\n"} {
 		f.Add([]byte(line))
--- a/internal/frontend/admin/wire_form_test.go
+++ b/internal/frontend/admin/wire_form_test.go
@@ -11,7 +11,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// figuresController is a fakeController with figures.
+// figuresController is a fakeController with a given snapshot.
 type figuresController struct {
 	fakeController
 	figures *sidecar.StatusSnapshot
@@ -19,7 +19,7 @@
 
 func (c *figuresController) StatusSnapshot() *sidecar.StatusSnapshot { return c.figures }
 
-// Operators' tools read HEALTH and DUMP: each answer stays as it is to the byte.
+// Operators' tools parse these answers, so they must not change by a byte.
 func TestAnswerForm(t *testing.T) {
 	figures := &sidecar.StatusSnapshot{TakenAt: 100, RequestsWritten: 11, OpenRequests: 12, Servers: 13, UnavailableServers: 14, FleetMetrics: []sidecar.Metric{{Name: "peers_alive", Value: 15}}}
 	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-// Package frontend_test compares the frontends: the same calls through the same core.
+// Package frontend_test compares the frontends: it makes the same calls through each of them to the same sidecar core.
 package frontend_test
 
 import (
@@ -25,15 +25,15 @@
 	"hazelwheel/internal/thrift"
 )
 
-// fakeLoop is an event loop without sockets: what is written has arrived at once, and a server responds to everything.
+// fakeLoop is an event loop without sockets. Writes arrive at once, and a fake server responds to each request.
 type fakeLoop struct {
 	handler       netio.Handler
 	now           float64
 	alarm         float64 // 0: none
 	posted        []func()
 	respond       func(dst, asked []byte) []byte
-	script        []string // what the server does with each request, in order; it responds to the ones behind them
-	backendWrites int      // requests that the server has received
+	script        []string // the server's action for each request, in order; it responds normally to all later ones
+	backendWrites int      // number of requests that the server has received
 }
 
 func (n *fakeLoop) Now() float64                           { return n.now }
@@ -58,7 +58,7 @@
 	}
 }
 
-// backendAddress is the address of the listed server; nothing at another address responds, such as discovery.
+// backendAddress is the address of the listed server. Nothing responds at other addresses, such as that of discovery.
 const backendAddress = "127.0.0.1:3"
 
 func (n *fakeLoop) Dial(address string, _ float64, context any, done func(error)) func() {
@@ -71,8 +71,8 @@
 	return func() {}
 }
 
-// run calls what was posted, and what follows from it, until the client has received something. The time advances if nothing else is to be
-// done.
+// run calls posted functions, and those that they post, until the client has received data. When none are left it advances the time to the
+// next alarm.
 func (n *fakeLoop) run(c *fakeConn) {
 	for steps := 0; (c == nil || len(c.written) == 0 || len(n.posted) > 0) && steps < 1000; steps++ {
 		switch {
@@ -100,7 +100,7 @@
 	written       []byte // to the client
 	reply         []byte
 	isClosed      bool
-	isWriteClosed bool // nothing more will be written
+	isWriteClosed bool // the sidecar has closed its writing side
 }
 
 func (c *fakeConn) Write(p []byte) (int, error) {
@@ -118,7 +118,7 @@
 	return len(p), nil
 }
 
-// perform does one step of the server's script; the response itself is the protocol's.
+// perform carries out one action of the server's script; the protocol's function has built the response.
 func (c *fakeConn) perform(does string) {
 	bytes, ends := c.reply, false
 	switch does {
@@ -144,8 +144,8 @@
 	}
 }
 
-// backendActions are the steps of a server's script.
-var backendActions = []string{"responds", "errs", "rejects it", "closes", "closes in the response", "responds malformed",
+// backendActions are the possible actions in a server's script.
+var backendActions = []string{"responds", "responds with an error", "rejects the request", "closes", "closes in the response", "responds malformed",
 	"sends unsolicited bytes", "responds and closes", "does not respond"}
 
 func (c *fakeConn) OutboundBuffered() int { return 0 }
@@ -154,7 +154,7 @@
 func (c *fakeConn) Context() any          { return c.context }
 func (c *fakeConn) SetContext(v any)      { c.context = v }
 
-// startSidecar returns a sidecar that is started, and a client's connection to it.
+// startSidecar starts a sidecar and opens a client connection to it at a port.
 func startSidecar(t testing.TB, port int, answer func(dst, asked []byte) []byte) (*fakeLoop, *fakeConn) {
 	known := `{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000001","address":"` + backendAddress + `","zone":"a","status":"SERVING","weight":1}]}`
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:9", "known": json.RawMessage(known),
@@ -181,12 +181,12 @@
 	return n, c
 }
 
-// protocol is one protocol of the same call and its responses, the usual one with 160 bytes.
+// protocol encodes the same call and its responses in one protocol. The normal response has a payload of 160 bytes.
 type protocol struct {
 	port     int
 	request  func(class string, i int) []byte
 	response func(does string) func(dst, asked []byte) []byte
-	statusOf func(said []byte) int // as a status of HTTP
+	statusOf func(said []byte) int // the HTTP status that corresponds to the response
 }
 
 var payload = fmt.Sprintf("%-160s", "17.25 C")
@@ -203,9 +203,9 @@
 		},
 		response: func(does string) func(dst, _ []byte) []byte {
 			switch does {
-			case "errs":
+			case "responds with an error":
 				return func(dst, _ []byte) []byte { return append(dst, "HTTP/1.1 500 \r\nContent-Length: 0\r\n\r\n"...) }
-			case "rejects it":
+			case "rejects the request":
 				return func(dst, _ []byte) []byte {
 					return append(dst, "HTTP/1.1 503 \r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"...)
 				}
@@ -240,9 +240,9 @@
 						panic(err)
 					}
 					switch does {
-					case "errs":
+					case "responds with an error":
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "no")
-					case "rejects it":
+					case "rejects the request":
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "not started")
 					}
 					var w thrift.Writer
@@ -264,7 +264,7 @@
 	return all
 }
 
-// playOutcomes sends a request of each class for each two steps of the server's script, and returns a line for each.
+// playOutcomes sends a request of each class for each pair of server actions, and returns one line per request with its outcome.
 func playOutcomes(t *testing.T, w protocol) (lines []string) {
 	for _, class := range []string{"read", "alert", "write"} {
 		for _, first := range backendActions {
@@ -290,8 +290,8 @@
 	return lines
 }
 
-// The same script has the same outcomes over HTTP, binary and compact, line by line; what must not run twice is sent again only if it has
-// not run.
+// The same server actions lead to the same outcomes over HTTP, binary and compact Thrift. A request that must not run twice is sent again
+// only if the server says that it has not run.
 func TestProtocolsHaveSameOutcomes(t *testing.T) {
 	all := protocols()
 	want := playOutcomes(t, all["http"])
@@ -306,14 +306,14 @@
 	again := 0
 	for _, line := range want {
 		if strings.HasPrefix(line, "write") && strings.HasSuffix(line, "sent 2 times") {
-			assert.Contains(t, line, "the server rejects it, then")
+			assert.Contains(t, line, "the server rejects the request, then")
 			again++
 		}
 	}
 	assert.Equal(t, len(backendActions), again)
 }
 
-// A malformed reply, or one to another call, may mean that the call has run: it is sent again only if it may run twice.
+// After a malformed reply, or one to another call, the call may have run, so it is sent again only if it may run twice.
 func TestInvalidThriftReplies(t *testing.T) {
 	message := func(kind thrift.Kind, name string, add int32) func([]byte, *thrift.Message) []byte {
 		return func(_ []byte, m *thrift.Message) []byte {
@@ -326,13 +326,13 @@
 		"another sequence number": message(thrift.Reply, "m", 1),
 		"another name":            message(thrift.Reply, "other", 0),
 		"a call":                  message(thrift.Call, "m", 0),
-		"a kind that is none":     message(7, "m", 0),
+		"an unknown kind":         message(7, "m", 0),
 		"another encoding": func(_ []byte, m *thrift.Message) []byte {
 			return message(thrift.Reply, "m", 0)(nil, &thrift.Message{Seq: m.Seq})
 		},
 		"a frame above the bound": func([]byte, *thrift.Message) []byte { return []byte{0, 1, 0, 1, 0x82} },
 		"a negative length":       func([]byte, *thrift.Message) []byte { return []byte{0xff, 0, 0, 0, 0x82} },
-		"a length of none":        func([]byte, *thrift.Message) []byte { return []byte{0, 0, 0, 0} },
+		"a zero length":           func([]byte, *thrift.Message) []byte { return []byte{0, 0, 0, 0} },
 		"a struct without an end": func(sound []byte, _ *thrift.Message) []byte { sound[3]--; return sound[:len(sound)-1] },
 		"bytes behind the struct": func(sound []byte, _ *thrift.Message) []byte { sound[3]++; return append(sound, 0) },
 	} {
@@ -356,8 +356,8 @@
 	}
 }
 
-// Under a limit on connections a response is the last on its own only if it can announce the close. A client that does not know may be
-// sending its next request, and finds no other connection.
+// Near the limit of connections, the sidecar closes a connection after a response only if the protocol can announce that. A client that is
+// not told may already be sending its next request, and would lose it.
 func TestCrowdedConnsCloseOnlyIfAnnounced(t *testing.T) {
 	for name, w := range protocols() {
 		n, c := startSidecar(t, w.port, w.response(""))
@@ -372,7 +372,7 @@
 	}
 }
 
-// BenchmarkFrontends measures a call without its system calls and without the writing of client and server.
+// BenchmarkFrontends measures the handling of a call, without system calls and without the work of the client and the server.
 func BenchmarkFrontends(b *testing.B) {
 	for _, name := range []string{"http", "binary", "compact"} {
 		w := protocols()[name]
--- a/internal/frontend/http1/call.go
+++ b/internal/frontend/http1/call.go
@@ -10,11 +10,11 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// call is a client's request, in memory of its own.
+// call is a client's request. Its memory is not shared with the connection.
 type call struct {
 	frontend       *Frontend
 	method, target string
-	header         http1.Header // forwarded; Request-Timeout is written anew
+	header         http1.Header // forwarded, without Request-Timeout, which is computed for each attempt
 	body           sidecar.Body
 	class          string
 }
@@ -25,7 +25,8 @@
 	return &exchange{call: c, parser: http1.NewResponseParser(limits)}
 }
 
-// newCall takes over a parsed request of a class from a remote address. Its header is rewritten here, once for all attempts.
+// newCall returns the call for a parsed request of a class from a remote address, and takes over its body. The header is rewritten here, once
+// for all attempts.
 func newCall(f *Frontend, p *http1.RequestParser, class string, remote net.Addr) *call {
 	c := &call{frontend: f, method: p.Method, target: p.Target, class: class,
 		body: sidecar.Body{Buffered: p.Body, Length: p.BodyLength(), IsComplete: p.IsComplete()}}
--- a/internal/frontend/http1/clientconn.go
+++ b/internal/frontend/http1/clientconn.go
@@ -15,12 +15,13 @@
 	frontend     *Frontend
 	parser       http1.RequestParser
 	sentContinue bool  // 100 Continue was written
-	uploading    *call // its body is still arriving; nil: none is
-	isChunked    bool  // the response that is forwarded in parts is chunked
-	minorVersion int   // of HTTP/1, of the present request
+	uploading    *call // the call whose body is still arriving; nil: there is none
+	isChunked    bool  // the response that is being streamed is sent in chunks
+	minorVersion int   // of the HTTP/1 version of the current request
 }
 
-// ReadRequest implements sidecar.ClientCodec. It writes 100 Continue to a client that waits for it with the body.
+// ReadRequest implements sidecar.ClientCodec. It writes 100 Continue to a client that waits for that before it sends
+// the body.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	if b := buf.Bytes(); !c.parser.HasBegun() && looksLikeThrift(b) {
 		return false, errThrift
@@ -47,7 +48,7 @@
 	return err
 }
 
-// PartialRequest implements sidecar.ClientCodec. The body counts as held, since it is taken off the buffer as it arrives.
+// PartialRequest implements sidecar.ClientCodec. The body counts as held, since it is moved out of the buffer as it arrives.
 func (c *clientConn) PartialRequest() (held int, begun bool) {
 	return len(c.parser.Body), c.parser.HasBegun()
 }
@@ -55,17 +56,17 @@
 // HandleRequest implements sidecar.ClientCodec: it routes the request.
 func (c *clientConn) HandleRequest() {
 	c.sentContinue, c.minorVersion = false, c.parser.MinorVersion()
-	// Danger: what follows a message that is answered before it has arrived completely is the rest of it, and no request.
+	// Danger: if a request is answered before it has arrived completely, the rest of it would be parsed as the next request.
 	c.SetKeepAlive(c.parser.IsPersistent() && c.parser.IsComplete())
 	c.route()
 	c.parser.Release()
 }
 
-// errThrift ends a connection whose client has connected to the wrong port. Danger: what it sends need never end a line, and it can't read
-// a response.
+// errThrift is returned for a client that speaks Thrift at the HTTP port. Danger: without this check the parser would wait for a line end
+// that need not come. The client couldn't read an HTTP response.
 var errThrift = errors.New("connections at the HTTP port are closed that speak Thrift")
 
-// looksLikeThrift reports whether bytes start as those of Thrift, framed or not, and as no request of HTTP can.
+// looksLikeThrift reports whether b starts like a Thrift message, framed or unframed. No HTTP request starts like that.
 func looksLikeThrift(b []byte) bool {
 	if len(b) > 4 && b[0] == 0 {
 		if b = b[4:]; b[0] == 0 { // the old binary protocol
@@ -91,13 +92,13 @@
 	c.reject(e.Status, e.Reason)
 }
 
-// reject answers a message that is no request to a class.
+// reject responds to a malformed request, or to one that can't be routed or served, and counts it as malformed.
 func (c *clientConn) reject(status int, reason string, fields ...http1.Field) {
 	c.CountMalformed()
 	c.respond(status, append(fields, textPlain), []byte(reason+"\n"))
 }
 
-// rejectInvalid answers an invalid request to a class.
+// rejectInvalid responds to an invalid request of a class, and counts it for that class too.
 func (c *clientConn) rejectInvalid(class, status int, reason string, fields ...http1.Field) {
 	c.CountInvalid(class)
 	c.reject(status, reason, fields...)
@@ -105,7 +106,7 @@
 
 var textPlain = http1.Field{Name: "Content-Type", Value: "text/plain"}
 
-// route answers what concerns the sidecar itself, and submits everything else.
+// route submits a request of a class, and answers one to a path of the sidecar itself.
 func (c *clientConn) route() {
 	p := &c.parser
 	path, query, _ := strings.Cut(p.Target, "?")
--- a/internal/frontend/http1/exchange.go
+++ b/internal/frontend/http1/exchange.go
@@ -12,7 +12,7 @@
 	call                *call
 	parser              http1.ResponseParser
 	isChunked           bool // the request's body is sent in chunks
-	isLastChunkAppended bool // the last one was appended
+	isLastChunkAppended bool // the zero-length chunk that ends the body was appended
 }
 
 // AppendRequest implements sidecar.Exchange.
@@ -72,7 +72,7 @@
 // HandleEOF implements sidecar.Exchange.
 func (x *exchange) HandleEOF() bool { return x.parser.HandleEOF() }
 
-// header returns the part of a response's header that the client is sent.
+// header returns the response's header as it is forwarded to the client.
 func (x *exchange) header() http1.Header {
 	if r := &x.call.frontend.rewrites; r.On() {
 		return r.Answer(x.parser.Header, x.call.class, x.call.path())
@@ -80,7 +80,7 @@
 	return x.parser.Header.EndToEnd()
 }
 
-// Result implements sidecar.Exchange. Only a server's word that it has not started proves that nothing has run.
+// Result implements sidecar.Exchange. Only the header field Not-Started proves that the server has not run the request.
 func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	p := &x.parser
 	outcome := policy.HostError
--- a/internal/frontend/http1/faults.go
+++ b/internal/frontend/http1/faults.go
@@ -9,7 +9,8 @@
 	"hazelwheel/internal/http1"
 )
 
-// A fault is started by a POST to FaultPath with its name. The secret is in a header field, in base64: it may hold any bytes.
+// A fault is started by a POST to FaultPath followed by its name. FaultSecretField is the header field with the secret, in base64 because a
+// secret may contain any bytes.
 const (
 	FaultPath        = "/drills/"
 	FaultSecretField = "Drill-Secret"
@@ -23,7 +24,7 @@
 	}
 	secret, err := base64.StdEncoding.DecodeString(c.parser.Header.Get(FaultSecretField))
 	if err != nil {
-		secret = nil // which matches none
+		secret = nil // invalid base64 is treated as an empty secret
 	}
 	fault, err := c.Sidecar().StartFault(secret, name)
 	if err != nil {
@@ -37,7 +38,7 @@
 	c.respond(200, http1.Header{textPlain}, []byte("drill "+fault.Name+" started\n"))
 }
 
-// faultName returns the fault that a path names; false: it names none, or faults can't be started.
+// faultName returns the name of a fault in a path; false: the path is not below FaultPath, or faults can't be started.
 func (c *clientConn) faultName(path string) (string, bool) {
 	name, ok := strings.CutPrefix(path, FaultPath)
 	return name, ok && c.Sidecar().IsFaultInjectionArmed()
--- a/internal/frontend/http1/fields.go
+++ b/internal/frontend/http1/fields.go
@@ -9,7 +9,7 @@
 	"hazelwheel/policy"
 )
 
-// Names of header fields, as the deployment spells them.
+// Names of the header fields that clients, the sidecar and servers exchange.
 const (
 	fieldID         = "Request-Id"
 	fieldTimeout    = "Request-Timeout"
@@ -26,7 +26,7 @@
 	return sidecar.ParseLoadReport(f.settings.ReportFields, text)
 }
 
-// tenantIndex returns the index in the settings of a tenant that a client gives by name or by index.
+// tenantIndex returns the index in the settings of a tenant that a client gives by name or by index, or sidecar.UnknownTenant.
 func (f *Frontend) tenantIndex(text string) int {
 	tenants := f.settings.Policy.Tenants
 	for i := range tenants {
@@ -40,12 +40,12 @@
 	return sidecar.UnknownTenant
 }
 
-// appendTimeout appends a number of seconds in the deployment's notation.
+// appendTimeout appends a number of seconds in the form that parseTimeout reads, in whole microseconds.
 func appendTimeout(dst []byte, s float64) []byte {
 	return append(strconv.AppendInt(dst, max(int64(s*1e6), 0), 10), 'u')
 }
 
-// parseTimeout parses a number with a unit, m for milliseconds or u for microseconds, and returns seconds.
+// parseTimeout parses a number followed by a unit, m for milliseconds or u for microseconds, and returns seconds.
 func parseTimeout(text string) (float64, bool) {
 	if len(text) < 2 {
 		return 0, false
--- a/internal/frontend/http1/fields_test.go
+++ b/internal/frontend/http1/fields_test.go
@@ -22,13 +22,13 @@
 	}
 	r := f.parseReport("util=x,queue=Inf")
 	for _, v := range r.Values[:3] {
-		assert.True(t, math.IsNaN(float64(v)), "a value that is absent or odd is none")
+		assert.True(t, math.IsNaN(float64(v)), "a value that is absent or invalid is NaN")
 	}
 	assert.Zero(t, f.parseReport("").N)
 }
 
-// A request without a tenant, or of one that the settings do not name, has none. Danger: counted as the first tenant's all of them would
-// exceed its share, and go last.
+// A request without a tenant, or with one that the settings do not name, counts for no tenant. If such requests counted for the first tenant,
+// they would exceed its share and be served last.
 func TestTenantIndex(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Tenants = []policy.Tenant{{Name: "north"}, {Name: "south"}}
--- a/internal/frontend/http1/frontend.go
+++ b/internal/frontend/http1/frontend.go
@@ -33,7 +33,7 @@
 // ListenAddress implements sidecar.Frontend.
 func (f *Frontend) ListenAddress() string { return f.listen }
 
-// BackendAddress implements sidecar.Frontend: servers speak HTTP where they are listed.
+// BackendAddress implements sidecar.Frontend: servers speak HTTP at the address in the list.
 func (f *Frontend) BackendAddress(listed string) string { return listed }
 
 // NewClient implements sidecar.Frontend.
--- a/internal/frontend/http1/probe.go
+++ b/internal/frontend/http1/probe.go
@@ -9,7 +9,7 @@
 // probe is the exchange of a health check.
 type probe struct{ exchange }
 
-// NewProbe implements sidecar.Frontend. The settings name the path.
+// NewProbe implements sidecar.Frontend. The path depends on whether probes return load reports.
 func (f *Frontend) NewProbe() sidecar.Exchange {
 	path := "/health"
 	if f.settings.Policy.ReportsOnProbe {
@@ -19,8 +19,8 @@
 	return &probe{exchange{call: c, parser: http1.NewResponseParser(limits)}}
 }
 
-// Result implements sidecar.Exchange. The load report may be in the body. A probe runs nothing: a server that rejects one need not say so
-// in a field as it must for a request.
+// Result implements sidecar.Exchange. The load report may be in the body. A probe runs nothing, so status 503 counts as a
+// rejection without the field Not-Started, which it needs for a request.
 func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
 	outcome, report, keep := x.exchange.Result()
 	if x.parser.Status == 503 {
--- a/internal/frontend/http1/quotas.go
+++ b/internal/frontend/http1/quotas.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// QuotaPath shows the state of the quotas: of all groups, or of one with ?group=PATH.
+// QuotaPath is the path at which operators read the state of the quotas of all groups, or of one group with ?group=PATH.
 const QuotaPath = "/quota"
 
 var (
@@ -16,7 +16,7 @@
 	_ sidecar.CostReporter = (*exchange)(nil)
 )
 
-// Field implements sidecar.QuotaClient: it returns the field as the client has sent it, whatever is rewritten later.
+// Field implements sidecar.QuotaClient: it returns the field as the client sent it, before any rewriting.
 func (c *clientConn) Field(name string) string { return c.parser.Header.Get(name) }
 
 // RequestBytes implements sidecar.QuotaClient: it counts the first line, the header and the body.
--- a/internal/frontend/thrift/call.go
+++ b/internal/frontend/thrift/call.go
@@ -7,13 +7,13 @@
 	"hazelwheel/internal/thrift"
 )
 
-// call is a client's call, in memory of its own: it outlives its connection.
+// call is a client's call. It holds a copy of the message, since it can outlive the client's connection.
 type call struct {
 	frontend *Frontend
 	message  thrift.Message
 }
 
-// newCall copies a message from a connection's buffer.
+// newCall returns the call for a message, which it copies out of the connection's buffer.
 func newCall(f *Frontend, m thrift.Message) *call {
 	c := &call{frontend: f}
 	raw := append([]byte(nil), m.Raw...)
@@ -26,5 +26,5 @@
 // NewExchange implements sidecar.Call.
 func (c *call) NewExchange() sidecar.Exchange { return &exchange{call: c} }
 
-// methodName returns a method's name without that of its service.
+// methodName returns a method's name without the prefix "Service:" of a multiplexed call.
 func methodName(name []byte) []byte { return name[bytes.IndexByte(name, ':')+1:] }
--- a/internal/frontend/thrift/clientconn.go
+++ b/internal/frontend/thrift/clientconn.go
@@ -12,14 +12,15 @@
 )
 
 // clientConn is a client connection that speaks Thrift. Pipelined calls wait in its buffer and in the socket: they are answered in order,
-// one at a time, like by a server of the Apache libraries.
+// one at a time, as by the servers of the Apache libraries.
 type clientConn struct {
 	sidecar.ClientConn
 	frontend *Frontend
-	message  thrift.Message // the one that was read last, or is open
+	message  thrift.Message // of the current call, or of the last one
 }
 
-// ReadRequest implements sidecar.ClientCodec. The message stays in the buffer until HandleRequest, which comes before any more bytes.
+// ReadRequest implements sidecar.ClientCodec. The message refers to the buffer's memory, which stays valid until HandleRequest:
+// no bytes are received in between.
 func (c *clientConn) ReadRequest(buf *buffer.Buffer) (bool, error) {
 	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
 	if err != nil || size == 0 {
@@ -38,8 +39,8 @@
 // PartialRequest implements sidecar.ClientCodec. Nothing is held: a message stays in the buffer until it is complete.
 func (c *clientConn) PartialRequest() (held int, begun bool) { return 0, false }
 
-// RejectMalformed implements sidecar.ClientCodec. The connection is closed without a response: what can't be read has no sequence number to
-// answer.
+// RejectMalformed implements sidecar.ClientCodec. The connection is closed without a response, since a message that can't be parsed has
+// no sequence number for it.
 func (c *clientConn) RejectMalformed(err error) {
 	if errors.Is(err, sidecar.ErrRequestTimeout) {
 		c.CloseUnanswered("connections closed: calls did not arrive in time")
@@ -73,7 +74,7 @@
 	c.submit(class, found[0], found[1], found[2], found[3].Int != 0)
 }
 
-// submit submits a call to a class, with the values that were found in it.
+// submit validates and submits a call of a class. id, key and timeout are values of its arguments.
 func (c *clientConn) submit(class *class, id, key, timeout thrift.Value, isRetry bool) {
 	in := sidecar.IncomingRequest{
 		Class:          class.index,
@@ -101,7 +102,7 @@
 		c.reject(thrift.InternalError, "its id is that of an open call")
 		return
 	}
-	// Without a key nothing drops a repeat, whatever the class says.
+	// Without an idempotency key the servers can't recognize a repeated call, even if the class says that they do.
 	in.AtMostOnce = class.Effect == policy.Keyed && len(key.Bytes) == 0 && key.Int == 0
 	if c.Admit(class.index) {
 		call := newCall(c.frontend, c.message)
@@ -110,10 +111,10 @@
 	}
 }
 
-// maxIDBytes bounds an ID. Danger: the capture and the log hold it many times over.
+// maxIDBytes limits the length of an ID, since the capture and the log repeat it many times.
 const maxIDBytes = 256
 
-// idText returns an ID as text that fits into a log line; empty: there is none.
+// idText returns an ID as printable text without spaces, in hexadecimal if need be; empty: there is none.
 func idText(id thrift.Value) string {
 	for _, b := range id.Bytes {
 		if b <= ' ' || b >= 0x7f {
@@ -126,7 +127,7 @@
 	return string(id.Bytes)
 }
 
-// parseSeconds converts a number in a unit to seconds; false: it is no number, or out of bounds.
+// parseSeconds converts a number of units to seconds; false: it is not a number, or it is out of range.
 func parseSeconds(v thrift.Value, unitSeconds float64) (float64, bool) {
 	n := float64(v.Int)
 	switch v.Type {
@@ -139,13 +140,13 @@
 	return n * unitSeconds, n >= 0 && n < 1e15
 }
 
-// reject answers a call without submitting it. Such a call has not run.
+// reject responds to a call with an exception, without submitting it, and counts it as malformed.
 func (c *clientConn) reject(kind thrift.ExceptionType, reason string) {
 	c.CountMalformed()
 	c.respondException(kind, reason)
 }
 
-// rejectAndClose answers a malformed message as the last on its connection.
+// rejectAndClose responds to a malformed message and closes the connection.
 func (c *clientConn) rejectAndClose(kind thrift.ExceptionType, reason string) {
 	c.SetKeepAlive(false)
 	c.reject(kind, reason)
--- a/internal/frontend/thrift/exchange.go
+++ b/internal/frontend/thrift/exchange.go
@@ -14,11 +14,11 @@
 	call     *call
 	sequence int32
 	hasBegun bool
-	reply    thrift.Message // in the backend connection's buffer until the next bytes arrive
+	reply    thrift.Message // refers to the backend connection's buffer, valid until more bytes arrive
 	outcome  policy.Outcome
 }
 
-// Errors of a reply that can be read.
+// Errors for messages that can be parsed but do not reply to the call.
 const (
 	errNoReply  thrift.Error = "a message that is no reply"
 	errSequence thrift.Error = "another sequence number than the call's"
@@ -26,14 +26,14 @@
 	errEncoding thrift.Error = "another encoding than the call's"
 )
 
-// AppendRequest implements sidecar.Exchange. The call is written as it came but for the sequence number: the deadline in it is forwarded
-// unchanged.
+// AppendRequest implements sidecar.Exchange. The call is forwarded as received except for the sequence number; the deadline in it is not
+// updated.
 func (x *exchange) AppendRequest(dst []byte, _, _ float64) []byte {
 	x.sequence = x.call.frontend.nextSequence()
 	return x.call.message.AppendWithSeq(dst, x.sequence)
 }
 
-// ReadResponse implements sidecar.Exchange. A malformed reply, or one to another call, means that the server has processed this one.
+// ReadResponse implements sidecar.Exchange. After a malformed reply, or one to another call, the server may have run this call.
 func (x *exchange) ReadResponse(buf *buffer.Buffer) (bool, error) {
 	x.hasBegun = x.hasBegun || buf.Len() > 0
 	payload, size, err := thrift.CutFrame(buf.Bytes(), maxFrameBytes)
@@ -62,7 +62,8 @@
 	return true, nil
 }
 
-// exceptionOutcome returns what a TApplicationException means. Only a server's word that it has not started proves that nothing has run.
+// exceptionOutcome returns the outcome of a TApplicationException with a text. Only the configured prefix NotStarted proves that the server
+// has not run the call.
 func (f *Frontend) exceptionOutcome(text []byte) policy.Outcome {
 	if strings.HasPrefix(string(text), f.config.NotStarted) {
 		return policy.Rejected
@@ -70,7 +71,7 @@
 	return policy.HostError
 }
 
-// checkReply returns why a message is not the call's reply, nil if it is. A reply names the method, mostly without the service.
+// checkReply returns why a message is not the call's reply, nil if it is. Most servers reply with the method's name without the service.
 func (x *exchange) checkReply(m *thrift.Message) error {
 	own := &x.call.message
 	switch {
@@ -107,7 +108,7 @@
 // ServiceSeconds implements sidecar.CostReporter. A reply has no field for it.
 func (x *exchange) ServiceSeconds() (seconds float64, ok bool) { return 0, false }
 
-// Result implements sidecar.Exchange. Every reply is the method's own result, a declared exception as well.
+// Result implements sidecar.Exchange. A reply that holds an exception which the method declares is a success.
 func (x *exchange) Result() (policy.Outcome, policy.Report, bool) {
 	return x.outcome, policy.Report{}, true
 }
--- a/internal/frontend/thrift/frontend.go
+++ b/internal/frontend/thrift/frontend.go
@@ -14,25 +14,25 @@
 	"hazelwheel/policy"
 )
 
-// maxFrameBytes bounds a message like the body of an HTTP one.
+// maxFrameBytes limits a message to the size of a buffered HTTP body.
 const maxFrameBytes = sidecar.MaxBodyBytes
 
 // Frontend speaks Thrift with clients and servers.
 type Frontend struct {
-	sidecarName  string // in the IDs that it generates
+	sidecarName  string // part of generated IDs
 	settings     sidecarconfig.Settings
 	config       featureconfig.Thrift
 	methods      map[string]*class
-	lastSequence int32  // of the last attempt
-	generatedIDs uint64 // for calls without one
+	lastSequence int32  // sequence number of the last attempt
+	generatedIDs uint64 // how many IDs were generated, for calls without one
 }
 
-// class is what the calls of one class have in common.
+// class is the configuration of the calls of one class.
 type class struct {
 	featureconfig.ThriftClass
 	policy.Class
 	index int
-	paths []thrift.Path // of ID, key, time-out and the mark of a retry
+	paths []thrift.Path // of the ID, the idempotency key, the time-out and the retry flag, in this order
 }
 
 var _ sidecar.Frontend = (*Frontend)(nil)
@@ -71,14 +71,14 @@
 // NewClient implements sidecar.Frontend.
 func (f *Frontend) NewClient() sidecar.ClientCodec { return &clientConn{frontend: f} }
 
-// generateID returns an ID for a call without one, for logs and captures alone.
+// generateID returns an ID for a call without one. It appears only in logs and captures.
 func (f *Frontend) generateID() string {
 	f.generatedIDs++
 	return fmt.Sprintf("%s-thrift-%d", f.sidecarName, f.generatedIDs)
 }
 
-// nextSequence returns the next attempt's sequence number. Danger: a backend connection carries one call at a time, but a late reply to an
-// earlier one must not be taken for this one's.
+// nextSequence returns the sequence number for a new attempt. All attempts have different ones: a backend connection carries one call at a
+// time, but a late reply to an earlier call must not be taken for the reply to this one.
 func (f *Frontend) nextSequence() int32 {
 	f.lastSequence++
 	return f.lastSequence
--- a/internal/frontend/thrift/probe.go
+++ b/internal/frontend/thrift/probe.go
@@ -18,14 +18,14 @@
 	w.BeginMessage(nil, thrift.Binary, thrift.Call, f.config.Probe, 0)
 	m, err := thrift.ParseMessage(w.EndMessage()[4:])
 	if err != nil {
-		panic(err) // it was written above
+		panic(err) // impossible: the message was written above
 	}
 	return &probe{exchange{call: &call{frontend: f, message: m}}}
 }
 
 var resultPaths = []thrift.Path{{0}}
 
-// Result implements sidecar.Exchange. The load report may be in the result. A server that does not know the method is alive all the same.
+// Result implements sidecar.Exchange. The load report may be in the result. A server that responds that it does not know the method is healthy.
 func (x *probe) Result() (policy.Outcome, policy.Report, bool) {
 	outcome, report, keep := x.exchange.Result()
 	var found [thrift.MaxPaths]thrift.Value
--- a/internal/frontend/thrift/response.go
+++ b/internal/frontend/thrift/response.go
@@ -20,14 +20,14 @@
 	c.EndResponse(dst)
 }
 
-// Texts for calls without a reply of the server; programs tell them apart by the exception's type, and people by the text.
+// Exception texts for calls without a reply from a server. Programs distinguish these cases by the exception's type; the texts are for people.
 const (
 	throttledText = "throttled; retry-after="
 	failedText    = "failed; it may have run"
 	lateText      = "no answer in time; it may have run"
 )
 
-// Throttle implements sidecar.Responder; the text may hold the seconds until a retry.
+// Throttle implements sidecar.Responder; the text may contain the number of seconds to wait before a retry.
 func (c *clientConn) Throttle(retryAfterSeconds float64) {
 	text := throttledText
 	if c.frontend.settings.RetryAfter {
