--- a/internal/frontend/admin/wire_form_test.go
+++ b/internal/frontend/admin/wire_form_test.go
@@ -11,19 +11,19 @@
 	"hazelwheel/internal/sidecar"
 )
 
-// figuresController is a fakeController with a given snapshot.
-type figuresController struct {
+// snapshotController is a fakeController with a given snapshot.
+type snapshotController struct {
 	fakeController
 	figures *sidecar.StatusSnapshot
 }
 
-func (c *figuresController) StatusSnapshot() *sidecar.StatusSnapshot { return c.figures }
+func (c *snapshotController) StatusSnapshot() *sidecar.StatusSnapshot { return c.figures }
 
 // Operators' tools parse these answers, so they must not change by a byte.
-func TestAnswerForm(t *testing.T) {
+func TestAnswersAreByteStable(t *testing.T) {
 	figures := &sidecar.StatusSnapshot{TakenAt: 100, RequestsWritten: 11, OpenRequests: 12, Servers: 13, UnavailableServers: 14, FleetMetrics: []sidecar.Metric{{Name: "peers_alive", Value: 15}}}
 	require.NoError(t, json.Unmarshal([]byte(`[{"class":"read","served":1,"throttled":2,"failed":3,"abandoned":4},{"class":"write","served":5}]`), &figures.Classes))
-	controller := &figuresController{figures: figures}
+	controller := &snapshotController{figures: figures}
 	now := 103.0
 	server := &Server{controller: controller, now: func() float64 { return now }}
 	raw, err := os.ReadFile("testdata/answers/dump")
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -31,7 +31,7 @@
 	now           float64
 	alarm         float64 // 0: none
 	posted        []func()
-	respond       func(dst, asked []byte) []byte
+	respond       func(dst, req []byte) []byte
 	script        []string // the server's action for each request, in order; it responds normally to all later ones
 	backendWrites int      // number of requests that the server has received
 }
@@ -109,36 +109,36 @@
 		return len(p), nil
 	}
 	c.reply = c.loop.respond(c.reply[:0], p)
-	does := ""
+	action := ""
 	if n := c.loop.backendWrites; n < len(c.loop.script) {
-		does = c.loop.script[n]
+		action = c.loop.script[n]
 	}
 	c.loop.backendWrites++
-	c.loop.Post(func() { c.perform(does) })
+	c.loop.Post(func() { c.perform(action) })
 	return len(p), nil
 }
 
 // perform carries out one action of the server's script; the protocol's function has built the response.
-func (c *fakeConn) perform(does string) {
-	bytes, ends := c.reply, false
-	switch does {
+func (c *fakeConn) perform(action string) {
+	bytes, closes := c.reply, false
+	switch action {
 	case "closes":
-		bytes, ends = nil, true
+		bytes, closes = nil, true
 	case "closes in the response":
-		bytes, ends = bytes[:len(bytes)-1], true
+		bytes, closes = bytes[:len(bytes)-1], true
 	case "responds malformed":
 		bytes = []byte("\x01\x02\x03\x04\x05\x06\x07\x08\r\n")
 	case "sends unsolicited bytes":
 		bytes = append(bytes, bytes...)
 	case "responds and closes":
-		ends = true
+		closes = true
 	case "does not respond":
 		return
 	}
 	if len(bytes) > 0 && !c.isClosed {
 		c.loop.handler.Traffic(c, bytes)
 	}
-	if ends && !c.isClosed {
+	if closes && !c.isClosed {
 		c.isClosed = true
 		c.loop.handler.Closed(c, io.EOF)
 	}
@@ -155,7 +155,7 @@
 func (c *fakeConn) SetContext(v any)      { c.context = v }
 
 // startSidecar starts a sidecar and opens a client connection to it at a port.
-func startSidecar(t testing.TB, port int, answer func(dst, asked []byte) []byte) (*fakeLoop, *fakeConn) {
+func startSidecar(t testing.TB, port int, answer func(dst, req []byte) []byte) (*fakeLoop, *fakeConn) {
 	known := `{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000001","address":"` + backendAddress + `","zone":"a","status":"SERVING","weight":1}]}`
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:9", "known": json.RawMessage(known),
 		"seed": "8c1f30d27a5be964", "settings": json.RawMessage(`{"dcs":["a"],"discovery":"on_request","replicasOfMe":1,"roundS":0.005,
@@ -185,8 +185,8 @@
 type protocol struct {
 	port     int
 	request  func(class string, i int) []byte
-	response func(does string) func(dst, asked []byte) []byte
-	statusOf func(said []byte) int // the HTTP status that corresponds to the response
+	response func(action string) func(dst, req []byte) []byte
+	statusOf func(resp []byte) int // the HTTP status that corresponds to the response
 }
 
 var payload = fmt.Sprintf("%-160s", "17.25 C")
@@ -201,8 +201,8 @@
 			return fmt.Appendf(nil, "%s /%s/7 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %016x\r\nIdempotency-Key: k\r\nRequest-Timeout: 9900m\r\n%s\r\n",
 				method, class, i, more)
 		},
-		response: func(does string) func(dst, _ []byte) []byte {
-			switch does {
+		response: func(action string) func(dst, _ []byte) []byte {
+			switch action {
 			case "responds with an error":
 				return func(dst, _ []byte) []byte { return append(dst, "HTTP/1.1 500 \r\nContent-Length: 0\r\n\r\n"...) }
 			case "rejects the request":
@@ -214,8 +214,8 @@
 				return fmt.Appendf(dst, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(payload), payload)
 			}
 		},
-		statusOf: func(said []byte) int {
-			n, _ := strconv.Atoi(string(said[9:12]))
+		statusOf: func(resp []byte) int {
+			n, _ := strconv.Atoi(string(resp[9:12]))
 			return n
 		}}}
 	for _, enc := range []thrift.Encoding{thrift.Binary, thrift.Compact} {
@@ -233,13 +233,13 @@
 				w.I32(7)
 				return w.EndMessage()
 			},
-			response: func(does string) func(dst, asked []byte) []byte {
-				return func(dst, asked []byte) []byte {
-					m, err := thrift.ParseMessage(asked[4:])
+			response: func(action string) func(dst, req []byte) []byte {
+				return func(dst, req []byte) []byte {
+					m, err := thrift.ParseMessage(req[4:])
 					if err != nil {
 						panic(err)
 					}
-					switch does {
+					switch action {
 					case "responds with an error":
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "no")
 					case "rejects the request":
@@ -252,8 +252,8 @@
 					return w.EndMessage()
 				}
 			},
-			statusOf: func(said []byte) int {
-				m, err := thrift.ParseMessage(said[4:])
+			statusOf: func(resp []byte) int {
+				m, err := thrift.ParseMessage(resp[4:])
 				if err != nil || m.Kind == thrift.Reply {
 					return 200
 				}
@@ -271,12 +271,12 @@
 			for _, second := range backendActions {
 				n, c := startSidecar(t, w.port, nil)
 				n.script = []string{first, second}
-				n.respond = func(dst, asked []byte) []byte {
-					does := ""
+				n.respond = func(dst, req []byte) []byte {
+					action := ""
 					if n.backendWrites < len(n.script) {
-						does = n.script[n.backendWrites]
+						action = n.script[n.backendWrites]
 					}
-					return w.response(does)(dst, asked)
+					return w.response(action)(dst, req)
 				}
 				n.handler.Traffic(c, w.request(class, 1))
 				n.run(c)
@@ -303,14 +303,14 @@
 			assert.Equal(t, want[i], got[i], name)
 		}
 	}
-	again := 0
+	retried := 0
 	for _, line := range want {
 		if strings.HasPrefix(line, "write") && strings.HasSuffix(line, "sent 2 times") {
 			assert.Contains(t, line, "the server rejects the request, then")
-			again++
+			retried++
 		}
 	}
-	assert.Equal(t, len(backendActions), again)
+	assert.Equal(t, len(backendActions), retried)
 }
 
 // After a malformed reply, or one to another call, the call may have run, so it is sent again only if it may run twice.
@@ -322,7 +322,7 @@
 			return w.EndMessage()
 		}
 	}
-	for name, reply := range map[string]func(sound []byte, m *thrift.Message) []byte{
+	for name, reply := range map[string]func(valid []byte, m *thrift.Message) []byte{
 		"another sequence number": message(thrift.Reply, "m", 1),
 		"another name":            message(thrift.Reply, "other", 0),
 		"a call":                  message(thrift.Call, "m", 0),
@@ -333,32 +333,32 @@
 		"a frame above the bound": func([]byte, *thrift.Message) []byte { return []byte{0, 1, 0, 1, 0x82} },
 		"a negative length":       func([]byte, *thrift.Message) []byte { return []byte{0xff, 0, 0, 0, 0x82} },
 		"a zero length":           func([]byte, *thrift.Message) []byte { return []byte{0, 0, 0, 0} },
-		"a struct without an end": func(sound []byte, _ *thrift.Message) []byte { sound[3]--; return sound[:len(sound)-1] },
-		"bytes behind the struct": func(sound []byte, _ *thrift.Message) []byte { sound[3]++; return append(sound, 0) },
+		"a struct without an end": func(valid []byte, _ *thrift.Message) []byte { valid[3]--; return valid[:len(valid)-1] },
+		"bytes behind the struct": func(valid []byte, _ *thrift.Message) []byte { valid[3]++; return append(valid, 0) },
 	} {
 		for class, want := range map[string]string{"write": "502, sent 1", "read": "200, sent 2"} {
-			way := protocols()["compact"]
-			n, c := startSidecar(t, way.port, nil)
-			n.respond = func(dst, asked []byte) []byte {
-				sound := way.response("")(dst, asked)
+			proto := protocols()["compact"]
+			n, c := startSidecar(t, proto.port, nil)
+			n.respond = func(dst, req []byte) []byte {
+				valid := proto.response("")(dst, req)
 				if n.backendWrites > 0 {
-					return sound
+					return valid
 				}
-				m, err := thrift.ParseMessage(asked[4:])
+				m, err := thrift.ParseMessage(req[4:])
 				require.NoError(t, err)
-				odd := reply(sound, &m)
-				return bytes.Replace(odd, []byte("\x01m\x00"), append([]byte{byte(len(class))}, class+"\x00"...), 1)
+				invalid := reply(valid, &m)
+				return bytes.Replace(invalid, []byte("\x01m\x00"), append([]byte{byte(len(class))}, class+"\x00"...), 1)
 			}
-			n.handler.Traffic(c, way.request(class, 1))
+			n.handler.Traffic(c, proto.request(class, 1))
 			n.run(c)
-			assert.Equal(t, want, fmt.Sprintf("%d, sent %d", way.statusOf(c.written), n.backendWrites), "%s: %s", class, name)
+			assert.Equal(t, want, fmt.Sprintf("%d, sent %d", proto.statusOf(c.written), n.backendWrites), "%s: %s", class, name)
 		}
 	}
 }
 
 // Near the limit of connections, the sidecar closes a connection after a response only if the protocol can announce that. A client that is
 // not told may already be sending its next request, and would lose it.
-func TestCrowdedConnsCloseOnlyIfAnnounced(t *testing.T) {
+func TestConnsNearLimitCloseOnlyIfAnnounced(t *testing.T) {
 	for name, w := range protocols() {
 		n, c := startSidecar(t, w.port, w.response(""))
 		for range 300 {
@@ -378,14 +378,14 @@
 		w := protocols()[name]
 		b.Run(name, func(b *testing.B) {
 			n, c := startSidecar(b, w.port, w.response(""))
-			asks := make([][]byte, 1024)
-			for i := range asks {
-				asks[i] = w.request("read", i)
+			requests := make([][]byte, 1024)
+			for i := range requests {
+				requests[i] = w.request("read", i)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				n.now += 0.005
-				n.handler.Traffic(c, asks[i&1023])
+				n.handler.Traffic(c, requests[i&1023])
 				n.run(c)
 				if !bytes.Contains(c.written, []byte("17.25 C")) {
 					b.Fatalf("%q", c.written)
