--- a/internal/peers/frames/example_test.go
+++ b/internal/peers/frames/example_test.go
@@ -6,7 +6,7 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// A receiver keeps the bytes that it has received and takes complete frames off their front.
+// A receiver buffers the bytes that it receives and removes complete frames from the front.
 func ExampleNext() {
 	body, err := frames.Marshal(frames.Hello{Fleet: "yard", Name: "m01", ID: 7})
 	if err != nil {
--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -1,6 +1,6 @@
-// Package frames is the wire form between sidecars: frames of four bytes of length, one of the version, one of the topic, and a body in
-// MessagePack with named fields. A receiver skips fields and topics that it does not know, so that versions can differ. docs/design/peers.md
-// describes the topics. The package has no state and no sockets; a proxy between two sidecars reads frames with it, too.
+// Package frames is the wire format between sidecars. A frame has four bytes of length, one byte of version, one byte of topic, and a body in
+// MessagePack with named fields. A receiver skips fields and topics that it does not know, so that program versions can differ.
+// docs/design/peers.md describes the topics. The package has no state and no sockets, so that a proxy between two sidecars can use it, too.
 package frames
 
 import (
@@ -21,14 +21,14 @@
 	MaxFrameBytes = 64 << 10
 	// HeaderBytes is the length of a frame's header.
 	HeaderBytes = 6
-	// lengthBytes is the part of the header whose bytes are not counted in the length field.
+	// lengthBytes is the length of the length field, which does not count itself.
 	lengthBytes = 4
 )
 
 // Topic is the kind of a frame's body.
 type Topic byte
 
-// The topics. The numbers are the wire form.
+// The topics, with their numbers on the wire.
 const (
 	TopicHello      Topic = 1 // Hello, the first frame of each end
 	TopicMembership Topic = 2 // swim.Message
@@ -41,21 +41,21 @@
 type RoleMessage struct {
 	Role     string `msgpack:"j"`
 	Token    uint64 `msgpack:"t"`
-	Origin   uint64 `msgpack:"o"`           // ID of the member that sent it first
-	Sequence uint64 `msgpack:"n,omitempty"` // of the token's messages for all, from 1; each is flooded once. 0: for one link only
-	Kind     uint8  `msgpack:"k,omitempty"` // of the role, from 1; or KindRejected
+	Origin   uint64 `msgpack:"o"`           // ID of the member that created the message
+	Sequence uint64 `msgpack:"n,omitempty"` // from 1, counts the messages under this token that go to all members, each of which is flooded once; 0: for one link only
+	Kind     uint8  `msgpack:"k,omitempty"` // defined by the role, from 1; or KindRejected
 	Body     []byte `msgpack:"b,omitempty"`
 }
 
-// KindRejected is the kind of the answer to a message whose token is too low: Token is the greatest that is known.
+// KindRejected is the kind of the answer to a message whose token is too low. The answer's Token is the greatest that the receiver knows.
 const KindRejected uint8 = 0
 
-// Hello is the first frame of each end of a link. A proxy between two sidecars learns from Name who speaks.
+// Hello is the first frame of each end of a link. A proxy between two sidecars identifies the sender by Name.
 type Hello struct {
 	Fleet   string `msgpack:"f"`
 	Name    string `msgpack:"n"`           // of the sidecar
-	ID      uint64 `msgpack:"i"`           // of the member; 0: no member yet
-	Address string `msgpack:"a"`           // that peers dial
+	ID      uint64 `msgpack:"i"`           // of the member; 0: not a member yet
+	Address string `msgpack:"a"`           // the address that peers dial
 	Body    []byte `msgpack:"b,omitempty"` // a swim.Hello
 }
 
@@ -63,7 +63,7 @@
 	// ErrTooLong is the error of a frame that is longer than MaxFrameBytes.
 	ErrTooLong = errors.New("a frame is longer than allowed")
 	// ErrVersion is the error of a frame of another version.
-	ErrVersion = errors.New("a frame is of a version that is not spoken here")
+	ErrVersion = errors.New("unsupported frame version")
 )
 
 // Next returns the first frame of received data: its topic, its body, which is part of data, and its length with the header. The
@@ -80,7 +80,7 @@
 		return 0, nil, 0, fmt.Errorf("%w: %d", ErrVersion, data[lengthBytes])
 	}
 	if n < HeaderBytes-lengthBytes {
-		return 0, nil, 0, fmt.Errorf("%w: no head", ErrVersion)
+		return 0, nil, 0, fmt.Errorf("%w: incomplete header", ErrVersion)
 	}
 	if length = lengthBytes + int(n); len(data) < length {
 		return 0, nil, 0, nil
@@ -88,7 +88,7 @@
 	return Topic(data[lengthBytes+1]), data[HeaderBytes:length], length, nil
 }
 
-// Append appends a frame to dst. If the body is too long it appends nothing and the error wraps ErrTooLong.
+// Append appends a frame to dst. If the body is too long it appends nothing and returns an error that wraps ErrTooLong.
 func Append(dst []byte, topic Topic, body []byte) ([]byte, error) {
 	if len(body)+HeaderBytes > MaxFrameBytes {
 		return dst, fmt.Errorf("%w: %d bytes", ErrTooLong, len(body))
@@ -105,7 +105,7 @@
 	// Danger: the body comes from a peer, and the event loop must survive a panic of the decoder.
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("a body can't be read: %v", cause)
+			err = fmt.Errorf("a body can't be decoded: %v", cause)
 		}
 	}()
 	if err := msgpacklimit.Whole(body); err != nil {
--- a/internal/peers/frames/frames_test.go
+++ b/internal/peers/frames/frames_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A field that is not known is skipped; what is known is read.
+// Unknown fields are skipped and known ones are decoded.
 func TestUnknownFieldsAreSkipped(t *testing.T) {
 	body, err := Marshal(map[string]any{"f": "yard", "z": map[string]any{"deep": []int{1, 2}}, "n": "m01", "i": 7})
 	require.NoError(t, err)
@@ -16,8 +16,8 @@
 	assert.Equal(t, Hello{Fleet: "yard", Name: "m01", ID: 7}, h)
 }
 
-// FuzzNext reads what comes over a link, in whatever pieces: it never fails otherwise than by an error, takes no more than is
-// there, and a frame that was appended comes back.
+// FuzzNext checks that no received bytes cause a panic, that a frame is not longer than the data, and that re-encoding a frame yields the same
+// bytes.
 func FuzzNext(f *testing.F) {
 	hello, err := Marshal(Hello{Fleet: "yard", Name: "m01", ID: 7})
 	require.NoError(f, err)
@@ -26,7 +26,7 @@
 	f.Add(frame)
 	f.Add(append(frame[:len(frame)-3:len(frame)-3], 0xc1, 0, 0, 0, 2, 1, 2))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	f.Add([]byte{0, 0, 0, 12, 1, 1, 0xdd, 0xff, 0xff, 0xff, 0xff}) // an array of four billion
+	f.Add([]byte{0, 0, 0, 12, 1, 1, 0xdd, 0xff, 0xff, 0xff, 0xff}) // an array that claims four billion elements
 	f.Fuzz(func(t *testing.T, data []byte) {
 		for rest := data; ; {
 			topic, body, n, err := Next(rest)
@@ -35,10 +35,10 @@
 			}
 			require.LessOrEqual(t, n, len(rest))
 			var h Hello
-			_ = Unmarshal(body, &h) // an error is an answer, too
-			again, err := Append(nil, topic, body)
+			_ = Unmarshal(body, &h) // an error is fine, a panic is not
+			reencoded, err := Append(nil, topic, body)
 			require.NoError(t, err)
-			require.Equal(t, rest[:n], again)
+			require.Equal(t, rest[:n], reencoded)
 			rest = rest[n:]
 		}
 	})
--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Sidecars of two versions run beside one another: each frame has the bytes of its golden file, and is read back from them.
+// Sidecars of different versions exchange frames, so each frame must have the bytes of its golden file and be decoded from them.
 func TestWireForm(t *testing.T) {
 	for _, c := range []struct {
 		file  string
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -11,30 +11,30 @@
 )
 
 var (
-	errTooManyLinks = errors.New("there are as many links as there may be")
-	errNoHello      = errors.New("the other end did not say who it is")
+	errTooManyLinks = errors.New("too many links")
+	errNoHello      = errors.New("the other end did not send a hello")
 	errOtherFleet   = errors.New("the other end is of another fleet")
-	errFlood        = errors.New("the other end says too much")
-	errSlowPeer     = errors.New("the other end does not read")
+	errFlood        = errors.New("the other end exceeds the receive rate limit")
+	errSlowPeer     = errors.New("the other end reads too slowly")
 )
 
 // Link is a connection to a peer.
 type Link struct {
 	Number  int          // unique within the Transport
-	Address string       // that was dialed; empty: the peer has dialed
-	Hello   frames.Hello // of the peer; set once the link is up
+	Address string       // the address that was dialed; empty: the peer dialed
+	Hello   frames.Hello // the peer's; set once the link is up
 
 	transport     *Transport
-	conn          netio.Conn // nil: being dialed, or closed
+	conn          netio.Conn // nil while the link is being dialed, and once it is closed
 	received      buffer.Buffer
-	receiveBudget tokenbucket.Bucket // bytes
+	receiveBudget tokenbucket.Bucket // in bytes
 	helloDeadline float64
 	isUp          bool
 	isClosed      bool
 }
 
-// Send sends a frame. It is dropped if the link is closed, if the body is too long or if the transport's budget is used up. Errors show
-// as Handler.LinkDown after the present call.
+// Send sends a frame. It is dropped if the link is closed, if the body is too long or if the transport's budget is used up. An error
+// leads to Handler.LinkDown after this call has returned.
 func (l *Link) Send(topic frames.Topic, body []byte) {
 	t := l.transport
 	if l.isClosed || l.conn == nil {
@@ -47,7 +47,7 @@
 		t.stats.DroppedFrames++
 		return
 	}
-	// Danger: what a peer does not read would grow without limit, and with it this process.
+	// Danger: without this limit, the data queued for a peer that does not read would grow until the process is out of memory.
 	if l.conn.OutboundBuffered() > maxQueuedBytes {
 		t.stats.SlowPeers++
 		t.loop.Post(func() { t.closeLink(l, errSlowPeer) })
@@ -61,7 +61,7 @@
 
 func (l *Link) sendHello() {
 	body, err := frames.Marshal(l.transport.handler.Hello())
-	if err != nil { // impossible: it consists of numbers, names and bytes
+	if err != nil { // impossible: a Hello consists of numbers, strings and bytes
 		panic(err)
 	}
 	l.Send(frames.TopicHello, body)
@@ -78,7 +78,7 @@
 	return l.transport.handler.HandleFrame(l, topic, body)
 }
 
-// handleHello handles the first frame, which must be a hello of the same fleet, and tells the handler that the link is up.
+// handleHello handles the first frame, which must be a hello of the same fleet, and calls Handler.LinkUp.
 func (l *Link) handleHello(topic frames.Topic, body []byte) error {
 	t := l.transport
 	if topic != frames.TopicHello {
--- a/internal/peers/stalledpeer/stalledpeer.go
+++ b/internal/peers/stalledpeer/stalledpeer.go
@@ -1,5 +1,5 @@
-// Package stalledpeer has the frames of a misbehaving peer: it says hello to a sidecar, requests the whole membership and is meant to read
-// none of it. It is for tests and simulations of the limit on what a peer does not read.
+// Package stalledpeer builds the frames of a misbehaving peer, which sends its hello to a sidecar, requests the whole membership and then reads
+// nothing. Tests and simulations use it to check the limit on the data queued for a peer.
 package stalledpeer
 
 import (
@@ -7,15 +7,15 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// The identity that the peer claims, and the number of digests in its request; each differs from any digest that is not 0, so that all
-// members are sent.
+// The identity that the peer claims, and the number of digests in its request. The digests are all 0, so they differ from those of the
+// sidecar, which therefore sends all members.
 const (
 	name    = "deaf"
 	id      = 3
 	digests = 64
 )
 
-// Frames returns the hello to a sidecar of a fleet, with the address that the peer claims, and the request that is to follow it.
+// Frames returns the hello for a sidecar of a fleet, with the address that the peer claims, and the request to send after it.
 func Frames(fleet, address string) (hello, request []byte, err error) {
 	self := swim.Record{ID: id, Version: swim.Version{Incarnation: 1 << 32, BootID: id}, Name: name, Address: address}
 	inner, err := frames.Marshal(swim.Hello{Self: self})
--- a/internal/peers/tokenbucket/tokenbucket.go
+++ b/internal/peers/tokenbucket/tokenbucket.go
@@ -8,7 +8,7 @@
 	updatedAt float64 // seconds
 }
 
-// New returns a bucket that holds a number of tokens at a time.
+// New returns a bucket that holds the given tokens at time now, in seconds.
 func New(tokens, now float64) Bucket { return Bucket{tokens, now} }
 
 // Refill adds the tokens of the time since the last refill, up to burst, and returns how many there are.
@@ -17,7 +17,7 @@
 	return b.tokens
 }
 
-// Take takes n tokens out, also when there are fewer: the rest is owed, and refilled first.
+// Take takes n tokens out, even if there are fewer: the count is then negative until it is refilled.
 func (b *Bucket) Take(n float64) { b.tokens -= n }
 
 // TryTake refills the bucket and takes n tokens out, or none if there are fewer.
--- a/internal/peers/tokenbucket/tokenbucket_test.go
+++ b/internal/peers/tokenbucket/tokenbucket_test.go
@@ -13,7 +13,7 @@
 	assert.True(t, b.TryTake(100.5, 1, 2, 10))
 	assert.Equal(t, 10.0, b.Refill(200, 2, 10))
 	b.Take(12)
-	assert.Equal(t, 0.0, b.Refill(201, 2, 10), "what was owed is refilled first")
+	assert.Equal(t, 0.0, b.Refill(201, 2, 10), "a negative count is refilled first")
 	var full Bucket
 	assert.Equal(t, 10.0, full.Refill(1.7e9, 2, 10))
 }
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// A process may have a linksPart of its descriptors as links, within these limits. minLinks is enough to monitor and be monitored.
+	// A process may use one in descriptorsPerLink of its descriptors for links, within these limits. minLinks is enough for a member to monitor
+	// others and to be monitored.
 	minLinks, maxLinks = 12, 48
-	linksPart          = 6
-	// extraDescriptors are for the listener and for connections that are being closed.
+	descriptorsPerLink = 6
+	// extraDescriptors are reserved for the listener and for connections that are being closed.
 	extraDescriptors = 4
 	// helloTimeoutSeconds limits how long a link may take from the dial, or from being accepted, to the peer's hello.
 	helloTimeoutSeconds = 2.0
-	// maxQueuedBytes limits what a peer has not read. Above it the link is closed.
+	// maxQueuedBytes limits the data that is queued for a peer. Above it the link is closed.
 	maxQueuedBytes = 256 << 10
-	// sendBytesPerSecond and sendBurstBytes limit what is sent over all links together. Frames above it are dropped.
+	// sendBytesPerSecond and sendBurstBytes limit what is sent over all links together. Frames above the limit are dropped.
 	sendBytesPerSecond, sendBurstBytes = 128 << 10, 2 << 20
-	// receiveBytesPerSecond and receiveBurstBytes limit what one peer sends. Above it the link is closed.
+	// receiveBytesPerSecond and receiveBurstBytes limit what one peer sends. Above the limit its link is closed.
 	receiveBytesPerSecond, receiveBurstBytes = 128 << 10, 1 << 20
 	// maxLoggedErrors limits how many different protocol errors are logged.
 	maxLoggedErrors = 16
 )
 
 // MaxLinks returns how many links a process with a number of descriptors may have.
-func MaxLinks(descriptors int) int { return min(max(descriptors/linksPart, minLinks), maxLinks) }
+func MaxLinks(descriptors int) int { return min(max(descriptors/descriptorsPerLink, minLinks), maxLinks) }
 
 // Descriptors returns how many descriptors must be reserved for a number of links.
 func Descriptors(links int) int { return links + extraDescriptors }
@@ -39,11 +40,11 @@
 type Handler interface {
 	// Hello returns the hello that is sent on each new link.
 	Hello() frames.Hello
-	// LinkUp tells that both ends have sent their hello. If it returns false the link is closed without a LinkDown.
+	// LinkUp is called once both ends have sent their hello. If it returns false the link is closed without a LinkDown.
 	LinkUp(l *Link, h frames.Hello) bool
-	// LinkDown tells that a link that was up is closed, other than by CloseLink.
+	// LinkDown is called when a link that was up has been closed other than by CloseLink.
 	LinkDown(l *Link, err error)
-	// DialFailed tells that a dial has led to no link that is up.
+	// DialFailed is called when a dialed link was closed before it was up, other than by CloseLink.
 	DialFailed(address string, err error)
 	// HandleFrame handles a frame of a link that is up. After an error the link is closed, and LinkDown follows.
 	HandleFrame(l *Link, topic frames.Topic, body []byte) error
@@ -51,15 +52,15 @@
 
 // Stats are the statistics of a Transport. JSON keys are read by operators' tools.
 type Stats struct {
-	Links          int    `json:"links"` // now, also those that are not up
+	Links          int    `json:"links"` // open now, including those that are not up yet
 	Dials          uint64 `json:"dials"`
-	LinksUp        uint64 `json:"links_up"` // that have come up
+	LinksUp        uint64 `json:"links_up"` // links that have come up
 	SentBytes      uint64 `json:"sent_bytes"`
 	ReceivedBytes  uint64 `json:"heard_bytes"`
-	DroppedFrames  uint64 `json:"unsaid"`    // above the budget, or for links that had been closed
-	ProtocolErrors uint64 `json:"senseless"` // links closed for what the peer sent
-	SlowPeers      uint64 `json:"unread"`    // links closed since the peer did not read
-	RejectedLinks  uint64 `json:"too_many"`  // above the limit
+	DroppedFrames  uint64 `json:"unsaid"`    // not sent: over the budget, too long, or for a closed link
+	ProtocolErrors uint64 `json:"senseless"` // links closed because of what the peer sent
+	SlowPeers      uint64 `json:"unread"`    // links closed because the peer did not read
+	RejectedLinks  uint64 `json:"too_many"`  // dialed or accepted above the limit
 }
 
 // Transport holds the links of a sidecar. The netio.Handler of its event loop must call Open, Traffic and Closed for the links' connections.
@@ -70,10 +71,10 @@
 	loop       netio.EventLoop
 	log        *slog.Logger
 	links      []*Link
-	lastNumber int                // of a link
+	lastNumber int                // the Number of the newest link
 	sendBudget tokenbucket.Bucket // bytes, over all links
-	logged     map[string]bool    // protocol errors that have been logged
-	scratch    []byte             // reused for frames that are sent
+	logged     map[string]bool    // texts of protocol errors that have been logged
+	scratch    []byte             // reused to build frames
 	stats      Stats
 }
 
@@ -114,7 +115,7 @@
 	return l
 }
 
-// Open takes a connection that was dialed or accepted. False has it closed.
+// Open handles a new connection, dialed or accepted. If it returns false the caller must close the connection.
 func (t *Transport) Open(c netio.Conn) (keep bool) {
 	l, dialed := c.Context().(*Link)
 	if !dialed {
@@ -134,7 +135,7 @@
 	return true
 }
 
-// Traffic handles the frames in received data. A peer that breaks the protocol or sends too much is closed.
+// Traffic handles the frames in received data. The link of a peer that breaks the protocol or exceeds the rate limit is closed.
 func (t *Transport) Traffic(c netio.Conn, data []byte) {
 	l, ok := c.Context().(*Link)
 	if !ok || l.isClosed {
@@ -164,7 +165,7 @@
 	l.received.ReleaseMemory()
 }
 
-// closeForProtocolError closes a link for what the peer sent. Each error is logged once.
+// closeForProtocolError closes a link because of what the peer sent. Each error text is logged once.
 func (t *Transport) closeForProtocolError(l *Link, err error) {
 	t.stats.ProtocolErrors++
 	cause := err.Error()
@@ -179,7 +180,7 @@
 	t.closeLink(l, err)
 }
 
-// CloseLink closes a link without a LinkDown. One that was dialed and is not up yet has no DialFailed either.
+// CloseLink closes a link without calling LinkDown or DialFailed.
 func (t *Transport) CloseLink(l *Link) {
 	l.isUp = false
 	t.closeLink(l, nil)
@@ -193,7 +194,7 @@
 	}
 }
 
-// closeLink closes a link and tells the handler. A closed link is left alone.
+// closeLink closes a link and calls the handler. It does nothing for a link that is already closed.
 func (t *Transport) closeLink(l *Link, err error) {
 	if l.isClosed {
 		return
@@ -214,7 +215,7 @@
 	}
 }
 
-// Tick closes links whose peer has not sent its hello in time. It is to be called from time to time.
+// Tick closes links whose peer has not sent its hello in time. It must be called regularly.
 func (t *Transport) Tick() {
 	now := t.loop.Now()
 	for i := len(t.links) - 1; i >= 0; i-- {
