--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -16,7 +16,7 @@
 		file  string
 		topic Topic
 		value any
-		empty any
+		target any
 	}{
 		{"hello", TopicHello, &Hello{Fleet: "yard", Name: "m01", ID: 1 << 40, Address: "10.0.0.1:7", Body: []byte{1, 2}}, &Hello{}},
 		{"hello_least", TopicHello, &Hello{}, &Hello{}},
@@ -35,8 +35,8 @@
 			require.NoError(t, err)
 			assert.Equal(t, c.topic, topic)
 			assert.Equal(t, len(frame), length)
-			require.NoError(t, Unmarshal(body, c.empty))
-			assert.Equal(t, c.value, c.empty)
+			require.NoError(t, Unmarshal(body, c.target))
+			assert.Equal(t, c.value, c.target)
 		})
 	}
 	assert.Equal(t, []Topic{1, 2, 3, 4}, []Topic{TopicHello, TopicMembership, TopicLease, TopicRole})
