--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,7 @@
-// Package health serves the platform's health checks of a sidecar over HTTP, on a port beside the one that requests are served at, with
-// the reasons of a negative answer. The paths are /alive, /ready and /started.
+// Package health answers the platform's health checks of a sidecar over HTTP, on a port of its own, and gives the reasons for a negative
+// answer. The paths are /alive, /ready and /started.
 //
-// It must answer while the event loop stalls. So it runs on goroutines of its own and reads the snapshot that the loop has published last.
+// It must answer even if the event loop stalls, so it runs on goroutines of its own and reads the snapshot that the loop published last.
 package health
 
 import (
@@ -31,21 +31,21 @@
 func (s *Settings) IsEnabled() bool { return s.Port != 0 }
 
 const (
-	// maxConnections limits the connections at a time; further ones wait.
+	// maxConnections limits concurrent connections; further ones wait to be accepted.
 	maxConnections = 8
 	// Descriptors is how many descriptors must be reserved for a Server.
 	Descriptors = maxConnections + 1
 	// connectionTimeout limits how long a client may take to send its request, and to read the answer.
 	connectionTimeout = 2 * time.Second
-	// maxStallMS is how old the last snapshot of a live sidecar may be.
+	// maxStallMS is how old the last snapshot may be before /alive and /ready fail.
 	maxStallMS = 1000
 )
 
-// Snapshot is the state of the sidecar as its event loop publishes it. Times are seconds by the clock that New is given.
+// Snapshot is the state of the sidecar as its event loop publishes it. Times are in seconds, by the clock that New is given.
 type Snapshot struct {
 	TakenAt       float64
-	ListReadAt    float64 // when something was last read from discovery; the start of the process before that
-	Started       bool    // a list has been read
+	ListReadAt    float64 // when discovery last sent anything; before that, when the process started
+	Started       bool    // a server list has been loaded
 	Draining      bool
 	UsableServers int
 	Inflight      int // requests
@@ -59,7 +59,8 @@
 	http     http.Server
 }
 
-// New returns a server that does not listen yet. Until the first Publish the snapshot is as of now. now is called from any goroutine.
+// New returns a server that does not listen yet. It starts with a snapshot of the present time that is not started. now may be
+// called from any goroutine.
 func New(settings Settings, now func() float64, log *slog.Logger) *Server {
 	s := &Server{settings: settings, now: now}
 	s.Publish(Snapshot{TakenAt: now(), ListReadAt: now()})
@@ -76,17 +77,17 @@
 // Publish replaces the snapshot. It never blocks, and may be called from any goroutine.
 func (s *Server) Publish(snapshot Snapshot) { s.snapshot.Store(&snapshot) }
 
-// Listen starts to answer on the port of a host, until the process ends. The error names the setting at fault.
+// Listen starts to answer health checks at a host address and the configured port, until the process ends. An error names the setting.
 func (s *Server) Listen(host string) error {
 	l, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(s.settings.Port)))
 	if err != nil {
 		return fmt.Errorf("health.port: %w", err)
 	}
-	go func() { _ = s.http.Serve(netutil.LimitListener(l, maxConnections)) }() // returns only if accepting fails for good
+	go func() { _ = s.http.Serve(netutil.LimitListener(l, maxConnections)) }() // returns only on a permanent accept error
 	return nil
 }
 
-// ageMS returns how long ago a time was, in whole milliseconds.
+// ageMS returns the time since at in whole milliseconds, at least 0.
 func (s *Server) ageMS(at float64) float64 { return max(math.Round((s.now()-at)*1000), 0) }
 
 func (s *Server) serveAlive(w http.ResponseWriter, _ *http.Request) {
@@ -129,7 +130,7 @@
 	}{snapshot.Started, why})
 }
 
-// reasons are why an answer is negative.
+// reasons are the reasons for a negative answer; empty if it is positive.
 type reasons []string
 
 func (r *reasons) addIfAbove(name string, value, limit float64) {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each threshold has its own reason, and the ages grow while the loop publishes nothing.
-func TestEachThresholdHasAReason(t *testing.T) {
-	probe, err := net.Listen("tcp", "127.0.0.1:0")
+// Each exceeded threshold is reported as a reason of its own, and ages grow while no snapshot is published.
+func TestExceededThresholdsAreReported(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	port := probe.Addr().(*net.TCPAddr).Port
-	require.NoError(t, probe.Close())
+	port := listener.Addr().(*net.TCPAddr).Port
+	require.NoError(t, listener.Close())
 	now := 1000.0
 	h := New(Settings{Port: port, MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}, func() float64 { return now }, slog.New(slog.DiscardHandler))
 	require.NoError(t, h.Listen("127.0.0.1"))
