--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// A state is decoded as it was encoded; with any bit changed or byte missing it is rejected.
+// An encoded state is decoded to the same state. With a bit changed or truncated it is rejected, never decoded to another state.
 func TestStateIsCompleteOrRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{UnixSeconds: rapid.Float64Range(0, 1e10).Draw(t, "at"), SettingsHash: rapid.StringMatching("[0-9a-f]{64}").Draw(t, "settings"),
-			EndpointList: []byte(`{"Index":7}`), PolicyCheckpoint: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "module")}
+			EndpointList: []byte(`{"Index":7}`), PolicyCheckpoint: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "checkpoint")}
 		raw, err := Encode(s)
 		require.NoError(t, err)
 		back, err := Decode(raw)
@@ -23,13 +23,13 @@
 		_, err = Decode(raw[:at])
 		require.Error(t, err)
 		raw[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if back, err = Decode(raw); err == nil { // a sign or a space in the head may be written in two ways
+		if back, err = Decode(raw); err == nil { // some changes of the header line do not change the values in it
 			require.Equal(t, s, back)
 		}
 	})
 }
 
-// FuzzDecode checks that no input causes a panic, and that what is decoded can be encoded again.
+// FuzzDecode checks that no input causes a panic, and that each decoded state can be encoded again.
 func FuzzDecode(f *testing.F) {
 	raw, _ := Encode(State{UnixSeconds: 1, EndpointList: []byte("{}")})
 	f.Add(raw)
@@ -42,7 +42,7 @@
 	})
 }
 
-// What operators set at one process is read by another, with any server name, and outlives both.
+// What operators set in one process is read by another process, whatever characters a server name contains.
 func TestOperatorStateIsSharedByProcesses(t *testing.T) {
 	dir := t.TempDir()
 	open := func() *Store {
--- a/internal/hotrestart/open_test.go
+++ b/internal/hotrestart/open_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process can start while others check without a pause which processes live.
+// Open succeeds while other goroutines call OtherProcesses without a pause, which locks the files of processes briefly.
 func TestOpenWhileOthersProbe(t *testing.T) {
 	const opens = 300
 	dir := t.TempDir()
--- a/internal/hotrestart/store.go
+++ b/internal/hotrestart/store.go
@@ -16,38 +16,38 @@
 // Descriptors is how many descriptors must be reserved for a Store.
 const Descriptors = 3
 
-// The names in the folder. Other versions of the program use the same.
+// Names in the folder. Other versions of the program depend on them.
 const (
 	stateName    = "state"
-	cordonFolder = "bans"  // a file for each cordoned server, named by its escaped name
-	processDir   = "lives" // a file for each process, locked while it lives
-	// drainedName is the file of a drain by operators. It is in cordonFolder, so that one look at that shows any change; no escaped
-	// server name is like it.
+	cordonFolder = "bans"  // holds a file for each cordoned server, under its escaped name
+	processDir   = "lives" // holds a file for each process, locked while the process lives
+	// drainedName is the file in cordonFolder that exists while operators have drained the sidecar, so that listing one folder shows any
+	// change. It can't be the escaped name of a server, since "%aw" is not a valid escape.
 	drainedName = "%away"
-	// servingMark is what the file of a process holds that serves.
+	// servingMark is the content of the file of a process that serves.
 	servingMark = "serving"
 )
 
 const (
 	maxStateBytes = 16 << 20
-	// lockTimeout limits the wait for a lock that another process holds for a moment.
+	// lockTimeout limits the wait for a lock that another process holds briefly, in probeProcess.
 	lockTimeout       = 500 * time.Millisecond
 	lockRetryInterval = time.Millisecond
-	// abandonedAge is how old the file of a process must be before it is removed for being unlocked.
+	// abandonedAge is how old an unlocked file of a process must be before it is removed.
 	abandonedAge = time.Second
 )
 
-// Store is a process's use of the folder. Save is for one goroutine, all other methods for any.
+// Store gives a process access to the folder. Save must be called from one goroutine only, all other methods may be called from any.
 type Store struct {
 	dir       string
 	process   *os.File // locked while the process lives
-	name      string   // of process; a later process has a greater one
+	name      string   // of the file process; processes that start later have greater names
 	saves     chan State
 	saveError func(error)
 }
 
-// Open registers this process in a folder, which is made if need be. saveError is called from another goroutine with the error of a
-// state that can't be written.
+// Open registers this process in a folder, which it creates if necessary. saveError is called from another goroutine when a state can't be
+// written.
 func Open(dir string, saveError func(error)) (*Store, error) {
 	s := &Store{dir: dir, name: fmt.Sprintf("%020d-%s", time.Now().UnixNano(), rand.Text()[:8]), saves: make(chan State, 1), saveError: saveError}
 	for _, sub := range []string{cordonFolder, processDir} {
@@ -67,8 +67,8 @@
 	return s, nil
 }
 
-// lockWithRetry locks this process's file. Danger: another process that checks whether this one lives may hold the lock just then, and
-// without a retry the start would fail.
+// lockWithRetry locks this process's file. Danger: another process holds the lock briefly while it checks whether this one lives; without a
+// retry the start would fail then.
 func lockWithRetry(f *os.File) error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockRetryInterval) {
 		err := tryLock(f)
@@ -110,19 +110,19 @@
 	return count, hasSuccessor
 }
 
-// probeProcess reports whether the process of a file lives and serves.
+// probeProcess reports whether the process that owns a file lives, and whether it serves.
 func probeProcess(path string) (lives, serves bool) {
 	f, err := os.OpenFile(path, os.O_RDWR, 0)
 	if err != nil {
 		return false, false
 	}
-	defer func() { _ = f.Close() }() // ends the lock; nothing was written
+	defer func() { _ = f.Close() }() // releases the lock; nothing was written
 	if tryLock(f) != nil {
 		var mark [len(servingMark)]byte
 		n, _ := f.ReadAt(mark[:], 0)
 		return true, n == len(mark)
 	}
-	// Danger: a process that has made its file and not locked it yet looks as if it had ended; hence the age.
+	// Danger: a process that has created its file but not locked it yet looks as if it had ended, so only old files are removed.
 	if info, err := f.Stat(); err == nil && time.Since(info.ModTime()) > abandonedAge {
 		_ = os.Remove(f.Name()) // another process may have removed it
 	}
@@ -144,7 +144,7 @@
 	return s.path(cordonFolder, url.PathEscape(server))
 }
 
-// setFile makes an empty file or removes it.
+// setFile creates an empty file or removes it.
 func (s *Store) setFile(path string, exists bool) error {
 	var err error
 	if exists {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// OperatorState returns the cordoned servers and whether the sidecar is drained, as operators have set it at any process.
+// OperatorState returns the cordoned servers and whether the sidecar is drained, as operators have set them in any process.
 func (s *Store) OperatorState() (cordoned []string, drained bool, err error) {
 	entries, err := os.ReadDir(s.path(cordonFolder))
 	if err != nil {
@@ -174,14 +174,14 @@
 	return cordoned, drained, nil
 }
 
-// OperatorStamp returns a text that changes with every change of OperatorState. Danger: the folder's modification time would not do,
-// since it counts in clock ticks and two changes within one look like one.
+// OperatorStamp returns a text that changes with every change of OperatorState. Danger: the folder's modification time can't be used, because
+// it has the resolution of clock ticks, so that a second change within a tick would be missed.
 func (s *Store) OperatorStamp() string {
 	cordoned, drained, _ := s.OperatorState()
 	return fmt.Sprint(drained, cordoned)
 }
 
-// Save has a state written by another goroutine. While one is being written and one waits, it is dropped.
+// Save queues a state to be written by another goroutine. If one is being written and another is queued, the state is dropped.
 func (s *Store) Save(st State) {
 	select {
 	case s.saves <- st:
@@ -189,7 +189,7 @@
 	}
 }
 
-// writeSaves writes states, each by renaming a complete file.
+// writeSaves writes queued states, each to a temporary file that it then renames.
 func (s *Store) writeSaves() {
 	for st := range s.saves {
 		raw, err := Encode(st)
@@ -206,7 +206,7 @@
 	}
 }
 
-// Load returns the state that any process has saved last. The error wraps fs.ErrNotExist if there is none, or is one of Decode.
+// Load returns the state that was saved last by any process. The error wraps fs.ErrNotExist if there is none, or is that of Decode.
 func (s *Store) Load() (State, error) {
 	info, err := os.Stat(s.path(stateName))
 	if err != nil {
@@ -224,6 +224,6 @@
 
 // Close removes this process from the folder.
 func (s *Store) Close() {
-	_ = os.Remove(s.process.Name()) // best effort: other processes remove it, too
-	_ = s.process.Close()           // ends the lock
+	_ = os.Remove(s.process.Name()) // if this fails, other processes remove the file later
+	_ = s.process.Close()           // releases the lock
 }
--- a/internal/hotrestart/stored_form_test.go
+++ b/internal/hotrestart/stored_form_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process of a new version replaces one of an old version and the other way round: the state has the bytes of the golden file, and a
-// folder of an earlier version is read.
+// Processes of older and newer versions replace each other, so the state must have the bytes of the golden file, and a folder of an earlier
+// version must be readable.
 func TestStoredForm(t *testing.T) {
 	want := State{UnixSeconds: 1700000000.25, SettingsHash: "0123456789abcdef", EndpointList: json.RawMessage(`{"Index":7}`), PolicyCheckpoint: []byte{1, 2, 3}}
 	text, err := Encode(want)
@@ -35,7 +35,7 @@
 	assert.True(t, drained)
 }
 
-// Other versions find the files by their names.
+// Other versions of the program find the files by these names.
 func TestStoredNames(t *testing.T) {
 	dir := t.TempDir()
 	s, err := Open(dir, func(err error) { t.Error(err) })
@@ -43,13 +43,13 @@
 	require.NoError(t, s.Cordon("s-1"))
 	require.NoError(t, s.SetDrained(true))
 	require.NoError(t, s.MarkServing())
-	lives, err := filepath.Glob(filepath.Join(dir, "lives", "*"))
+	processFiles, err := filepath.Glob(filepath.Join(dir, "lives", "*"))
 	require.NoError(t, err)
-	require.Len(t, lives, 1)
-	assert.Regexp(t, `^[0-9]{20}-[A-Z2-7]{8}$`, filepath.Base(lives[0]))
-	word, err := os.ReadFile(lives[0])
+	require.Len(t, processFiles, 1)
+	assert.Regexp(t, `^[0-9]{20}-[A-Z2-7]{8}$`, filepath.Base(processFiles[0]))
+	content, err := os.ReadFile(processFiles[0])
 	require.NoError(t, err)
-	assert.Equal(t, "serving", string(word))
+	assert.Equal(t, "serving", string(content))
 	var names []string
 	require.NoError(t, fs.WalkDir(os.DirFS(filepath.Join(dir, "bans")), ".", func(path string, _ fs.DirEntry, err error) error {
 		names = append(names, path)
@@ -57,5 +57,5 @@
 	}))
 	assert.Equal(t, []string{".", "%away", "s-1"}, names)
 	s.Close()
-	assert.NoFileExists(t, lives[0])
+	assert.NoFileExists(t, processFiles[0])
 }
