--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -16,15 +16,15 @@
 			EndpointList: []byte(`{"Index":7}`), PolicyCheckpoint: rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "checkpoint")}
 		raw, err := Encode(s)
 		require.NoError(t, err)
-		back, err := Decode(raw)
+		got, err := Decode(raw)
 		require.NoError(t, err)
-		require.Equal(t, s, back)
+		require.Equal(t, s, got)
 		at := rapid.IntRange(0, len(raw)-1).Draw(t, "byte")
 		_, err = Decode(raw[:at])
 		require.Error(t, err)
 		raw[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if back, err = Decode(raw); err == nil { // some changes of the header line do not change the values in it
-			require.Equal(t, s, back)
+		if got, err = Decode(raw); err == nil { // some changes of the header line do not change the values in it
+			require.Equal(t, s, got)
 		}
 	})
 }
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -35,7 +35,7 @@
 	ErrCorrupt = errors.New("hot restart state is incomplete or damaged")
 )
 
-// Encode returns the stored fileVersion of a state.
+// Encode returns the stored form of a state.
 func Encode(s State) ([]byte, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return append(fmt.Appendf(nil, "%s %d %d %08x\n", magic, version, len(body), crc32.ChecksumIEEE(body)), body...), nil
 }
 
-// Decode parses the stored fileVersion that Encode returns. The error wraps ErrUnknownFormat or ErrCorrupt.
+// Decode parses the stored form that Encode returns. The error wraps ErrUnknownFormat or ErrCorrupt.
 func Decode(raw []byte) (s State, err error) {
 	header, body, _ := bytes.Cut(raw, []byte{'\n'})
 	var fileMagic string
--- a/internal/peers/frames/wire_form_test.go
+++ b/internal/peers/frames/wire_form_test.go
@@ -13,9 +13,9 @@
 // Sidecars of different versions exchange frames, so each frame must have the bytes of its golden file and be decoded from them.
 func TestWireForm(t *testing.T) {
 	for _, c := range []struct {
-		file  string
-		topic Topic
-		value any
+		file   string
+		topic  Topic
+		value  any
 		target any
 	}{
 		{"hello", TopicHello, &Hello{Fleet: "yard", Name: "m01", ID: 1 << 40, Address: "10.0.0.1:7", Body: []byte{1, 2}}, &Hello{}},
--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -31,7 +31,9 @@
 )
 
 // MaxLinks returns how many links a process with a number of descriptors may have.
-func MaxLinks(descriptors int) int { return min(max(descriptors/descriptorsPerLink, minLinks), maxLinks) }
+func MaxLinks(descriptors int) int {
+	return min(max(descriptors/descriptorsPerLink, minLinks), maxLinks)
+}
 
 // Descriptors returns how many descriptors must be reserved for a number of links.
 func Descriptors(links int) int { return links + extraDescriptors }
