--- a/internal/quotas/classifier.go
+++ b/internal/quotas/classifier.go
@@ -15,16 +15,15 @@
 	Group     string // for Class and Addresses
 }
 
-// Classifier finds the groups of requests. It holds only what the tree and the settings name, so unknown names in requests take no
-// memory. It is immutable.
+// Classifier finds the groups of requests. It is immutable, so unknown names in requests take no memory.
 type Classifier struct {
 	tree         *quota.Tree
 	rules        []Rule
-	ruleGroups   []int32 // by rule; unused for rules with Header
+	ruleGroups   []int32 // by rule; not used for rules with Header
 	defaultGroup int32
 }
 
-// NewClassifier returns the classifier for a tree that the settings were validated with.
+// NewClassifier returns the classifier for settings that were validated with the tree.
 func NewClassifier(s *Settings, t *quota.Tree) *Classifier {
 	c := &Classifier{tree: t, rules: s.Rules}
 	for _, r := range s.Rules {
@@ -35,13 +34,14 @@
 	return c
 }
 
-// FieldGetter gives access to a request's header.
+// FieldGetter is a request with header fields.
 type FieldGetter interface {
 	// Field returns the value of a field, "" if it is absent.
 	Field(name string) string
 }
 
-// GroupOf returns the group of a request, by the first rule that matches.
+// GroupOf returns the group of a request by the first rule that matches, else the default group. A rule with Header matches only if the
+// field names a group that accepts requests.
 func (c *Classifier) GroupOf(header FieldGetter, class string, from netip.Addr) int32 {
 	for i := range c.rules {
 		r := &c.rules[i]
--- a/internal/quotas/groupsfile.go
+++ b/internal/quotas/groupsfile.go
@@ -11,10 +11,10 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// maxFileBytes bounds a file of groups; quota.MaxGroups groups with long names fit into it.
+// maxFileBytes limits the size of a file of groups. quota.MaxGroups groups with long names fit into it.
 const maxFileBytes = 64 << 20
 
-// groupsFile is the content of a file of groups.
+// groupsFile is the JSON form of a file of groups.
 type groupsFile struct {
 	Limits []struct {
 		Measure string  `json:"measure"`
@@ -32,7 +32,7 @@
 	} `json:"groups"`
 }
 
-// ReadFile reads a file of groups. An error is one line that names the file, and the group or field at fault.
+// ReadFile reads a file of groups. An error is one line that names the file and the invalid group or field.
 func ReadFile(path string) (*quota.Tree, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return quota.NewTree(limits, groups)
 }
 
-// jsonError turns an error of encoding/json into one line with the line number.
+// jsonError returns an error of encoding/json as one line of text, with the number of the line in the file if it is known.
 func jsonError(raw []byte, err error) error {
 	at := int64(-1)
 	var syntax *json.SyntaxError
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// A million different names take no memory, whether or not they look like paths.
+// Requests with a million different unknown groups do not make the classifier or the limiter use more memory.
 func TestUnknownNamesTakeNoMemory(t *testing.T) {
 	d, tree := newTestClassifier(t)
 	m := quota.New(tree, quota.Settings{}, 0)
@@ -79,7 +79,7 @@
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
 	assert.Nil(t, LoadSnapshot(dir, log))
-	assert.Empty(t, text.String(), "none is no fault")
+	assert.Empty(t, text.String(), "a missing snapshot is not logged")
 
 	m := quota.New(tree, quota.Settings{}, 100)
 	g, _ := tree.Find("ministry")
@@ -109,9 +109,9 @@
 		assert.FileExists(t, file+".set-aside")
 	}
 	text.Reset()
-	broken := NewSnapshotWriter(file+".set-aside", log) // a file in place of the folder
+	broken := NewSnapshotWriter(file+".set-aside", log) // a file where the folder should be
 	broken.Write(m.State())
 	broken.Close(m.State())
-	assert.Equal(t, 1, strings.Count(text.String(), "can't be written"), "one line, however often")
+	assert.Equal(t, 1, strings.Count(text.String(), "can't be written"), "consecutive failures are logged once")
 	assert.Positive(t, broken.Errors.Load())
 }
--- a/internal/quotas/replay/chart.go
+++ b/internal/quotas/replay/chart.go
@@ -11,8 +11,8 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Sizes of the chart, in pixels. Danger: a plotting library brings fonts and four megabytes into the memory of every sidecar, for
-// a command that is rarely used; this needs lines and text alone.
+// Sizes of the chart, in pixels. The chart is drawn without a plotting library, since one would add fonts and four megabytes to the
+// memory of every sidecar for a command that is rarely used, and the chart needs only lines and text.
 const (
 	panelWidth, panelHeight = 1080, 380 // of each of the two panels
 	leftMargin, rightMargin = 70, 330   // the right margin holds the legend
@@ -23,15 +23,15 @@
 
 var colors = []string{"#1b6ca8", "#d1495b", "#3c8d5a", "#e09f3e", "#6a4c93", "#00798c", "#8d6e63", "#444444"}
 
-// line is a value by hour.
+// line is a line of a panel: a value for each hour.
 type line struct {
 	name   string
 	dashed bool
 	value  func(hour int) float64
 }
 
-// WriteChart writes an SVG: above, what all groups and those of the first level used, beside the quota; below, for the groups with
-// the most loans, what they used as a fraction of their shares.
+// WriteChart writes an SVG image of two panels. The upper one shows the quota and the use by all groups together and by each group of
+// the first level. The lower one shows, for the groups that borrowed and lent most, their use as a fraction of their shares.
 func (r *Result) WriteChart(out io.Writer) error {
 	var b bytes.Buffer
 	canvas := svg.New(&b)
@@ -76,7 +76,7 @@
 	return all
 }
 
-// panel draws lines over the hours below a vertical position.
+// panel draws a panel with its axes and legend, from a vertical position downwards.
 func (r *Result) panel(canvas *svg.SVG, top int, title string, lines []line) {
 	hours, highest := len(r.Hours[0]), 1e-9
 	for _, l := range lines {
@@ -120,7 +120,7 @@
 	}
 }
 
-// niceStep returns the least of 1, 2 and 5 times a power of ten that is at least a value.
+// niceStep returns the smallest number of the form 1, 2 or 5 times a power of ten that is at least v.
 func niceStep(v float64) float64 {
 	power := math.Pow(10, math.Floor(math.Log10(max(v, 1e-9))))
 	for _, m := range []float64{1, 2, 5} {
--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -16,19 +16,19 @@
 	"hazelwheel/internal/quotas"
 )
 
-var fleets = flag.Bool("fleets", false, "measure 3, 30 and 300 sidecars over a day and not 3 and 30 over three hours")
+var fleets = flag.Bool("fleets", false, "measure 3, 30 and 300 sidecars over a day instead of 3 and 30 over two hours")
 
-// accuracy is what a fleet did beside one machine that sees all requests.
+// accuracy compares a fleet of sidecars, each of which limits on its own, with a single limiter that sees all requests.
 type accuracy struct {
-	over   float64 // the most that all groups together had of the quota in an hour
-	had    float64 // the mean part of its share that a group had in hours in which it wanted it
-	worst  float64 // the least
-	served float64 // of what the one machine serves
-	unused float64 // of the quota, in the minutes in which somebody was refused
+	over   float64 // the largest fraction of the quota that all groups together used in an hour
+	had    float64 // the mean fraction of its share that a group got in hours in which it wanted the whole share
+	worst  float64 // the lowest such fraction
+	served float64 // requests served, as a fraction of those that the single limiter serves
+	unused float64 // fraction of the quota that was not used, in minutes in which a request was rejected
 }
 
-// runFleet deals the requests of a load out to so many sidecars at random: to each by a weight of its own, and of its own for
-// each group.
+// runFleet distributes the requests of a load over n sidecars at random. Each sidecar has a random weight, multiplied by another one for
+// each group; skew 0 makes all weights equal.
 func runFleet(t *testing.T, tree *quota.Tree, load *Series, s quota.Settings, n int, skew float64) accuracy {
 	rng := rand.New(rand.NewPCG(14, uint64(n)))
 	spread := func() float64 { return math.Exp(skew * rng.NormFloat64()) }
@@ -44,7 +44,7 @@
 			sums[g] = append(sums[g], sum)
 		}
 	}
-	// One machine's day says who wants what when; its requests are dealt out as they come.
+	// The replay against a single limiter shows in which hours each group wants its share.
 	var x accuracy
 	hours := int(load.EndSeconds / hourSeconds)
 	served, wants := make([][]float64, tree.Len()), make([][]bool, tree.Len())
@@ -102,7 +102,7 @@
 	return x
 }
 
-// What it costs in exactness that sidecars share nothing.
+// Sidecars that limit on their own, without sharing any state, stay close to the quotas and serve most of what a single limiter serves.
 func TestFleetSharesQuotasClosely(t *testing.T) {
 	tree, err := quotas.ReadFile(groupsFile)
 	require.NoError(t, err)
@@ -117,7 +117,7 @@
 	if *fleets {
 		sizes, stretches, endS = []int{3, 30, 300}, []float64{0, 0.1, 0.3}, 86400
 	}
-	for i := range load.Steps { // a busy evening first, so that a part of the day shows it
+	for i := range load.Steps { // raise the load so that the quotas are reached
 		load.Steps[i].RequestsPerSecond *= 1.6
 	}
 	const fromS = 17 * 3600.0
@@ -151,16 +151,16 @@
 				x := runFleet(t, tree, load, s.LimiterSettings(n), n, skew)
 				t.Logf("%3d sidecars, skew %.1f, stretch %.1f: at most %.1f %% of the quota in an hour; who wanted its share had %.1f %% of it, at least %.1f %%; "+
 					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.over, 100*x.had, 100*x.worst, 100*x.served, 100*x.unused)
-				// Each account of each sidecar holds a request at least, and a pool two: so many may be taken at once.
+				// Each account of each sidecar holds at least one request, and a pool two, so this many can be served at once beyond the quota.
 				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowSeconds * hourSeconds)
-				assert.Less(t, x.over, 1.02+stretch+held, "no more than the quotas, stretched, and what is held")
+				assert.Less(t, x.over, 1.02+stretch+held, "at most the stretched quotas plus what the accounts hold")
 				assert.Greater(t, x.served, 0.75)
 			}
 		}
 	}
 }
 
-// groupsOf returns a tree's groups with shares alone.
+// groupsOf returns a tree's groups with their shares, without caps, floors and weights.
 func groupsOf(t *quota.Tree) (all []quota.Group) {
 	for g := int32(1); int(g) < t.Len(); g++ {
 		p := t.Parent(g)
--- a/internal/quotas/replay/replay.go
+++ b/internal/quotas/replay/replay.go
@@ -7,47 +7,46 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// hourSeconds is the interval in which shares are compared, minuteSeconds the one in which unused quota is compared with unmet
-// demand.
+// Use is compared with shares in each hour, and unused quota with unmet demand in each minute.
 const (
 	hourSeconds   = 3600.0
 	minuteSeconds = 60.0
 )
 
-// Hour is what a group got in an hour. Loans are those of the limit that shares are compared by.
+// Hour is what a group asked for and got in an hour. Share, Used and the loans are those of Result.Limit.
 type Hour struct {
 	Asked, Served, Rejected int
-	Share                   float64 // the group's own, in the limit's unit
+	Share                   float64 // the group's own quota, in the limit's unit
 	Used                    float64
 	Borrowed, Repaid        float64
 	Lent, Returned          float64
-	WantsShare              bool // it asked for its share or more during the whole hour
+	WantsShare              bool // it asked for its share or more throughout the hour
 }
 
-// Result is the outcome of a load.
+// Result is the outcome of the replay of a load.
 type Result struct {
 	Tree        *quota.Tree
-	Limit       int      // in Tree.Limits, that shares are compared by
+	Limit       int      // index in Tree.Limits of the limit whose shares are compared
 	Hours       [][]Hour // by group, by hour
 	Total       []Hour   // by group
 	Forgiven    []float64
 	Expired     []float64
-	Balance     []float64 // by group, at the end
-	Offered     float64   // quota in the minutes in which a request was rejected for lack of it
-	Unused      float64   // part of Offered that found no room
-	Unserved    float64   // part of Offered that was not used in the same minute, including what filled buckets of idle groups
+	Balance     []float64 // by group, at the end; below 0: it owes
+	Offered     float64   // quota in the minutes with unmet demand, in which a request was rejected for lack of quota
+	Unused      float64   // part of Offered that was lost because no bucket had room for it
+	Unserved    float64   // part of Offered that was not used in the same minute, including the part that filled the buckets of idle groups
 	Decisions   int
-	Discrepancy float64 // of the accounts at the end, see quota.Limiter.Audit
+	Discrepancy float64 // of the accounts at the end; see quota.Limiter.Audit
 }
 
-// source is a group that asks.
+// source generates the requests of a group.
 type source struct {
 	step   Step
 	nextAt float64 // of its next request
 	lastAt float64 // of its last request
 }
 
-// sourceQueue is a heap of sources by their next requests; at equal times the lower number is first.
+// sourceQueue is a heap of sources by the times of their next requests, and then by group.
 type sourceQueue []*source
 
 func (d sourceQueue) Len() int { return len(d) }
@@ -62,24 +61,24 @@
 	return last
 }
 
-// startTime is the time of a load's start; the value does not matter.
+// startTime is the limiter's time at the start of a load; the value is arbitrary.
 const startTime = 1.8e9
 
-// run is the state of a load that is replayed.
+// run is the state of a replay.
 type run struct {
 	limiter            *quota.Limiter
 	result             *Result
-	sources            []*source // by group; nil: none yet
+	sources            []*source // by group; nil before its first request
 	queue              sourceQueue
 	hour               int
 	talliesAtHourStart []quota.Tally             // by group
 	leastRates         []float64                 // by group: the lowest rate in this hour
-	minuteEnd          float64                   // of the present minute
-	lostAtMinuteStart  float64                   // at its start
-	usedAtMinuteStart  float64                   // likewise
-	hasUnmetDemand     bool                      // a request was rejected in this minute for lack of tokens
-	rootRate           float64                   // of the limit, per second
-	dispatch           func(g int32, at float64) // if set, gets the requests in place of the limiter
+	minuteEnd          float64                   // of the current minute
+	lostAtMinuteStart  float64                   // quota lost by the start of the current minute
+	usedAtMinuteStart  float64                   // quota used by all groups by the start of the current minute
+	hasUnmetDemand     bool                      // a request was rejected in the current minute for lack of quota
+	rootRate           float64                   // quota of the limit per second, for one sidecar
+	dispatch           func(g int32, at float64) // if set, handles the requests instead of the limiter
 }
 
 // Run replays a load against a tree of quotas. Each request completes at once; rejected requests are not retried.
@@ -108,7 +107,7 @@
 	return r.result
 }
 
-// startStep changes what a group asks for.
+// startStep changes a group's load.
 func (r *run) startStep(step Step) {
 	g := step.Group
 	r.leastRates[g] = min(r.leastRates[g], step.RequestsPerSecond)
@@ -119,7 +118,8 @@
 		src.nextAt = max(step.AtSeconds, src.lastAt+1/max(step.RequestsPerSecond, 1e-12))
 		heap.Init(&r.queue)
 	case step.RequestsPerSecond > 0:
-		// Danger: groups that all start at once would ask at the same instants forever.
+		// Groups that start at the same time get different phases: otherwise groups with equal rates would send all their requests at the
+		// same instants.
 		src = &source{step: step, lastAt: step.AtSeconds - float64(g%97)/97/step.RequestsPerSecond}
 		src.nextAt = src.lastAt + 1/step.RequestsPerSecond
 		r.sources[g] = src
@@ -146,7 +146,7 @@
 	}
 }
 
-// closeIntervals ends the minutes and hours that are over at a time.
+// closeIntervals ends the minutes and hours that have passed at a time.
 func (r *run) closeIntervals(at float64) {
 	for at >= r.minuteEnd {
 		r.endMinute(r.minuteEnd)
@@ -159,7 +159,7 @@
 	}
 }
 
-// admit decides on the next request of a source.
+// admit passes the next request of a source to the limiter and counts the decision.
 func (r *run) admit(src *source) {
 	g, now := src.step.Group, startTime+src.nextAt
 	q := r.limiter.NewRequest(g, src.step.Bytes, false)
@@ -175,8 +175,8 @@
 	}
 }
 
-// endMinute sums up the quota that was left over in a minute with unmet demand. Danger: what fills the buckets of idle groups is
-// kept and not lost; lost is only what found no room.
+// endMinute adds up the quota that was left over in a minute with unmet demand. Quota that fills the buckets of idle groups is not
+// lost; only quota for which no bucket has room is.
 func (r *run) endMinute(at float64) {
 	lost := r.limiter.LostAt(startTime+at, r.result.Limit)
 	root, _ := r.limiter.Tally(0, r.result.Limit)
@@ -188,7 +188,7 @@
 	r.hasUnmetDemand, r.lostAtMinuteStart, r.usedAtMinuteStart = false, lost, root.Used
 }
 
-// beginHour starts an hour.
+// beginHour records the state at the start of an hour.
 func (r *run) beginHour() {
 	for g := range r.result.Hours {
 		r.result.Hours[g] = append(r.result.Hours[g], Hour{})
@@ -199,7 +199,7 @@
 	}
 }
 
-// endHour sums up an hour of so many seconds.
+// endHour computes the values of an hour, the last of which may be shorter than hourSeconds.
 func (r *run) endHour(seconds float64) {
 	limit := r.result.Tree.Limits[r.result.Limit]
 	for g := range r.result.Hours {
@@ -217,8 +217,8 @@
 	}
 }
 
-// WorstShare returns the lowest fraction of its share that a group got in an hour in which it wanted all of it, and the number of
-// such hours. With lessRepaid, repayments are taken off the share.
+// WorstShare returns the lowest fraction of its share that any group got in an hour in which it wanted the whole share, and the number
+// of such hours over all groups. With lessRepaid, repayments are subtracted from the share first.
 func (r *Result) WorstShare(lessRepaid bool) (share float64, hours int) {
 	share = math.Inf(1)
 	for g := range r.Hours {
@@ -236,8 +236,8 @@
 	return share, hours
 }
 
-// Imbalance returns the worst discrepancy of any group between its loans and what was repaid, forgiven and is still owed, or
-// between its deposits and what was returned, expired and is still there.
+// Imbalance returns the largest discrepancy of any group between its borrowing and what it repaid, was forgiven and still owes, or
+// between its lending and what was returned, expired and is still due to it.
 func (r *Result) Imbalance() (worst float64) {
 	for g := 1; g < len(r.Total); g++ {
 		t := &r.Total[g]
--- a/internal/quotas/replay/series.go
+++ b/internal/quotas/replay/series.go
@@ -1,5 +1,5 @@
-// Package replay shows what a file of quotas would have done to a recorded load: it replays the load against package quota in
-// simulated time and sums up, hour by hour, what each group got.
+// Package replay shows the effect of a file of quotas on a recorded load: it replays the load against package quota in simulated time
+// and reports for each group and hour how many requests were served and how much quota was used, borrowed and lent.
 package replay
 
 import (
@@ -16,29 +16,29 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// maxLines bounds the lines of a series.
+// maxLines limits the number of lines of a series.
 const maxLines = 2_000_000
 
-// Step is what a group asks for from a time on: so many requests per second, evenly spaced, of a size.
+// Step sets the load of a group from a time on: evenly spaced requests of one size, at a rate.
 type Step struct {
-	AtSeconds         float64 // seconds since the start
+	AtSeconds         float64 // since the start
 	Group             int32
 	RequestsPerSecond float64
 	Bytes             float64 // of a request and its response
-	WorkSeconds       float64 // of a server's time per request
+	WorkSeconds       float64 // server time per request
 }
 
 // Series is a load, ordered by time.
 type Series struct {
 	Steps      []Step
-	EndSeconds float64 // seconds since the start
+	EndSeconds float64 // since the start
 }
 
-// columns are the names in the first line; the last two are optional.
+// columns are the column names in the first line; the last two columns are optional.
 var columns = []string{"at_s", "group", "rate_ps", "bytes", "work_s"}
 
-// ReadSeries reads a load as comma-separated values with a line of names. The time of the last line is the end. An error is one
-// line that names the line and the column at fault.
+// ReadSeries reads a load as comma-separated values with a first line of column names. The load ends at the time of the last line. An
+// error is one line of text that names the invalid line and column.
 func ReadSeries(in io.Reader, t *quota.Tree) (*Series, error) {
 	r := csv.NewReader(bufio.NewReader(in))
 	r.ReuseRecord, r.TrimLeadingSpace = true, true
@@ -83,14 +83,14 @@
 		if i == 1 {
 			g, ok := t.Find(text)
 			if !ok || !t.AcceptsRequests(g) {
-				return step, fmt.Errorf("group: %q is no group without others below it", text)
+				return step, fmt.Errorf("group: %q is not a group without groups below it", text)
 			}
 			step.Group = g
 			continue
 		}
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(v >= 0 && v <= 1e12) || math.IsInf(v, 0) {
-			return step, fmt.Errorf("%s: %q is no number from 0 to 1e12", columns[i], text)
+			return step, fmt.Errorf("%s: %q is not a number from 0 to 1e12", columns[i], text)
 		}
 		*[]*float64{&step.AtSeconds, nil, &step.RequestsPerSecond, &step.Bytes, &step.WorkSeconds}[i] = v
 	}
--- a/internal/quotas/replay/table.go
+++ b/internal/quotas/replay/table.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// WriteTable writes the sums of each group and of all.
+// WriteTable writes a table of the totals of each group, and below it a summary of how well shares were kept.
 func (r *Result) WriteTable(out io.Writer) error {
 	l := r.Tree.Limits[r.Limit]
 	const row = "%-54s %10s %10s %10s %7s %10.0f %10.0f %10.0f %10.0f\n"
@@ -29,7 +29,7 @@
 	return err
 }
 
-// shareText returns how much of its share a group used, in percent.
+// shareText returns the percentage of its share that a group used, "-" if it has no share.
 func shareText(h *Hour) string {
 	if h.Share <= 0 {
 		return "-"
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	whole   = flag.Bool("week", false, "play the whole week and not its first day")
-	write   = flag.Bool("write", false, "write the example's files anew")
-	repay   = flag.Float64("repay", quota.DefaultRepayFraction, "what part of a debtor's own pays its debt")
-	picture = flag.String("picture", "", "the `FILE` for a picture of the week")
+	whole   = flag.Bool("week", false, "replay the whole week instead of its first day")
+	write   = flag.Bool("write", false, "regenerate the files of the example")
+	repay   = flag.Float64("repay", quota.DefaultRepayFraction, "the fraction of a debtor's own share that repays its debt")
+	picture = flag.String("picture", "", "the `FILE` for a chart of the week")
 )
 
 const (
@@ -39,10 +39,10 @@
 	Cap    float64  `json:"cap,omitempty"`
 }
 
-// weekGroups are 58 groups on four levels, 36 of which take requests.
+// weekGroups returns 58 groups on four levels, 36 of which accept requests.
 func weekGroups() (all []group) {
 	rng := rand.New(rand.NewPCG(14, 1))
-	split := func(n int) []float64 { // of nearly all, into uneven parts
+	split := func(n int) []float64 { // 96 percent, into n uneven parts
 		parts, sum := make([]float64, n), 0.0
 		for i := range parts {
 			parts[i] = 0.5 + rng.Float64()
@@ -76,12 +76,12 @@
 			}
 		}
 	}
-	// One that has nothing of its own.
+	// A group without a share of its own.
 	return append(all, group{Name: "guests", Share: 0})
 }
 
-// weekLoad is a load over a week: readings by day, batches by night at many times their share, alerts in bursts, some that
-// sleep for days, some that always want more.
+// weekLoad returns a series of a week: readings by day, batches by night at many times their share, and alerts in bursts. Some groups
+// are idle for days, and some always ask for more than their share.
 func weekLoad(t *quota.Tree) string {
 	rng := rand.New(rand.NewPCG(14, 2))
 	type line struct {
@@ -153,8 +153,8 @@
 	return b.String()
 }
 
-// The scripted week, or its first day: whoever wants its share has it, loans and what became of them agree, and nothing is
-// left over while anybody wants it.
+// In the scripted week, or its first day, each group gets its share when it wants it, loans balance with their repayments, and almost no
+// quota is lost while a request is rejected.
 func TestWeekOfLoadKeepsShares(t *testing.T) {
 	if *write {
 		text, err := json.Marshal(weekGroups())
@@ -189,9 +189,9 @@
 
 	part, hours := r.WorstShare(true)
 	assert.Greater(t, hours, 150)
-	assert.Greater(t, part, 0.99, "each has its share in each hour in which it wants it, less what it pays back")
+	assert.Greater(t, part, 0.99, "each group gets its share, less repayments, in each hour in which it wants it")
 	part, _ = r.WorstShare(false)
-	assert.Greater(t, part, 0.999-s.RepayFraction, "and it pays back no more than is said, by default a hundredth")
+	assert.Greater(t, part, 0.999-s.RepayFraction, "repayments take no more than RepayFraction, by default a hundredth")
 	assert.Less(t, r.Imbalance(), 1.0)
 	assert.Less(t, r.Discrepancy, 0.01)
 	assert.Positive(t, r.Offered)
--- a/internal/quotas/settings.go
+++ b/internal/quotas/settings.go
@@ -6,22 +6,22 @@
 	"hazelwheel/internal/decide/quota"
 )
 
-// Settings are the quotas' part of the operators' file. The zero value disables quotas.
+// Settings are the settings of quotas in the operators' file. The zero value disables quotas.
 type Settings struct {
 	File                    string      // path of the file of groups; "": quotas are disabled
-	Tree                    *quota.Tree // of File, as read at the start
+	Tree                    *quota.Tree // the content of File when the process started
 	Rules                   []Rule      // in the order in which they are tried
 	DefaultGroup            string      // of requests that no rule matches
-	ExemptClasses           []string    // neither counted nor rejected
-	FloorClasses            []string    // may use the groups' floors
+	ExemptClasses           []string    // classes whose requests are neither counted nor rejected
+	FloorClasses            []string    // classes whose requests may use the groups' floors
 	SnapshotDir             string      // folder of snapshots; "": none are written
 	SnapshotIntervalSeconds float64     // between two snapshots
-	StretchFraction         float64     // this and the next two: see quota.Settings
+	StretchFraction         float64     // see quota.Settings for this field and the next two
 	RepayFraction           float64
 	FadeSeconds             float64
 }
 
-// Defaults returns the settings that hold where the file says nothing else.
+// Defaults returns the settings that apply if the file does not set them.
 func Defaults() Settings {
 	return Settings{SnapshotIntervalSeconds: 10, StretchFraction: quota.DefaultStretchFraction, RepayFraction: quota.DefaultRepayFraction, FadeSeconds: quota.DefaultFadeSeconds}
 }
@@ -29,16 +29,16 @@
 // IsEnabled reports whether there are quotas.
 func (s *Settings) IsEnabled() bool { return s.File != "" }
 
-// LimiterSettings returns the settings of the limiter in one of so many sidecars.
+// LimiterSettings returns the settings of the limiter in each of a number of sidecars.
 func (s *Settings) LimiterSettings(replicas int) quota.Settings {
 	stretch := s.StretchFraction
 	if replicas <= 1 {
-		stretch = 0 // a single sidecar has the whole quota, exactly
+		stretch = 0 // a single sidecar enforces the whole quota exactly, so it needs no stretch
 	}
 	return quota.Settings{Replicas: replicas, StretchFraction: stretch, RepayFraction: s.RepayFraction, FadeSeconds: s.FadeSeconds}
 }
 
-// Validate reports what in the settings does not fit a tree. An error names the field.
+// Validate returns an error that names the first field with a group that the tree does not have or that accepts no requests.
 func (s *Settings) Validate(t *quota.Tree) error {
 	if err := checkGroup(t, s.DefaultGroup); err != nil {
 		return fmt.Errorf("default: %w", err)
--- a/internal/quotas/snapshot.go
+++ b/internal/quotas/snapshot.go
@@ -14,36 +14,36 @@
 
 const (
 	snapshotFileName = "quotas.snapshot"
-	// closeTimeout is how long Close waits for the last snapshot.
+	// closeTimeout limits how long Close waits for the last snapshot.
 	closeTimeout = 2 * time.Second
-	// WriterDescriptors is the most file descriptors that a SnapshotWriter uses.
+	// WriterDescriptors is the maximum number of file descriptors that a SnapshotWriter uses.
 	WriterDescriptors = 2
 )
 
-// SnapshotWriter writes snapshots to a folder on a goroutine of its own. Its methods belong to the event loop; Written and Errors
-// may be read from anywhere. Danger: a disk may be slow, full or gone. Serving goes on, and a snapshot that can't be written in
-// time is skipped, since the next one holds everything.
+// SnapshotWriter writes snapshots to a folder on a goroutine of its own. Its methods must be called on the event loop; Written and
+// Errors may be read from any goroutine. A slow, full or missing disk does not block the event loop: a snapshot that can't be written
+// in time is skipped, since the next one contains the complete state.
 type SnapshotWriter struct {
 	dir        string
 	log        *slog.Logger
 	queue      chan *quota.State
 	finished   chan struct{}
-	lastFailed bool // the last write failed; belongs to the goroutine
+	lastFailed bool // the last write failed; used by run only
 
 	Written atomic.Uint64 // snapshots
 	Errors  atomic.Uint64 // failed writes
-	Skipped uint64        // since the one before was still being written; belongs to the event loop
+	Skipped uint64        // snapshots skipped because an earlier one was not written yet; for the event loop only
 }
 
-// NewSnapshotWriter starts a writer to a folder, which is created with the first snapshot. Close ends it.
+// NewSnapshotWriter starts a writer to a folder, which it creates with the first snapshot. Close stops it.
 func NewSnapshotWriter(dir string, log *slog.Logger) *SnapshotWriter {
 	w := &SnapshotWriter{dir: dir, log: log, queue: make(chan *quota.State, 1), finished: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// IsReady reports whether a snapshot would be written now, and counts it as skipped if not. The caller asks before it makes one,
-// which takes time.
+// IsReady reports whether a snapshot can be queued now, and counts one as skipped if not. Callers check it before they build a
+// snapshot, which takes time.
 func (w *SnapshotWriter) IsReady() bool {
 	if len(w.queue) == cap(w.queue) {
 		w.Skipped++
@@ -76,7 +76,7 @@
 	}
 }
 
-// run writes queued snapshots. Of several failures in a row only the first is logged.
+// run writes queued snapshots. Of consecutive failures only the first is logged.
 func (w *SnapshotWriter) run() {
 	defer close(w.finished)
 	for s := range w.queue {
@@ -92,8 +92,8 @@
 	}
 }
 
-// write replaces the snapshot file. Danger: a file that is overwritten in place is corrupt if the machine goes down meanwhile, so
-// a new file is synced and then renamed.
+// write replaces the snapshot file. Danger: a file that is overwritten in place is corrupt if the machine crashes meanwhile, so a new
+// file is written, synced and then renamed.
 func (w *SnapshotWriter) write(s *quota.State) error {
 	raw, err := s.Encode()
 	if err != nil {
@@ -117,8 +117,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// LoadSnapshot reads the folder's snapshot, nil if there is none. One that can't be used is moved aside under another name and
-// logged, and nil is returned.
+// LoadSnapshot returns the folder's snapshot, or nil if there is none. If it can't be used, LoadSnapshot renames it, logs the error
+// and returns nil.
 func LoadSnapshot(dir string, log *slog.Logger) *quota.State {
 	path := filepath.Join(dir, snapshotFileName)
 	raw, err := os.ReadFile(path)
--- a/internal/quotas/stored_form_test.go
+++ b/internal/quotas/stored_form_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// TestFolderOfReleasedVersionIsRead writes the snapshot's folder as released versions do, and reads the folder that one has written.
+// A snapshot has the same bytes as that of released versions, and a snapshot that one of them wrote can be read.
 func TestFolderOfReleasedVersionIsRead(t *testing.T) {
 	_, tree := newTestClassifier(t)
 	m := quota.New(tree, quota.Settings{}, 100)
@@ -40,9 +40,9 @@
 	require.NoError(t, err)
 	want, err := os.ReadFile(filepath.Join(stored, "quotas.snapshot"))
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, got), "a snapshot of the same machine has other bytes")
+	require.True(t, bytes.Equal(want, got), "the same state is written with other bytes")
 
-	s := LoadSnapshot(stored, log) // it sets aside what it can't use
+	s := LoadSnapshot(stored, log) // would rename the file if it could not use it
 	require.NotNil(t, s)
 	next := quota.Restore(tree, quota.Settings{}, s, 100)
 	for g := range int32(tree.Len()) {
