--- a/internal/quotas/replay/fleet_test.go
+++ b/internal/quotas/replay/fleet_test.go
@@ -20,11 +20,11 @@
 
 // accuracy compares a fleet of sidecars, each of which limits on its own, with a single limiter that sees all requests.
 type accuracy struct {
-	over   float64 // the largest fraction of the quota that all groups together used in an hour
-	had    float64 // the mean fraction of its share that a group got in hours in which it wanted the whole share
-	worst  float64 // the lowest such fraction
-	served float64 // requests served, as a fraction of those that the single limiter serves
-	unused float64 // fraction of the quota that was not used, in minutes in which a request was rejected
+	maxUse     float64 // the largest fraction of the quota that all groups together used in an hour
+	meanShare  float64 // the mean fraction of its share that a group got in hours in which it wanted the whole share
+	worstShare float64 // the lowest such fraction
+	served     float64 // requests served, as a fraction of those that the single limiter serves
+	unused     float64 // fraction of the quota that was not used, in minutes in which a request was rejected
 }
 
 // runFleet distributes the requests of a load over n sidecars at random. Each sidecar has a random weight, multiplied by another one for
@@ -85,7 +85,7 @@
 	p.advanceTo(load.EndSeconds)
 	parts, all, want := []float64{}, 0.0, 0.0
 	for h := range hours {
-		x.over = max(x.over, total[h]/(limit.Quota/limit.WindowSeconds*hourSeconds))
+		x.maxUse = max(x.maxUse, total[h]/(limit.Quota/limit.WindowSeconds*hourSeconds))
 		for g := range served {
 			all += served[g][h]
 			want += float64(ref.Hours[g][h].Served)
@@ -95,10 +95,10 @@
 		}
 	}
 	for _, v := range parts {
-		x.had += min(v, 1) / float64(len(parts))
+		x.meanShare += min(v, 1) / float64(len(parts))
 	}
 	require.NotEmpty(t, parts)
-	x.worst, x.served, x.unused = slices.Min(parts), all/want, missed/max(offered, 1e-9)
+	x.worstShare, x.served, x.unused = slices.Min(parts), all/want, missed/max(offered, 1e-9)
 	return x
 }
 
@@ -150,10 +150,10 @@
 				s.StretchFraction = stretch
 				x := runFleet(t, tree, load, s.LimiterSettings(n), n, skew)
 				t.Logf("%3d sidecars, skew %.1f, stretch %.1f: at most %.1f %% of the quota in an hour; who wanted its share had %.1f %% of it, at least %.1f %%; "+
-					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.over, 100*x.had, 100*x.worst, 100*x.served, 100*x.unused)
+					"%.1f %% of what one machine serves; %.1f %% not served while somebody was refused", n, skew, stretch, 100*x.maxUse, 100*x.meanShare, 100*x.worstShare, 100*x.served, 100*x.unused)
 				// Each account of each sidecar holds at least one request, and a pool two, so this many can be served at once beyond the quota.
 				held := 2 * float64(n*tree.Len()) / (tree.Limits[0].Quota / tree.Limits[0].WindowSeconds * hourSeconds)
-				assert.Less(t, x.over, 1.02+stretch+held, "at most the stretched quotas plus what the accounts hold")
+				assert.Less(t, x.maxUse, 1.02+stretch+held, "at most the stretched quotas plus what the accounts hold")
 				assert.Greater(t, x.served, 0.75)
 			}
 		}
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	whole   = flag.Bool("week", false, "replay the whole week instead of its first day")
-	write   = flag.Bool("write", false, "regenerate the files of the example")
-	repay   = flag.Float64("repay", quota.DefaultRepayFraction, "the fraction of a debtor's own share that repays its debt")
-	picture = flag.String("picture", "", "the `FILE` for a chart of the week")
+	wholeWeek     = flag.Bool("week", false, "replay the whole week instead of its first day")
+	writeExample  = flag.Bool("write", false, "regenerate the files of the example")
+	repayFraction = flag.Float64("repay", quota.DefaultRepayFraction, "the fraction of a debtor's own share that repays its debt")
+	chartFile     = flag.String("picture", "", "the `FILE` for a chart of the week")
 )
 
 const (
@@ -89,7 +89,7 @@
 		text string
 	}
 	var lines []line
-	say := func(at float64, name string, rate float64) {
+	addStep := func(at float64, name string, rate float64) {
 		lines = append(lines, line{at, fmt.Sprintf("%.0f,%s,%.4g,2000", at, name, rate)})
 	}
 	for g := int32(1); int(g) < t.Len(); g++ {
@@ -97,40 +97,40 @@
 			continue
 		}
 		share, name := t.Quota(g, 0)/t.Limits[0].WindowSeconds, t.Path(g)
-		greedy, sleeps := rng.IntN(5) == 0, rng.IntN(6) == 0
+		wantsMore, isMostlyIdle := rng.IntN(5) == 0, rng.IntN(6) == 0
 		for day := range 7 {
 			at := float64(day) * 86400
-			free := day >= 5
+			isWeekend := day >= 5
 			switch {
 			case name == "guests":
-				say(at, name, 0.3)
-			case sleeps && day%3 != 0:
-				say(at, name, 0)
+				addStep(at, name, 0.3)
+			case isMostlyIdle && day%3 != 0:
+				addStep(at, name, 0)
 			case strings.HasSuffix(name, "-batch"):
 				begin := at + 3600*(18+4*rng.Float64())
-				say(at+3600*(5+2*rng.Float64()), name, share*0.1)
-				say(begin, name, share*(3+7*rng.Float64()))
-				if greedy {
-					say(begin+3600, name, share*10)
+				addStep(at+3600*(5+2*rng.Float64()), name, share*0.1)
+				addStep(begin, name, share*(3+7*rng.Float64()))
+				if wantsMore {
+					addStep(begin+3600, name, share*10)
 				}
 			case strings.HasSuffix(name, "-readings"):
 				for hour := 0; hour < 24; hour += 2 {
 					busy := hour >= 8 && hour < 18
 					rate := share * (0.05 + 0.3*rng.Float64())
-					if busy && !free {
+					if busy && !isWeekend {
 						rate = share * (0.8 + 0.8*rng.Float64())
 					}
-					if greedy {
+					if wantsMore {
 						rate = share * (1.2 + 2*rng.Float64())
 					}
-					say(at+float64(hour)*3600+float64(rng.IntN(600)), name, rate)
+					addStep(at+float64(hour)*3600+float64(rng.IntN(600)), name, rate)
 				}
 			default: // alerts
-				say(at, name, share*0.02)
+				addStep(at, name, share*0.02)
 				for range 3 {
 					begin := at + 86000*rng.Float64()
-					say(begin, name, share*(1+4*rng.Float64()))
-					say(min(begin+300+7000*rng.Float64(), at+86399), name, share*0.02)
+					addStep(begin, name, share*(1+4*rng.Float64()))
+					addStep(min(begin+300+7000*rng.Float64(), at+86399), name, share*0.02)
 				}
 			}
 		}
@@ -156,7 +156,7 @@
 // In the scripted week, or its first day, each group gets its share when it wants it, loans balance with their repayments, and almost no
 // quota is lost while a request is rejected.
 func TestWeekOfLoadKeepsShares(t *testing.T) {
-	if *write {
+	if *writeExample {
 		text, err := json.Marshal(weekGroups())
 		require.NoError(t, err)
 		list := strings.ReplaceAll(strings.TrimSuffix(strings.TrimPrefix(string(text), "["), "]"), "},{", "},\n    {")
@@ -174,13 +174,13 @@
 	defer f.Close()
 	load, err := ReadSeries(f, tree)
 	require.NoError(t, err)
-	if !*whole {
+	if !*wholeWeek {
 		const dayS = 86400
 		load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtSeconds >= dayS })
 		load.EndSeconds = dayS
 	}
 	s := quotas.Defaults()
-	s.RepayFraction = *repay
+	s.RepayFraction = *repayFraction
 	began := time.Now()
 	r := Run(tree, load, s.LimiterSettings(1))
 	var text bytes.Buffer
@@ -196,8 +196,8 @@
 	assert.Less(t, r.Discrepancy, 0.01)
 	assert.Positive(t, r.Offered)
 	assert.Less(t, r.Unused/r.Offered, 0.01)
-	if *picture != "" {
-		out, err := os.Create(*picture)
+	if *chartFile != "" {
+		out, err := os.Create(*chartFile)
 		require.NoError(t, err)
 		require.NoError(t, r.WriteChart(out))
 		require.NoError(t, out.Close())
--- a/internal/quotas/snapshot.go
+++ b/internal/quotas/snapshot.go
@@ -126,15 +126,15 @@
 		return nil
 	}
 	if err == nil {
-		s, bad := quota.Decode(raw)
-		if bad == nil {
+		s, decodeErr := quota.Decode(raw)
+		if decodeErr == nil {
 			return s
 		}
-		err = bad
+		err = decodeErr
 	}
 	aside := fmt.Sprintf("%s.set-aside", path)
-	if moved := os.Rename(path, aside); moved != nil {
-		err, aside = errors.Join(err, moved), path
+	if renameErr := os.Rename(path, aside); renameErr != nil {
+		err, aside = errors.Join(err, renameErr), path
 	}
 	log.Warn("quotas: the snapshot can't be used; all groups begin anew", "error", err, "file", aside)
 	return nil
