--- a/internal/rewrite/rewrite.go
+++ b/internal/rewrite/rewrite.go
@@ -1,5 +1,5 @@
-// Package rewrite changes the header fields of requests on their way to a server, and of answers on their way back, by
-// the operators' rules.
+// Package rewrite changes the header fields of requests to servers, and of their responses to clients, by the operators'
+// rules.
 package rewrite
 
 import (
@@ -10,55 +10,57 @@
 	"hazelwheel/internal/http1"
 )
 
-// What a rule may say.
+// The values of Rule.Dir and Rule.Op.
 const (
-	In  = "in"  // of a request to a server
-	Out = "out" // of a server's answer to the client
+	In  = "in"  // requests to servers
+	Out = "out" // responses to clients
 
 	Add    = "add"
 	Drop   = "drop"
 	Rename = "rename"
 )
 
-// Rule is one change. It is made where its path prefix and its class both fit; an empty one fits all.
+// Rule is one change of a header. It applies to requests, or their responses, that match both PathPrefix and Class; an empty
+// one matches all.
 type Rule struct {
-	Dir        string
+	Dir        string // In or Out
 	PathPrefix string
 	Class      string
-	Op         string
-	Name       string
-	Value      string // of what is added
-	To         string // the new name
+	Op         string // Add, Drop or Rename
+	Name       string // of the field, in any case
+	Value      string // for Add
+	To         string // the new name, for Rename
 }
 
-// Settings are the rules in their order, and whether requests tell whom they come from.
+// Settings are the rules in the order in which they are applied, and whether the client's address is added to requests in a
+// Forwarded field.
 type Settings struct {
 	Rules     []Rule
 	Forwarded bool
 }
 
-// protected are the fields that clients, sidecar and servers rely on; no rule changes them. Danger: a client that
-// names one in Connection would have it taken off as a field of that connection alone, and a request without its key
-// may run twice. Host is among them since a request needs exactly one.
+// protected are the fields that clients, sidecars and servers rely on. Rules can't change them, and they are forwarded even if
+// Connection names them. Danger: otherwise a client that names Idempotency-Key in Connection would have it removed as a
+// hop-by-hop field, and a request without its key may run twice. Host is protected because a request needs exactly one.
 var protected = []string{"Request-Id", "Idempotency-Key", "Request-Timeout", "Content-Length", "Server-Load", "Host"}
 
-// Free reports whether rules may touch a field: it is neither protected nor one that concerns a connection or framing.
+// Free reports whether rules may change a field: it is neither protected nor a hop-by-hop or framing field.
 func Free(name string) bool {
 	return !http1.IsHopByHop(name) && !slices.ContainsFunc(protected, func(p string) bool { return strings.EqualFold(p, name) })
 }
 
-// On reports whether there is anything to do.
+// On reports whether headers have to be rewritten at all.
 func (s *Settings) On() bool { return len(s.Rules) > 0 || s.Forwarded }
 
-// Request returns what a server is sent of a request's header. The rules come first: one that drops Forwarded takes
-// off what the client claims of its own way, and not what is added here.
+// Request returns the header of a request as it is forwarded to a server. The rules are applied before Forwarded is added, so
+// that a rule that drops Forwarded removes only what the client claims.
 func (s *Settings) Request(h http1.Header, class, path string, client netip.Addr) http1.Header {
 	h = s.apply(In, h, class, path)
 	if !s.Forwarded || !client.IsValid() {
 		return h
 	}
 	element := "for=" + node(client) + ";proto=http"
-	for i := len(h) - 1; i >= 0; i-- { // the fields of one name are one list
+	for i := len(h) - 1; i >= 0; i-- { // append to the last one: fields of the same name form one list
 		if strings.EqualFold(h[i].Name, "Forwarded") {
 			if h[i].Value != "" {
 				element = h[i].Value + ", " + element
@@ -70,12 +72,12 @@
 	return append(h, http1.Field{Name: "Forwarded", Value: element})
 }
 
-// Answer returns what a client is sent of an answer's header.
+// Answer returns the header of a response as it is forwarded to a client.
 func (s *Settings) Answer(h http1.Header, class, path string) http1.Header {
 	return s.apply(Out, h, class, path)
 }
 
-// node writes an address as RFC 7239 has it.
+// node returns an address in the form of a node in RFC 7239.
 func node(a netip.Addr) string {
 	if a = a.Unmap().WithZone(""); a.Is6() {
 		return `"[` + a.String() + `]"`
@@ -83,7 +85,7 @@
 	return a.String()
 }
 
-// apply makes all changes of one direction on a copy of the end-to-end fields.
+// apply applies the rules of one direction to a copy of the end-to-end fields.
 func (s *Settings) apply(dir string, h http1.Header, class, path string) http1.Header {
 	h = h.EndToEnd(protected...)
 	for i := range s.Rules {
--- a/internal/rewrite/rewrite_test.go
+++ b/internal/rewrite/rewrite_test.go
@@ -16,7 +16,7 @@
 	return h
 }
 
-// Rules see what the rules before them have left, and only where class and path fit.
+// Rules are applied in order, each to the result of the ones before it, and only if class and path match.
 func TestOrder(t *testing.T) {
 	s := Settings{Rules: []Rule{
 		{Dir: In, Op: Rename, Name: "x-a", To: "X-B"},
@@ -26,14 +26,14 @@
 		{Dir: In, PathPrefix: "/c/8", Op: Drop, Name: "X-B"},
 		{Dir: Out, Op: Drop, Name: "X-B"}}}
 	from := header("X-A", "1", "X-C", "2", "X-B", "3", "x-a", "4")
-	for range 2 { // a second execution begins with the same header
+	for range 2 { // the first call must not change the original header
 		assert.Equal(t, header("X-B", "1", "X-B", "3", "X-B", "4", "X-A", "new"), s.Request(from, "c", "/c/7/x", netip.Addr{}))
 	}
 	assert.Equal(t, header("X-C", "2", "X-A", "new"), s.Request(from, "c", "/c/8", netip.Addr{}))
 	assert.Equal(t, header("X-A", "1", "X-C", "2", "x-a", "4"), s.Answer(from, "c", "/c/7"))
 }
 
-// Connection takes off what concerns that connection, but nothing that the deployment relies on.
+// Fields that Connection names are removed, except for protected ones.
 func TestConnection(t *testing.T) {
 	s := Settings{Forwarded: true}
 	h := header("Connection", "X-Hop, Idempotency-Key, host", "X-Hop", "1", "idempotency-key", "k", "Host", "h", "TE", "trailers",
