--- a/internal/faultinjection/example_test.go
+++ b/internal/faultinjection/example_test.go
@@ -7,7 +7,8 @@
 	"hazelwheel/internal/faultinjection"
 )
 
-// A fault that an operator starts at one sidecar is started at another by a signature: only the hash of the secret is known there.
+// An operator starts a fault at one sidecar with the secret. Another sidecar, which has only the hash of the secret, starts it too when it gets
+// a signature.
 func ExampleInjector_StartRemote() {
 	hash := sha256.Sum256([]byte("secret"))
 	settings := faultinjection.Settings{SecretHash: hash[:], Faults: []faultinjection.Fault{{Name: "slow-reads", Class: "read", Percent: 100, DelayMS: 200, Abort: "none",
--- a/internal/faultinjection/injector.go
+++ b/internal/faultinjection/injector.go
@@ -1,6 +1,6 @@
-// Package faultinjection delays or aborts a part of the requests of a class, so that operators can rehearse slow and failed requests (the
-// drills of their pages). It decides which requests a running fault affects; the sidecar carries that out. A fault is started by a secret, of
-// which the settings hold the hash, or by a signature of another sidecar with the same hash.
+// Package faultinjection delays or aborts a part of the requests of a class, so that operators can rehearse slow and failed requests (called
+// drills in settings and messages). It decides which requests a running fault affects; the sidecar delays or aborts them. A fault is started with a
+// secret, of which the settings hold the hash, or with a signature of another sidecar that has the same hash.
 package faultinjection
 
 import (
@@ -12,26 +12,26 @@
 	"math/rand/v2"
 )
 
-// Fault is a fault that can be started.
+// Fault is the configuration of a fault.
 type Fault struct {
 	Name            string
-	Class           string  // of the requests that it affects
+	Class           string  // class of the requests that it affects
 	Percent         float64 // of the class's requests
 	DelayMS         float64
 	Abort           string // "503": requests are aborted; "none": they are not
 	DurationSeconds float64
 }
 
-// Settings are the faults that can be started and the SHA-256 hash of the secret that starts them. Without a hash none can be started.
+// Settings are the faults that can be started and the SHA-256 hash of the secret that starts them. Without a hash no fault can be started.
 type Settings struct {
 	Faults     []Fault
 	SecretHash []byte
 }
 
 var (
-	// ErrSecret is returned for a wrong secret, and for any secret without a hash.
+	// ErrSecret is returned for a wrong secret, and for any secret if the settings have no hash.
 	ErrSecret = errors.New("wrong secret")
-	// ErrUnknown is returned for the name of no fault.
+	// ErrUnknown is returned for a name that no fault has.
 	ErrUnknown = errors.New("no such drill")
 	// ErrSignature is returned for a signature that was not made with the hash in the settings.
 	ErrSignature = errors.New("it was not started by the secret that is known here")
@@ -44,10 +44,11 @@
 	Count uint64 `json:"hits"`
 }
 
-// Injector holds which faults run. Its methods must not be called concurrently. Times are in seconds, of any clock.
+// Injector starts faults and matches requests with those that run. Its methods must not be called concurrently. Times are in seconds, by
+// any clock.
 type Injector struct {
 	Settings
-	until  []float64 // when each fault ends
+	until  []float64 // when each fault ends, by its index in Settings.Faults
 	counts []HitCount
 	draw   func() float64 // uniform in [0, 1)
 }
@@ -64,8 +65,8 @@
 // IsArmed reports whether faults can be started at all.
 func (i *Injector) IsArmed() bool { return len(i.SecretHash) > 0 }
 
-// Start starts a fault, or starts its duration anew. The error is ErrSecret or ErrUnknown; the secret is checked first, so that nobody
-// learns the faults' names without it.
+// Start starts a fault, or restarts its duration if it runs. The error is ErrSecret or ErrUnknown. The secret is checked first, so that
+// the faults' names can't be guessed without it.
 func (i *Injector) Start(now float64, secret []byte, name string) (Fault, error) {
 	hash := sha256.Sum256(secret)
 	if !i.IsArmed() || subtle.ConstantTimeCompare(hash[:], i.SecretHash) != 1 {
@@ -79,7 +80,7 @@
 	return i.Faults[n], nil
 }
 
-// Sign returns the signature by which other sidecars with the same hash start a fault, with StartRemote. id identifies this start of it.
+// Sign returns the signature with which other sidecars with the same hash start a fault by StartRemote. id identifies this start of the fault.
 func (i *Injector) Sign(id uint64, name string) []byte {
 	mac := hmac.New(sha256.New, i.SecretHash)
 	mac.Write(binary.BigEndian.AppendUint64(nil, id)) // never fails, as below
@@ -87,8 +88,8 @@
 	return mac.Sum(nil)
 }
 
-// StartRemote has a fault that another sidecar has started run for the time that is left, at most for the fault's duration. The error is
-// ErrSignature or ErrUnknown.
+// StartRemote starts a fault that another sidecar has started, for its remaining time, at most for the fault's duration. It never shortens
+// a fault that runs. The error is ErrSignature or ErrUnknown.
 func (i *Injector) StartRemote(now float64, id uint64, name string, signature []byte, remainingSeconds float64) (Fault, error) {
 	if !i.IsArmed() || !hmac.Equal(signature, i.Sign(id, name)) {
 		return Fault{}, ErrSignature
@@ -101,7 +102,7 @@
 	return i.Faults[n], nil
 }
 
-// index returns the first fault of a name.
+// index returns the index of the first fault with a name.
 func (i *Injector) index(name string) (n int, ok bool) {
 	for n := range i.Faults {
 		if i.Faults[n].Name == name {
@@ -111,8 +112,8 @@
 	return 0, false
 }
 
-// Match returns the fault that affects a request of a class and counts it, nil for most requests. There is one draw for all running
-// faults of the class: as long as their percentages add up to 100 at most each gets its own, and no request is affected by two.
+// Match returns the fault that affects a request of a class and counts the hit, or returns nil if there is none. One random draw decides for
+// all running faults of the class, so that no request is affected by two. Each fault gets its percentage if they add up to at most 100.
 func (i *Injector) Match(now float64, class string) *Fault {
 	from, drawn := 0.0, -1.0
 	for n := range i.Faults {
@@ -132,5 +133,5 @@
 	return nil
 }
 
-// HitCounts returns the count of each fault, in the order of the settings. The caller must not change it.
+// HitCounts returns the count of each fault, in the order of the settings. The caller must not change the slice.
 func (i *Injector) HitCounts() []HitCount { return i.counts }
--- a/internal/faultinjection/injector_test.go
+++ b/internal/faultinjection/injector_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Percentages are exact for evenly spaced draws, faults of one class run side by side, and each for its own duration.
+// With evenly spaced draws, faults of one class that run at the same time affect exactly their percentages, each for its own duration.
 func TestPercentagesAreExact(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 10, DurationSeconds: 60},
@@ -57,8 +57,8 @@
 	assert.ErrorIs(t, err, ErrSecret, "without a hash no secret is right")
 }
 
-// A fault that another sidecar has started runs here for the time that is left, by a signature with the same hash, and never longer than
-// its duration.
+// A fault that another sidecar has started is started here only with a valid signature, and runs for the remaining time, at most for its
+// duration.
 func TestRemoteStartNeedsASignature(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 100, DurationSeconds: 60}}})
