--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var mutations = flag.Int("mutations", 40_000, "how many mutated messages both readers are given")
+var mutations = flag.Int("mutations", 40_000, "how many mutated messages are given to both implementations")
 
-// copyValue reads a value and writes it again.
+// copyValue reads a value of type t and writes it to w.
 func copyValue(r *Reader, w *Writer, t Type, depth int) error {
 	if depth <= 0 {
 		return ErrTooDeep
@@ -97,8 +97,8 @@
 	return ErrUnknownType
 }
 
-// decodeWithBoth decodes a payload with this package and with the Apache library and returns what either encodes of it; "" if
-// it rejects the message.
+// decodeWithBoth decodes a payload with this package and with the Apache library, and returns what each of them encodes of the result;
+// "" if it rejects the message.
 func decodeWithBoth(payload []byte, to Encoding) (ownResult, apacheResult string) {
 	if m, err := ParseMessage(payload); err == nil {
 		r, w := m.Body(), Writer{encoding: to}
@@ -117,7 +117,7 @@
 	in.Write(payload)
 	p := protocol(in, len(payload) > 0 && payload[0] == compactProtocolID)
 	name, kind, seq, err := p.ReadMessageBegin(ctx)
-	if err != nil || kind < 1 || kind > 4 { // the library leaves the check of the kind to its caller
+	if err != nil || kind < 1 || kind > 4 { // the library does not check the kind
 		return ownResult, apacheResult
 	}
 	copied := &apache.TDuplicateToProtocol{Delegate: p, DuplicateTo: protocol(out, to == Compact)}
@@ -127,7 +127,7 @@
 	return ownResult, apacheResult
 }
 
-// loadCorpus returns the messages of testdata. A line has a name, the Apache library's verdict, and the payload.
+// loadCorpus returns the messages of testdata. Each line has a name, whether the Apache library accepts the message, and the payload.
 func loadCorpus(t testing.TB) (names []string, isValid []bool, payloads [][]byte) {
 	raw, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
@@ -141,8 +141,8 @@
 	return names, isValid, payloads
 }
 
-// The corpus is read and written as by the Apache library. Valid messages are forwarded unchanged but for the sequence number,
-// and are cut from a frame that is received byte by byte.
+// Messages of the corpus are decoded and encoded as by the Apache library. Valid ones are forwarded unchanged except for the sequence
+// number, and are found in a frame that arrives byte by byte.
 func TestCorpusIsReadAsByApache(t *testing.T) {
 	names, sound, payloads := loadCorpus(t)
 	assert.GreaterOrEqual(t, len(names), 50)
@@ -173,8 +173,7 @@
 	}
 }
 
-// Messages that are truncated, corrupted, spliced and extended are valid for both implementations or for neither, with the same
-// values.
+// Truncated, corrupted, spliced and extended messages are accepted by both implementations, with the same values, or by neither.
 func TestMutatedMessagesAreReadAsByApache(t *testing.T) {
 	_, _, payloads := loadCorpus(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -192,8 +191,8 @@
 			taken++
 		}
 	}
-	assert.Greater(t, taken, *mutations/50, "mutations that both take for messages")
-	t.Logf("%d mutated messages, %d taken by both", *mutations, taken)
+	assert.Greater(t, taken, *mutations/50, "mutated messages that both accept")
+	t.Logf("%d mutated messages, %d accepted by both", *mutations, taken)
 }
 
 func mutate(rng *rand.Rand, b []byte, others [][]byte) []byte {
@@ -235,7 +234,7 @@
 	})
 }
 
-// FuzzSkipper checks that Find accepts what Validate does, and that forwarded messages stay valid.
+// FuzzSkipper checks that Find and Validate accept the same messages, but for duplicate fields, and that forwarded messages stay valid.
 func FuzzSkipper(f *testing.F) {
 	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
@@ -255,7 +254,7 @@
 		}
 		again, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
 		if err != nil || again.Validate() != nil || string(again.Name) != string(m.Name) || again.Seq != m.Seq^0x55 {
-			t.Fatalf("passed on as %x: %v", again.Raw, err)
+			t.Fatalf("forwarded as %x: %v", again.Raw, err)
 		}
 	})
 }
--- a/internal/thrift/exception.go
+++ b/internal/thrift/exception.go
@@ -3,7 +3,7 @@
 // ExceptionType is the type of a TApplicationException.
 type ExceptionType int32
 
-// The types of a TApplicationException. The Apache libraries define those up to 10; the last two are in common use.
+// The types of a TApplicationException. The Apache libraries define those up to 10; the last two are common extensions.
 const (
 	UnknownException  ExceptionType = 0
 	UnknownMethod     ExceptionType = 1
--- a/internal/thrift/find.go
+++ b/internal/thrift/find.go
@@ -2,22 +2,22 @@
 
 import "math/bits"
 
-// Path locates a field: the ids of the fields that lead to it, the outermost first. No field has an empty path.
+// Path locates a field by the ids of the fields that lead to it, outermost first. An empty path matches no field.
 type Path []int16
 
 // Value is the value of a field found by Find. Bytes refers to the message's bytes.
 type Value struct {
-	Type   Type // Stop: the field is not there
+	Type   Type // Stop: the field is absent
 	Bytes  []byte
 	Int    int64 // of a Bool (0 or 1), Byte, I16, I32 or I64
 	Double float64
 }
 
-// MaxPaths is the number of paths that one call of Find takes at most.
+// MaxPaths is the maximum number of paths in a call of Find.
 const MaxPaths = 8
 
 // Find reads the message to its end, as Validate does, and sets found[i] to the value at paths[i]. It returns ErrDuplicateField
-// if one of these fields occurs twice: recipients differ in which value they use.
+// if one of these fields occurs twice, since implementations differ in which value they use.
 func (m *Message) Find(paths []Path, found *[MaxPaths]Value) error {
 	var candidates uint8
 	for i, p := range paths {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// findFields reads a struct in which the paths with a bit in candidates may end; the first depth fields of each have led here.
+// findFields reads a struct and records the fields at the paths whose bits are set in candidates. The first depth ids of these paths lead
+// to this struct.
 func (r *Reader) findFields(paths []Path, candidates uint8, depth int, found *[MaxPaths]Value) error {
 	var id int16
 	for {
@@ -69,7 +70,7 @@
 	}
 }
 
-// recordValue reads a value and records it for the paths with a bit in matched.
+// recordValue reads a value and records it for the paths whose bits are set in matched.
 func (r *Reader) recordValue(t Type, matched uint8, depth int, found *[MaxPaths]Value) (err error) {
 	v := Value{Type: t}
 	switch t {
--- a/internal/thrift/frame.go
+++ b/internal/thrift/frame.go
@@ -3,8 +3,8 @@
 import "encoding/binary"
 
 // CutFrame returns the payload of the first frame of b, and its size with the header; size is 0 if the frame is incomplete. It
-// returns ErrFrameSize for an empty payload or one above maxSize bytes. Danger: bytes that aren't a frame may never become
-// complete; they are rejected by the first of them, as far as these tell.
+// returns ErrFrameSize for an empty payload or one above maxSize bytes. Danger: bytes that aren't Thrift may claim a
+// frame that never becomes complete, so they are rejected as soon as the first bytes show it.
 func CutFrame(b []byte, maxSize int) (payload []byte, size int, err error) {
 	if len(b) > 0 && b[0] != 0 && maxSize < 1<<24 {
 		return nil, 0, ErrFrameSize
--- a/internal/thrift/message.go
+++ b/internal/thrift/message.go
@@ -11,8 +11,8 @@
 	Seq      int32
 
 	nameOffset       int // of Name in Raw
-	seqStart, seqEnd int // where Seq is written
-	bodyOffset       int // of the struct of arguments or results in Raw
+	seqStart, seqEnd int // range of Seq in Raw
+	bodyOffset       int // offset in Raw of the struct of arguments or results
 }
 
 const (
@@ -22,7 +22,7 @@
 	compactVersion    = 1
 )
 
-// ParseMessage parses a message's header. The body is not checked: Validate and Find do that.
+// ParseMessage parses a message's header. It does not check the body; Validate and Find do.
 func ParseMessage(payload []byte) (Message, error) {
 	m := Message{Raw: payload}
 	var err error
@@ -75,7 +75,7 @@
 	return m.parseSequence(r)
 }
 
-// readName reads a method's name and returns its offset, too.
+// readName reads a method's name and returns it with its offset.
 func (r *Reader) readName() (name []byte, offset int, err error) {
 	name, err = r.Bytes()
 	return name, r.offset - len(name), err
@@ -123,7 +123,7 @@
 	return Reader{data: m.Raw, offset: m.bodyOffset, encoding: m.Encoding}
 }
 
-// Validate reads the message to its end and returns the first fault.
+// Validate reads the message to its end and returns the first error.
 func (m *Message) Validate() error {
 	r := m.Body()
 	if err := r.Skip(Struct); err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// AppendWithSeq appends the message as a frame, with another sequence number; all else is copied unchanged.
+// AppendWithSeq appends the message as a frame with another sequence number. Everything else is copied unchanged.
 func (m *Message) AppendWithSeq(dst []byte, seq int32) []byte {
 	start := len(dst)
 	dst = append(append(dst, 0, 0, 0, 0), m.Raw[:m.seqStart]...)
--- a/internal/thrift/reader.go
+++ b/internal/thrift/reader.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// Reader reads values in either protocol from a complete message. After an error it must not be used any more.
+// Reader reads values in either protocol from a complete message. It must not be used after an error.
 type Reader struct {
 	data        []byte
 	offset      int
 	encoding    Encoding
-	pendingBool uint8 // value of a compact bool field, whose header has it: 0 none, 1 true, 2 false
+	pendingBool uint8 // value of a bool field that its compact header contains; 0: none, 1: true, 2: false
 }
 
 // Remaining returns how many bytes have not been read.
@@ -25,11 +25,11 @@
 	return r.data[r.offset-n : r.offset], nil
 }
 
-// maxVarintBytes bounds the length of a varint.
+// maxVarintBytes limits the length of a varint.
 const maxVarintBytes = 10
 
-// readVarint reads an unsigned number of the compact protocol. Danger: without a bound, one that never ends would be read to
-// the end of the frame again and again.
+// readVarint reads an unsigned number of the compact protocol. Danger: without the limit, a number that never ends would be read to the
+// end of the frame again and again.
 func (r *Reader) readVarint() (uint64, error) {
 	var v uint64
 	for i := range maxVarintBytes {
@@ -52,7 +52,7 @@
 	return int64(v>>1) ^ -int64(v&1), err
 }
 
-// Bool reads a bool. As a field of the compact protocol its value is in the field's header.
+// Bool reads a bool. The value of a field in the compact protocol is in the field's header.
 func (r *Reader) Bool() (bool, error) {
 	if r.pendingBool != 0 {
 		v := r.pendingBool == 1
@@ -85,7 +85,7 @@
 	return int16(binary.BigEndian.Uint16(b)), nil
 }
 
-// I32 reads a 32-bit integer. The upper bits of a compact number that is too large are dropped, as in the Apache libraries.
+// I32 reads a 32-bit integer. A compact number that is too large is truncated to 32 bits, as by the Apache libraries.
 func (r *Reader) I32() (int32, error) {
 	if r.encoding == Compact {
 		v, err := r.readVarint()
@@ -158,7 +158,7 @@
 }
 
 // FieldHeader reads a field's header and returns its type; Stop is the end of the struct. last is the id of the struct's
-// previous field, 0 before the first, and is set to this field's.
+// previous field, 0 before the first one, and is set to the id of this field.
 func (r *Reader) FieldHeader(last *int16) (Type, error) {
 	if r.offset >= len(r.data) {
 		return 0, ErrTruncated
@@ -247,7 +247,7 @@
 }
 
 // checkElementCount returns an error if n elements of at least minElementSize bytes don't fit into the rest of the message.
-// Danger: memory allocated for as many elements as a message claims to have can be exhausted by a few bytes.
+// Danger: otherwise a few bytes that claim a huge number of elements could exhaust memory or time.
 func (r *Reader) checkElementCount(n, minElementSize int) error {
 	if minElementSize == 0 {
 		return ErrUnknownType
--- a/internal/thrift/skip.go
+++ b/internal/thrift/skip.go
@@ -3,7 +3,7 @@
 // Skip skips a value of a type.
 func (r *Reader) Skip(t Type) error { return r.skip(t, MaxDepth) }
 
-// skip skips a value in which values are nested at most depth deep.
+// skip skips a value. It returns ErrTooDeep if values are nested more than depth deep.
 func (r *Reader) skip(t Type, depth int) error {
 	if depth <= 0 {
 		return ErrTooDeep
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// encodeCall returns a framed call with an id, a time-out in a nested struct, and fields that the tests don't look for.
+// encodeCall returns a framed call with an ID, a time-out in a nested struct, and other fields.
 func encodeCall(enc Encoding) []byte {
 	var w Writer
 	w.BeginMessage(nil, enc, Call, "Readings:latestReading", 41)
@@ -36,7 +36,7 @@
 	for text, want := range map[string]error{
 		"\x00\x00\x00\x00":         ErrFrameSize,
 		"\xff\xff\xff\xff":         ErrFrameSize, // negative
-		"\x00\x01\x00\x01":         ErrFrameSize, // above the bound
+		"\x00\x01\x00\x01":         ErrFrameSize, // above the limit
 		"GET":                      ErrFrameSize,
 		"\x00\x00\x00\x09{":        ErrProtocol,
 		"\x00\x00\x00\x09\x80":     nil,
@@ -52,7 +52,7 @@
 	}
 }
 
-// Fields are found by their paths in all protocols; a field of another type than the path needs isn't, and one that occurs
+// Fields are found by their paths in all protocols. A path through a field that is not a struct finds nothing, and a field that occurs
 // twice is an error.
 func TestFindByPath(t *testing.T) {
 	for _, enc := range []Encoding{Binary, OldBinary, Compact} {
@@ -96,7 +96,7 @@
 	}
 }
 
-// Nesting far beyond the limit, and lists that claim more elements than they have, exhaust neither stack nor memory.
+// Nesting far beyond the limit, and lists that claim more elements than the message has bytes, exhaust neither stack nor memory.
 func TestBoundsOfHostileMessages(t *testing.T) {
 	deep := []byte{0x82, 0x21, 1, 1, 'a'}
 	for range 10_000 {
--- a/internal/thrift/types.go
+++ b/internal/thrift/types.go
@@ -1,12 +1,12 @@
 package thrift
 
-// compactTypes are the types by their numbers in the compact protocol, in which 1 and 2 are true and false.
+// compactTypes maps the type numbers of the compact protocol to types. 1 and 2 both are Bool: true and false.
 var compactTypes = [16]Type{0, Bool, Bool, Byte, I16, I32, I64, Double, String, List, Set, Map, Struct, UUID, invalidType, invalidType}
 
-// invalidType marks the numbers without a type.
+// invalidType marks type numbers that the compact protocol does not define.
 const invalidType Type = 0xff
 
-// Encoding is a protocol in which messages are written.
+// Encoding is the protocol in which a message is encoded.
 type Encoding uint8
 
 // The protocols. Binary is the strict form of the binary protocol, OldBinary the one whose messages have no version.
@@ -19,7 +19,7 @@
 // String returns the protocol's name.
 func (e Encoding) String() string { return [...]string{"binary", "old binary", "compact"}[e] }
 
-// Kind is the kind of a message, as the protocols number them.
+// Kind is the kind of a message, with its number in all protocols.
 type Kind uint8
 
 // The kinds of message.
@@ -30,7 +30,7 @@
 	Oneway
 )
 
-// Type is the type of a value, as the binary protocol numbers them.
+// Type is the type of a value, with its number in the binary protocol.
 type Type uint8
 
 // The types. Stop marks the end of a struct's fields.
@@ -50,14 +50,14 @@
 	UUID   Type = 16
 )
 
-// minSizes are the sizes of the shortest values in bytes, by encoding and type; 0: no such type.
+// minSizes are the sizes in bytes of the shortest values, by encoding and type; 0: there is no such type.
 var minSizes = [...][17]int8{
 	Binary:    {Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, String: 4, Struct: 1, Map: 6, Set: 5, List: 5, UUID: 16},
 	OldBinary: {Bool: 1, Byte: 1, Double: 8, I16: 2, I32: 4, I64: 8, String: 4, Struct: 1, Map: 6, Set: 5, List: 5, UUID: 16},
 	Compact:   {Bool: 1, Byte: 1, Double: 8, I16: 1, I32: 1, I64: 1, String: 1, Struct: 1, Map: 1, Set: 1, List: 1, UUID: 16},
 }
 
-// minSize returns the size of the shortest value in bytes; 0 for an unknown type. It bounds the number of elements that a
+// minSize returns the size of the shortest value in bytes; 0 for an unknown type. It limits the number of elements that a
 // container can have.
 func (t Type) minSize(e Encoding) int {
 	if int(t) >= len(minSizes[e]) {
@@ -66,7 +66,7 @@
 	return int(minSizes[e][t])
 }
 
-// MaxDepth is how deep values may be nested, with the message's struct counted: the limit of the Apache libraries.
+// MaxDepth limits how deep values may be nested, including the message's struct. The Apache libraries have the same limit.
 const MaxDepth = 64
 
 // compactTypeNumber returns a type's number in the compact protocol; for Bool that of true.
--- a/internal/thrift/writer.go
+++ b/internal/thrift/writer.go
@@ -5,19 +5,19 @@
 	"math"
 )
 
-// Writer appends messages to a byte slice. It checks nothing: the caller ends what it begins, and writes as many elements as a
-// container's header says.
+// Writer appends messages to a byte slice. It checks nothing: the caller must end each struct and message that it begins, and write as
+// many elements as a container's header says.
 type Writer struct {
 	data           []byte
 	encoding       Encoding
-	frameStart     int                 // of the frame's header in data
-	lastFieldIDs   [MaxDepth + 1]int16 // of the open structs, by depth
+	frameStart     int                 // offset of the frame's header in data
+	lastFieldIDs   [MaxDepth + 1]int16 // last field id of each open struct, by depth
 	depth          int
 	pendingBoolID  int16 // id of a compact bool field, whose header is written with its value
 	hasPendingBool bool
 }
 
-// BeginMessage begins a frame after dst, with a message whose struct's fields are written next.
+// BeginMessage appends the headers of a frame and a message to dst. The caller writes the fields of the message's struct next.
 func (w *Writer) BeginMessage(dst []byte, enc Encoding, kind Kind, name string, seq int32) {
 	*w = Writer{data: append(dst, 0, 0, 0, 0), encoding: enc, frameStart: len(dst)}
 	switch enc {
@@ -36,7 +36,7 @@
 	}
 }
 
-// EndMessage ends the message's struct and the frame, and returns dst with all that was appended.
+// EndMessage ends the message's struct and the frame, and returns dst with the message appended.
 func (w *Writer) EndMessage() []byte {
 	w.data = append(w.data, byte(Stop))
 	binary.BigEndian.PutUint32(w.data[w.frameStart:], uint32(len(w.data)-w.frameStart-4))
@@ -67,7 +67,7 @@
 	}
 }
 
-// writeCompactFieldHeader writes a field's header with the difference to the previous id, if that is short, or the id.
+// writeCompactFieldHeader writes a field's header, with the difference to the previous id if it is from 1 to 15, else with the id.
 func (w *Writer) writeCompactFieldHeader(number byte, id int16) {
 	if delta := int(id) - int(w.lastFieldIDs[w.depth]); delta > 0 && delta <= 15 {
 		w.data = append(w.data, byte(delta)<<4|number)
