--- a/internal/faultinjection/injector_test.go
+++ b/internal/faultinjection/injector_test.go
@@ -14,7 +14,7 @@
 		{Name: "b", Class: "c", Percent: 25, DurationSeconds: 30}, {Name: "none", Class: "c", DurationSeconds: 99}, {Name: "x", Class: "d", Percent: 100, DurationSeconds: 99}}})
 	n := 0
 	s.draw = func() float64 { n++; return float64(n%1000) / 1000 }
-	round := func(now float64) (a, b, other int) {
+	countMatches := func(now float64) (a, b, other int) {
 		for range 1000 {
 			switch d := s.Match(now, "c"); {
 			case d == nil:
@@ -29,7 +29,7 @@
 		return a, b, other
 	}
 	expect := func(now float64, a, b int) {
-		x, y, other := round(now)
+		x, y, other := countMatches(now)
 		assert.Equal(t, [3]int{a, b, 0}, [3]int{x, y, other}, "at %v", now)
 	}
 	start := func(now float64, name string) {
--- a/internal/rewrite/rewrite.go
+++ b/internal/rewrite/rewrite.go
@@ -93,15 +93,15 @@
 		if r.Dir != dir || r.Class != "" && r.Class != class || !strings.HasPrefix(path, r.PathPrefix) {
 			continue
 		}
-		named := func(f http1.Field) bool { return strings.EqualFold(f.Name, r.Name) }
+		hasName := func(f http1.Field) bool { return strings.EqualFold(f.Name, r.Name) }
 		switch r.Op {
 		case Add:
 			h = append(h, http1.Field{Name: r.Name, Value: r.Value})
 		case Drop:
-			h = slices.DeleteFunc(h, named)
+			h = slices.DeleteFunc(h, hasName)
 		case Rename:
 			for j := range h {
-				if named(h[j]) {
+				if hasName(h[j]) {
 					h[j].Name = r.To
 				}
 			}
--- a/internal/rewrite/rewrite_test.go
+++ b/internal/rewrite/rewrite_test.go
@@ -17,7 +17,7 @@
 }
 
 // Rules are applied in order, each to the result of the ones before it, and only if class and path match.
-func TestOrder(t *testing.T) {
+func TestRulesAreAppliedInOrder(t *testing.T) {
 	s := Settings{Rules: []Rule{
 		{Dir: In, Op: Rename, Name: "x-a", To: "X-B"},
 		{Dir: In, Op: Add, Name: "X-A", Value: "new"},
@@ -34,7 +34,7 @@
 }
 
 // Fields that Connection names are removed, except for protected ones.
-func TestConnection(t *testing.T) {
+func TestConnectionRemovesUnprotectedFields(t *testing.T) {
 	s := Settings{Forwarded: true}
 	h := header("Connection", "X-Hop, Idempotency-Key, host", "X-Hop", "1", "idempotency-key", "k", "Host", "h", "TE", "trailers",
 		"Keep-Alive", "5", "Proxy-Connection", "x", "Upgrade", "h2c", "X-End", "2", "Server-Load", "queue=1")
--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -144,17 +144,17 @@
 // Messages of the corpus are decoded and encoded as by the Apache library. Valid ones are forwarded unchanged except for the sequence
 // number, and are found in a frame that arrives byte by byte.
 func TestCorpusIsReadAsByApache(t *testing.T) {
-	names, sound, payloads := loadCorpus(t)
+	names, isValid, payloads := loadCorpus(t)
 	assert.GreaterOrEqual(t, len(names), 50)
 	for i, p := range payloads {
 		for _, to := range []Encoding{Binary, Compact} {
 			own, other := decodeWithBoth(p, to)
 			assert.Equal(t, other, own, names[i])
-			assert.Equal(t, sound[i], own != "", names[i])
+			assert.Equal(t, isValid[i], own != "", names[i])
 		}
 		m, err := ParseMessage(p)
-		assert.Equal(t, sound[i], err == nil && m.Validate() == nil, "%s: %v", names[i], err)
-		if !sound[i] {
+		assert.Equal(t, isValid[i], err == nil && m.Validate() == nil, "%s: %v", names[i], err)
+		if !isValid[i] {
 			continue
 		}
 		for _, seq := range []int32{0, 1, 300, -1, 1<<31 - 1} {
@@ -166,9 +166,9 @@
 			payload, size, err := CutFrame(append(framed, framed...), 1<<16)
 			require.NoError(t, err)
 			assert.Equal(t, len(framed), size)
-			again, err := ParseMessage(payload)
+			forwarded, err := ParseMessage(payload)
 			require.NoError(t, err)
-			assert.Equal(t, []any{seq, m.Name, m.Raw[m.bodyOffset:]}, []any{again.Seq, again.Name, again.Raw[again.bodyOffset:]})
+			assert.Equal(t, []any{seq, m.Name, m.Raw[m.bodyOffset:]}, []any{forwarded.Seq, forwarded.Name, forwarded.Raw[forwarded.bodyOffset:]})
 		}
 	}
 }
@@ -177,7 +177,7 @@
 func TestMutatedMessagesAreReadAsByApache(t *testing.T) {
 	_, _, payloads := loadCorpus(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	taken := 0
+	accepted := 0
 	for n := range *mutations {
 		b := slices.Clone(payloads[rng.IntN(len(payloads))])
 		for range 1 + rng.IntN(3) {
@@ -188,11 +188,11 @@
 			t.Fatalf("mutation %d: %x\nours:   %q\napache: %q", n, b, own, other)
 		}
 		if own != "" {
-			taken++
+			accepted++
 		}
 	}
-	assert.Greater(t, taken, *mutations/50, "mutated messages that both accept")
-	t.Logf("%d mutated messages, %d accepted by both", *mutations, taken)
+	assert.Greater(t, accepted, *mutations/50, "mutated messages that both accept")
+	t.Logf("%d mutated messages, %d accepted by both", *mutations, accepted)
 }
 
 func mutate(rng *rand.Rand, b []byte, others [][]byte) []byte {
@@ -247,14 +247,14 @@
 		}
 		var found [MaxPaths]Value
 		err = m.Find([]Path{{one}, {one, two}, {two}, {two, one, one}}, &found)
-		if checked := m.Validate(); err == nil && checked != nil || err != nil && !errors.Is(err, ErrDuplicateField) && checked == nil {
-			t.Fatalf("found %v, checked %v", err, checked)
-		} else if checked != nil {
+		if validateErr := m.Validate(); err == nil && validateErr != nil || err != nil && !errors.Is(err, ErrDuplicateField) && validateErr == nil {
+			t.Fatalf("found %v, checked %v", err, validateErr)
+		} else if validateErr != nil {
 			return
 		}
-		again, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
-		if err != nil || again.Validate() != nil || string(again.Name) != string(m.Name) || again.Seq != m.Seq^0x55 {
-			t.Fatalf("forwarded as %x: %v", again.Raw, err)
+		forwarded, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
+		if err != nil || forwarded.Validate() != nil || string(forwarded.Name) != string(m.Name) || forwarded.Seq != m.Seq^0x55 {
+			t.Fatalf("forwarded as %x: %v", forwarded.Raw, err)
 		}
 	})
 }
--- a/internal/thrift/thrift_test.go
+++ b/internal/thrift/thrift_test.go
@@ -97,7 +97,7 @@
 }
 
 // Nesting far beyond the limit, and lists that claim more elements than the message has bytes, exhaust neither stack nor memory.
-func TestBoundsOfHostileMessages(t *testing.T) {
+func TestHostileMessagesAreBounded(t *testing.T) {
 	deep := []byte{0x82, 0x21, 1, 1, 'a'}
 	for range 10_000 {
 		deep = append(deep, 0x1c)
@@ -112,8 +112,8 @@
 	m, err = ParseMessage(lists)
 	require.NoError(t, err)
 	assert.Equal(t, ErrTooDeep, m.Validate())
-	lie := append([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'a', 0, 0, 0, 1, byte(List), 0, 1, byte(I64)}, 0x7f, 0xff, 0xff, 0xff)
-	m, err = ParseMessage(lie)
+	hugeList := append([]byte{0x80, 1, 0, 1, 0, 0, 0, 1, 'a', 0, 0, 0, 1, byte(List), 0, 1, byte(I64)}, 0x7f, 0xff, 0xff, 0xff)
+	m, err = ParseMessage(hugeList)
 	require.NoError(t, err)
 	assert.Zero(t, testing.AllocsPerRun(100, func() { err = m.Validate() }))
 	assert.Equal(t, ErrTruncated, err)
