--- a/internal/faultinjection/injector_test.go
+++ b/internal/faultinjection/injector_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Percentages are exact for evenly spaced draws, faults of one class run side by side, and each for its own duration.
+// With evenly spaced draws, faults of one class that run at the same time affect exactly their percentages, each for its own duration.
 func TestPercentagesAreExact(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 10, DurationSeconds: 60},
 		{Name: "b", Class: "c", Percent: 25, DurationSeconds: 30}, {Name: "none", Class: "c", DurationSeconds: 99}, {Name: "x", Class: "d", Percent: 100, DurationSeconds: 99}}})
 	n := 0
 	s.draw = func() float64 { n++; return float64(n%1000) / 1000 }
-	round := func(now float64) (a, b, other int) {
+	countMatches := func(now float64) (a, b, other int) {
 		for range 1000 {
 			switch d := s.Match(now, "c"); {
 			case d == nil:
@@ -29,7 +29,7 @@
 		return a, b, other
 	}
 	expect := func(now float64, a, b int) {
-		x, y, other := round(now)
+		x, y, other := countMatches(now)
 		assert.Equal(t, [3]int{a, b, 0}, [3]int{x, y, other}, "at %v", now)
 	}
 	start := func(now float64, name string) {
@@ -57,8 +57,8 @@
 	assert.ErrorIs(t, err, ErrSecret, "without a hash no secret is right")
 }
 
-// A fault that another sidecar has started runs here for the time that is left, by a signature with the same hash, and never longer than
-// its duration.
+// A fault that another sidecar has started is started here only with a valid signature, and runs for the remaining time, at most for its
+// duration.
 func TestRemoteStartNeedsASignature(t *testing.T) {
 	sum := sha256.Sum256([]byte("s3"))
 	s := New(Settings{SecretHash: sum[:], Faults: []Fault{{Name: "a", Class: "c", Percent: 100, DurationSeconds: 60}}})
--- a/internal/frontend/frontend_test.go
+++ b/internal/frontend/frontend_test.go
@@ -1,4 +1,4 @@
-// Package frontend_test compares the frontends: the same calls through the same core.
+// Package frontend_test compares the frontends: it makes the same calls through each of them to the same sidecar core.
 package frontend_test
 
 import (
@@ -25,15 +25,15 @@
 	"hazelwheel/internal/thrift"
 )
 
-// fakeLoop is an event loop without sockets: what is written has arrived at once, and a server responds to everything.
+// fakeLoop is an event loop without sockets. Writes arrive at once, and a fake server responds to each request.
 type fakeLoop struct {
 	handler       netio.Handler
 	now           float64
 	alarm         float64 // 0: none
 	posted        []func()
-	respond       func(dst, asked []byte) []byte
-	script        []string // what the server does with each request, in order; it responds to the ones behind them
-	backendWrites int      // requests that the server has received
+	respond       func(dst, req []byte) []byte
+	script        []string // the server's action for each request, in order; it responds normally to all later ones
+	backendWrites int      // number of requests that the server has received
 }
 
 func (n *fakeLoop) Now() float64                           { return n.now }
@@ -58,7 +58,7 @@
 	}
 }
 
-// backendAddress is the address of the listed server; nothing at another address responds, such as discovery.
+// backendAddress is the address of the listed server. Nothing responds at other addresses, such as that of discovery.
 const backendAddress = "127.0.0.1:3"
 
 func (n *fakeLoop) Dial(address string, _ float64, context any, done func(error)) func() {
@@ -71,8 +71,8 @@
 	return func() {}
 }
 
-// run calls what was posted, and what follows from it, until the client has received something. The time advances if nothing else is to be
-// done.
+// run calls posted functions, and those that they post, until the client has received data. When none are left it advances the time to the
+// next alarm.
 func (n *fakeLoop) run(c *fakeConn) {
 	for steps := 0; (c == nil || len(c.written) == 0 || len(n.posted) > 0) && steps < 1000; steps++ {
 		switch {
@@ -100,7 +100,7 @@
 	written       []byte // to the client
 	reply         []byte
 	isClosed      bool
-	isWriteClosed bool // nothing more will be written
+	isWriteClosed bool // the sidecar has closed its writing side
 }
 
 func (c *fakeConn) Write(p []byte) (int, error) {
@@ -109,43 +109,43 @@
 		return len(p), nil
 	}
 	c.reply = c.loop.respond(c.reply[:0], p)
-	does := ""
+	action := ""
 	if n := c.loop.backendWrites; n < len(c.loop.script) {
-		does = c.loop.script[n]
+		action = c.loop.script[n]
 	}
 	c.loop.backendWrites++
-	c.loop.Post(func() { c.perform(does) })
+	c.loop.Post(func() { c.perform(action) })
 	return len(p), nil
 }
 
-// perform does one step of the server's script; the response itself is the protocol's.
-func (c *fakeConn) perform(does string) {
-	bytes, ends := c.reply, false
-	switch does {
+// perform carries out one action of the server's script; the protocol's function has built the response.
+func (c *fakeConn) perform(action string) {
+	bytes, closes := c.reply, false
+	switch action {
 	case "closes":
-		bytes, ends = nil, true
+		bytes, closes = nil, true
 	case "closes in the response":
-		bytes, ends = bytes[:len(bytes)-1], true
+		bytes, closes = bytes[:len(bytes)-1], true
 	case "responds malformed":
 		bytes = []byte("\x01\x02\x03\x04\x05\x06\x07\x08\r\n")
 	case "sends unsolicited bytes":
 		bytes = append(bytes, bytes...)
 	case "responds and closes":
-		ends = true
+		closes = true
 	case "does not respond":
 		return
 	}
 	if len(bytes) > 0 && !c.isClosed {
 		c.loop.handler.Traffic(c, bytes)
 	}
-	if ends && !c.isClosed {
+	if closes && !c.isClosed {
 		c.isClosed = true
 		c.loop.handler.Closed(c, io.EOF)
 	}
 }
 
-// backendActions are the steps of a server's script.
-var backendActions = []string{"responds", "errs", "rejects it", "closes", "closes in the response", "responds malformed",
+// backendActions are the possible actions in a server's script.
+var backendActions = []string{"responds", "responds with an error", "rejects the request", "closes", "closes in the response", "responds malformed",
 	"sends unsolicited bytes", "responds and closes", "does not respond"}
 
 func (c *fakeConn) OutboundBuffered() int { return 0 }
@@ -154,8 +154,8 @@
 func (c *fakeConn) Context() any          { return c.context }
 func (c *fakeConn) SetContext(v any)      { c.context = v }
 
-// startSidecar returns a sidecar that is started, and a client's connection to it.
-func startSidecar(t testing.TB, port int, answer func(dst, asked []byte) []byte) (*fakeLoop, *fakeConn) {
+// startSidecar starts a sidecar and opens a client connection to it at a port.
+func startSidecar(t testing.TB, port int, answer func(dst, req []byte) []byte) (*fakeLoop, *fakeConn) {
 	known := `{"index":1,"snapshot":true,"endpoints":[{"name":"s-00000001","address":"` + backendAddress + `","zone":"a","status":"SERVING","weight":1}]}`
 	raw, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:9", "known": json.RawMessage(known),
 		"seed": "8c1f30d27a5be964", "settings": json.RawMessage(`{"dcs":["a"],"discovery":"on_request","replicasOfMe":1,"roundS":0.005,
@@ -181,12 +181,12 @@
 	return n, c
 }
 
-// protocol is one protocol of the same call and its responses, the usual one with 160 bytes.
+// protocol encodes the same call and its responses in one protocol. The normal response has a payload of 160 bytes.
 type protocol struct {
 	port     int
 	request  func(class string, i int) []byte
-	response func(does string) func(dst, asked []byte) []byte
-	statusOf func(said []byte) int // as a status of HTTP
+	response func(action string) func(dst, req []byte) []byte
+	statusOf func(resp []byte) int // the HTTP status that corresponds to the response
 }
 
 var payload = fmt.Sprintf("%-160s", "17.25 C")
@@ -201,11 +201,11 @@
 			return fmt.Appendf(nil, "%s /%s/7 HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: %016x\r\nIdempotency-Key: k\r\nRequest-Timeout: 9900m\r\n%s\r\n",
 				method, class, i, more)
 		},
-		response: func(does string) func(dst, _ []byte) []byte {
-			switch does {
-			case "errs":
+		response: func(action string) func(dst, _ []byte) []byte {
+			switch action {
+			case "responds with an error":
 				return func(dst, _ []byte) []byte { return append(dst, "HTTP/1.1 500 \r\nContent-Length: 0\r\n\r\n"...) }
-			case "rejects it":
+			case "rejects the request":
 				return func(dst, _ []byte) []byte {
 					return append(dst, "HTTP/1.1 503 \r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"...)
 				}
@@ -214,8 +214,8 @@
 				return fmt.Appendf(dst, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(payload), payload)
 			}
 		},
-		statusOf: func(said []byte) int {
-			n, _ := strconv.Atoi(string(said[9:12]))
+		statusOf: func(resp []byte) int {
+			n, _ := strconv.Atoi(string(resp[9:12]))
 			return n
 		}}}
 	for _, enc := range []thrift.Encoding{thrift.Binary, thrift.Compact} {
@@ -233,16 +233,16 @@
 				w.I32(7)
 				return w.EndMessage()
 			},
-			response: func(does string) func(dst, asked []byte) []byte {
-				return func(dst, asked []byte) []byte {
-					m, err := thrift.ParseMessage(asked[4:])
+			response: func(action string) func(dst, req []byte) []byte {
+				return func(dst, req []byte) []byte {
+					m, err := thrift.ParseMessage(req[4:])
 					if err != nil {
 						panic(err)
 					}
-					switch does {
-					case "errs":
+					switch action {
+					case "responds with an error":
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "no")
-					case "rejects it":
+					case "rejects the request":
 						return thrift.AppendException(dst, enc, string(m.Name), m.Seq, thrift.InternalError, "not started")
 					}
 					var w thrift.Writer
@@ -252,8 +252,8 @@
 					return w.EndMessage()
 				}
 			},
-			statusOf: func(said []byte) int {
-				m, err := thrift.ParseMessage(said[4:])
+			statusOf: func(resp []byte) int {
+				m, err := thrift.ParseMessage(resp[4:])
 				if err != nil || m.Kind == thrift.Reply {
 					return 200
 				}
@@ -264,19 +264,19 @@
 	return all
 }
 
-// playOutcomes sends a request of each class for each two steps of the server's script, and returns a line for each.
+// playOutcomes sends a request of each class for each pair of server actions, and returns one line per request with its outcome.
 func playOutcomes(t *testing.T, w protocol) (lines []string) {
 	for _, class := range []string{"read", "alert", "write"} {
 		for _, first := range backendActions {
 			for _, second := range backendActions {
 				n, c := startSidecar(t, w.port, nil)
 				n.script = []string{first, second}
-				n.respond = func(dst, asked []byte) []byte {
-					does := ""
+				n.respond = func(dst, req []byte) []byte {
+					action := ""
 					if n.backendWrites < len(n.script) {
-						does = n.script[n.backendWrites]
+						action = n.script[n.backendWrites]
 					}
-					return w.response(does)(dst, asked)
+					return w.response(action)(dst, req)
 				}
 				n.handler.Traffic(c, w.request(class, 1))
 				n.run(c)
@@ -290,8 +290,8 @@
 	return lines
 }
 
-// The same script has the same outcomes over HTTP, binary and compact, line by line; what must not run twice is sent again only if it has
-// not run.
+// The same server actions lead to the same outcomes over HTTP, binary and compact Thrift. A request that must not run twice is sent again
+// only if the server says that it has not run.
 func TestProtocolsHaveSameOutcomes(t *testing.T) {
 	all := protocols()
 	want := playOutcomes(t, all["http"])
@@ -303,17 +303,17 @@
 			assert.Equal(t, want[i], got[i], name)
 		}
 	}
-	again := 0
+	retried := 0
 	for _, line := range want {
 		if strings.HasPrefix(line, "write") && strings.HasSuffix(line, "sent 2 times") {
-			assert.Contains(t, line, "the server rejects it, then")
-			again++
+			assert.Contains(t, line, "the server rejects the request, then")
+			retried++
 		}
 	}
-	assert.Equal(t, len(backendActions), again)
+	assert.Equal(t, len(backendActions), retried)
 }
 
-// A malformed reply, or one to another call, may mean that the call has run: it is sent again only if it may run twice.
+// After a malformed reply, or one to another call, the call may have run, so it is sent again only if it may run twice.
 func TestInvalidThriftReplies(t *testing.T) {
 	message := func(kind thrift.Kind, name string, add int32) func([]byte, *thrift.Message) []byte {
 		return func(_ []byte, m *thrift.Message) []byte {
@@ -322,43 +322,43 @@
 			return w.EndMessage()
 		}
 	}
-	for name, reply := range map[string]func(sound []byte, m *thrift.Message) []byte{
+	for name, reply := range map[string]func(valid []byte, m *thrift.Message) []byte{
 		"another sequence number": message(thrift.Reply, "m", 1),
 		"another name":            message(thrift.Reply, "other", 0),
 		"a call":                  message(thrift.Call, "m", 0),
-		"a kind that is none":     message(7, "m", 0),
+		"an unknown kind":         message(7, "m", 0),
 		"another encoding": func(_ []byte, m *thrift.Message) []byte {
 			return message(thrift.Reply, "m", 0)(nil, &thrift.Message{Seq: m.Seq})
 		},
 		"a frame above the bound": func([]byte, *thrift.Message) []byte { return []byte{0, 1, 0, 1, 0x82} },
 		"a negative length":       func([]byte, *thrift.Message) []byte { return []byte{0xff, 0, 0, 0, 0x82} },
-		"a length of none":        func([]byte, *thrift.Message) []byte { return []byte{0, 0, 0, 0} },
-		"a struct without an end": func(sound []byte, _ *thrift.Message) []byte { sound[3]--; return sound[:len(sound)-1] },
-		"bytes behind the struct": func(sound []byte, _ *thrift.Message) []byte { sound[3]++; return append(sound, 0) },
+		"a zero length":           func([]byte, *thrift.Message) []byte { return []byte{0, 0, 0, 0} },
+		"a struct without an end": func(valid []byte, _ *thrift.Message) []byte { valid[3]--; return valid[:len(valid)-1] },
+		"bytes behind the struct": func(valid []byte, _ *thrift.Message) []byte { valid[3]++; return append(valid, 0) },
 	} {
 		for class, want := range map[string]string{"write": "502, sent 1", "read": "200, sent 2"} {
-			way := protocols()["compact"]
-			n, c := startSidecar(t, way.port, nil)
-			n.respond = func(dst, asked []byte) []byte {
-				sound := way.response("")(dst, asked)
+			proto := protocols()["compact"]
+			n, c := startSidecar(t, proto.port, nil)
+			n.respond = func(dst, req []byte) []byte {
+				valid := proto.response("")(dst, req)
 				if n.backendWrites > 0 {
-					return sound
+					return valid
 				}
-				m, err := thrift.ParseMessage(asked[4:])
+				m, err := thrift.ParseMessage(req[4:])
 				require.NoError(t, err)
-				odd := reply(sound, &m)
-				return bytes.Replace(odd, []byte("\x01m\x00"), append([]byte{byte(len(class))}, class+"\x00"...), 1)
+				invalid := reply(valid, &m)
+				return bytes.Replace(invalid, []byte("\x01m\x00"), append([]byte{byte(len(class))}, class+"\x00"...), 1)
 			}
-			n.handler.Traffic(c, way.request(class, 1))
+			n.handler.Traffic(c, proto.request(class, 1))
 			n.run(c)
-			assert.Equal(t, want, fmt.Sprintf("%d, sent %d", way.statusOf(c.written), n.backendWrites), "%s: %s", class, name)
+			assert.Equal(t, want, fmt.Sprintf("%d, sent %d", proto.statusOf(c.written), n.backendWrites), "%s: %s", class, name)
 		}
 	}
 }
 
-// Under a limit on connections a response is the last on its own only if it can announce the close. A client that does not know may be
-// sending its next request, and finds no other connection.
-func TestCrowdedConnsCloseOnlyIfAnnounced(t *testing.T) {
+// Near the limit of connections, the sidecar closes a connection after a response only if the protocol can announce that. A client that is
+// not told may already be sending its next request, and would lose it.
+func TestConnsNearLimitCloseOnlyIfAnnounced(t *testing.T) {
 	for name, w := range protocols() {
 		n, c := startSidecar(t, w.port, w.response(""))
 		for range 300 {
@@ -372,20 +372,20 @@
 	}
 }
 
-// BenchmarkFrontends measures a call without its system calls and without the writing of client and server.
+// BenchmarkFrontends measures the handling of a call, without system calls and without the work of the client and the server.
 func BenchmarkFrontends(b *testing.B) {
 	for _, name := range []string{"http", "binary", "compact"} {
 		w := protocols()[name]
 		b.Run(name, func(b *testing.B) {
 			n, c := startSidecar(b, w.port, w.response(""))
-			asks := make([][]byte, 1024)
-			for i := range asks {
-				asks[i] = w.request("read", i)
+			requests := make([][]byte, 1024)
+			for i := range requests {
+				requests[i] = w.request("read", i)
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				n.now += 0.005
-				n.handler.Traffic(c, asks[i&1023])
+				n.handler.Traffic(c, requests[i&1023])
 				n.run(c)
 				if !bytes.Contains(c.written, []byte("17.25 C")) {
 					b.Fatalf("%q", c.written)
--- a/internal/quotas/replay/week_test.go
+++ b/internal/quotas/replay/week_test.go
@@ -20,10 +20,10 @@
 )
 
 var (
-	whole   = flag.Bool("week", false, "play the whole week and not its first day")
-	write   = flag.Bool("write", false, "write the example's files anew")
-	repay   = flag.Float64("repay", quota.DefaultRepayFraction, "what part of a debtor's own pays its debt")
-	picture = flag.String("picture", "", "the `FILE` for a picture of the week")
+	wholeWeek     = flag.Bool("week", false, "replay the whole week instead of its first day")
+	writeExample  = flag.Bool("write", false, "regenerate the files of the example")
+	repayFraction = flag.Float64("repay", quota.DefaultRepayFraction, "the fraction of a debtor's own share that repays its debt")
+	chartFile     = flag.String("picture", "", "the `FILE` for a chart of the week")
 )
 
 const (
@@ -39,10 +39,10 @@
 	Cap    float64  `json:"cap,omitempty"`
 }
 
-// weekGroups are 58 groups on four levels, 36 of which take requests.
+// weekGroups returns 58 groups on four levels, 36 of which accept requests.
 func weekGroups() (all []group) {
 	rng := rand.New(rand.NewPCG(14, 1))
-	split := func(n int) []float64 { // of nearly all, into uneven parts
+	split := func(n int) []float64 { // 96 percent, into n uneven parts
 		parts, sum := make([]float64, n), 0.0
 		for i := range parts {
 			parts[i] = 0.5 + rng.Float64()
@@ -76,12 +76,12 @@
 			}
 		}
 	}
-	// One that has nothing of its own.
+	// A group without a share of its own.
 	return append(all, group{Name: "guests", Share: 0})
 }
 
-// weekLoad is a load over a week: readings by day, batches by night at many times their share, alerts in bursts, some that
-// sleep for days, some that always want more.
+// weekLoad returns a series of a week: readings by day, batches by night at many times their share, and alerts in bursts. Some groups
+// are idle for days, and some always ask for more than their share.
 func weekLoad(t *quota.Tree) string {
 	rng := rand.New(rand.NewPCG(14, 2))
 	type line struct {
@@ -89,7 +89,7 @@
 		text string
 	}
 	var lines []line
-	say := func(at float64, name string, rate float64) {
+	addStep := func(at float64, name string, rate float64) {
 		lines = append(lines, line{at, fmt.Sprintf("%.0f,%s,%.4g,2000", at, name, rate)})
 	}
 	for g := int32(1); int(g) < t.Len(); g++ {
@@ -97,40 +97,40 @@
 			continue
 		}
 		share, name := t.Quota(g, 0)/t.Limits[0].WindowSeconds, t.Path(g)
-		greedy, sleeps := rng.IntN(5) == 0, rng.IntN(6) == 0
+		wantsMore, isMostlyIdle := rng.IntN(5) == 0, rng.IntN(6) == 0
 		for day := range 7 {
 			at := float64(day) * 86400
-			free := day >= 5
+			isWeekend := day >= 5
 			switch {
 			case name == "guests":
-				say(at, name, 0.3)
-			case sleeps && day%3 != 0:
-				say(at, name, 0)
+				addStep(at, name, 0.3)
+			case isMostlyIdle && day%3 != 0:
+				addStep(at, name, 0)
 			case strings.HasSuffix(name, "-batch"):
 				begin := at + 3600*(18+4*rng.Float64())
-				say(at+3600*(5+2*rng.Float64()), name, share*0.1)
-				say(begin, name, share*(3+7*rng.Float64()))
-				if greedy {
-					say(begin+3600, name, share*10)
+				addStep(at+3600*(5+2*rng.Float64()), name, share*0.1)
+				addStep(begin, name, share*(3+7*rng.Float64()))
+				if wantsMore {
+					addStep(begin+3600, name, share*10)
 				}
 			case strings.HasSuffix(name, "-readings"):
 				for hour := 0; hour < 24; hour += 2 {
 					busy := hour >= 8 && hour < 18
 					rate := share * (0.05 + 0.3*rng.Float64())
-					if busy && !free {
+					if busy && !isWeekend {
 						rate = share * (0.8 + 0.8*rng.Float64())
 					}
-					if greedy {
+					if wantsMore {
 						rate = share * (1.2 + 2*rng.Float64())
 					}
-					say(at+float64(hour)*3600+float64(rng.IntN(600)), name, rate)
+					addStep(at+float64(hour)*3600+float64(rng.IntN(600)), name, rate)
 				}
 			default: // alerts
-				say(at, name, share*0.02)
+				addStep(at, name, share*0.02)
 				for range 3 {
 					begin := at + 86000*rng.Float64()
-					say(begin, name, share*(1+4*rng.Float64()))
-					say(min(begin+300+7000*rng.Float64(), at+86399), name, share*0.02)
+					addStep(begin, name, share*(1+4*rng.Float64()))
+					addStep(min(begin+300+7000*rng.Float64(), at+86399), name, share*0.02)
 				}
 			}
 		}
@@ -153,10 +153,10 @@
 	return b.String()
 }
 
-// The scripted week, or its first day: whoever wants its share has it, loans and what became of them agree, and nothing is
-// left over while anybody wants it.
+// In the scripted week, or its first day, each group gets its share when it wants it, loans balance with their repayments, and almost no
+// quota is lost while a request is rejected.
 func TestWeekOfLoadKeepsShares(t *testing.T) {
-	if *write {
+	if *writeExample {
 		text, err := json.Marshal(weekGroups())
 		require.NoError(t, err)
 		list := strings.ReplaceAll(strings.TrimSuffix(strings.TrimPrefix(string(text), "["), "]"), "},{", "},\n    {")
@@ -174,13 +174,13 @@
 	defer f.Close()
 	load, err := ReadSeries(f, tree)
 	require.NoError(t, err)
-	if !*whole {
+	if !*wholeWeek {
 		const dayS = 86400
 		load.Steps = slices.DeleteFunc(load.Steps, func(s Step) bool { return s.AtSeconds >= dayS })
 		load.EndSeconds = dayS
 	}
 	s := quotas.Defaults()
-	s.RepayFraction = *repay
+	s.RepayFraction = *repayFraction
 	began := time.Now()
 	r := Run(tree, load, s.LimiterSettings(1))
 	var text bytes.Buffer
@@ -189,15 +189,15 @@
 
 	part, hours := r.WorstShare(true)
 	assert.Greater(t, hours, 150)
-	assert.Greater(t, part, 0.99, "each has its share in each hour in which it wants it, less what it pays back")
+	assert.Greater(t, part, 0.99, "each group gets its share, less repayments, in each hour in which it wants it")
 	part, _ = r.WorstShare(false)
-	assert.Greater(t, part, 0.999-s.RepayFraction, "and it pays back no more than is said, by default a hundredth")
+	assert.Greater(t, part, 0.999-s.RepayFraction, "repayments take no more than RepayFraction, by default a hundredth")
 	assert.Less(t, r.Imbalance(), 1.0)
 	assert.Less(t, r.Discrepancy, 0.01)
 	assert.Positive(t, r.Offered)
 	assert.Less(t, r.Unused/r.Offered, 0.01)
-	if *picture != "" {
-		out, err := os.Create(*picture)
+	if *chartFile != "" {
+		out, err := os.Create(*chartFile)
 		require.NoError(t, err)
 		require.NoError(t, r.WriteChart(out))
 		require.NoError(t, out.Close())
--- a/internal/thrift/apache_test.go
+++ b/internal/thrift/apache_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-var mutations = flag.Int("mutations", 40_000, "how many mutated messages both readers are given")
+var mutations = flag.Int("mutations", 40_000, "how many mutated messages are given to both implementations")
 
-// copyValue reads a value and writes it again.
+// copyValue reads a value of type t and writes it to w.
 func copyValue(r *Reader, w *Writer, t Type, depth int) error {
 	if depth <= 0 {
 		return ErrTooDeep
@@ -97,8 +97,8 @@
 	return ErrUnknownType
 }
 
-// decodeWithBoth decodes a payload with this package and with the Apache library and returns what either encodes of it; "" if
-// it rejects the message.
+// decodeWithBoth decodes a payload with this package and with the Apache library, and returns what each of them encodes of the result;
+// "" if it rejects the message.
 func decodeWithBoth(payload []byte, to Encoding) (ownResult, apacheResult string) {
 	if m, err := ParseMessage(payload); err == nil {
 		r, w := m.Body(), Writer{encoding: to}
@@ -117,7 +117,7 @@
 	in.Write(payload)
 	p := protocol(in, len(payload) > 0 && payload[0] == compactProtocolID)
 	name, kind, seq, err := p.ReadMessageBegin(ctx)
-	if err != nil || kind < 1 || kind > 4 { // the library leaves the check of the kind to its caller
+	if err != nil || kind < 1 || kind > 4 { // the library does not check the kind
 		return ownResult, apacheResult
 	}
 	copied := &apache.TDuplicateToProtocol{Delegate: p, DuplicateTo: protocol(out, to == Compact)}
@@ -127,7 +127,7 @@
 	return ownResult, apacheResult
 }
 
-// loadCorpus returns the messages of testdata. A line has a name, the Apache library's verdict, and the payload.
+// loadCorpus returns the messages of testdata. Each line has a name, whether the Apache library accepts the message, and the payload.
 func loadCorpus(t testing.TB) (names []string, isValid []bool, payloads [][]byte) {
 	raw, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
@@ -141,20 +141,20 @@
 	return names, isValid, payloads
 }
 
-// The corpus is read and written as by the Apache library. Valid messages are forwarded unchanged but for the sequence number,
-// and are cut from a frame that is received byte by byte.
+// Messages of the corpus are decoded and encoded as by the Apache library. Valid ones are forwarded unchanged except for the sequence
+// number, and are found in a frame that arrives byte by byte.
 func TestCorpusIsReadAsByApache(t *testing.T) {
-	names, sound, payloads := loadCorpus(t)
+	names, isValid, payloads := loadCorpus(t)
 	assert.GreaterOrEqual(t, len(names), 50)
 	for i, p := range payloads {
 		for _, to := range []Encoding{Binary, Compact} {
 			own, other := decodeWithBoth(p, to)
 			assert.Equal(t, other, own, names[i])
-			assert.Equal(t, sound[i], own != "", names[i])
+			assert.Equal(t, isValid[i], own != "", names[i])
 		}
 		m, err := ParseMessage(p)
-		assert.Equal(t, sound[i], err == nil && m.Validate() == nil, "%s: %v", names[i], err)
-		if !sound[i] {
+		assert.Equal(t, isValid[i], err == nil && m.Validate() == nil, "%s: %v", names[i], err)
+		if !isValid[i] {
 			continue
 		}
 		for _, seq := range []int32{0, 1, 300, -1, 1<<31 - 1} {
@@ -166,19 +166,18 @@
 			payload, size, err := CutFrame(append(framed, framed...), 1<<16)
 			require.NoError(t, err)
 			assert.Equal(t, len(framed), size)
-			again, err := ParseMessage(payload)
+			forwarded, err := ParseMessage(payload)
 			require.NoError(t, err)
-			assert.Equal(t, []any{seq, m.Name, m.Raw[m.bodyOffset:]}, []any{again.Seq, again.Name, again.Raw[again.bodyOffset:]})
+			assert.Equal(t, []any{seq, m.Name, m.Raw[m.bodyOffset:]}, []any{forwarded.Seq, forwarded.Name, forwarded.Raw[forwarded.bodyOffset:]})
 		}
 	}
 }
 
-// Messages that are truncated, corrupted, spliced and extended are valid for both implementations or for neither, with the same
-// values.
+// Truncated, corrupted, spliced and extended messages are accepted by both implementations, with the same values, or by neither.
 func TestMutatedMessagesAreReadAsByApache(t *testing.T) {
 	_, _, payloads := loadCorpus(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	taken := 0
+	accepted := 0
 	for n := range *mutations {
 		b := slices.Clone(payloads[rng.IntN(len(payloads))])
 		for range 1 + rng.IntN(3) {
@@ -189,11 +188,11 @@
 			t.Fatalf("mutation %d: %x\nours:   %q\napache: %q", n, b, own, other)
 		}
 		if own != "" {
-			taken++
+			accepted++
 		}
 	}
-	assert.Greater(t, taken, *mutations/50, "mutations that both take for messages")
-	t.Logf("%d mutated messages, %d taken by both", *mutations, taken)
+	assert.Greater(t, accepted, *mutations/50, "mutated messages that both accept")
+	t.Logf("%d mutated messages, %d accepted by both", *mutations, accepted)
 }
 
 func mutate(rng *rand.Rand, b []byte, others [][]byte) []byte {
@@ -235,7 +234,7 @@
 	})
 }
 
-// FuzzSkipper checks that Find accepts what Validate does, and that forwarded messages stay valid.
+// FuzzSkipper checks that Find and Validate accept the same messages, but for duplicate fields, and that forwarded messages stay valid.
 func FuzzSkipper(f *testing.F) {
 	_, _, payloads := loadCorpus(f)
 	for _, p := range payloads {
@@ -248,14 +247,14 @@
 		}
 		var found [MaxPaths]Value
 		err = m.Find([]Path{{one}, {one, two}, {two}, {two, one, one}}, &found)
-		if checked := m.Validate(); err == nil && checked != nil || err != nil && !errors.Is(err, ErrDuplicateField) && checked == nil {
-			t.Fatalf("found %v, checked %v", err, checked)
-		} else if checked != nil {
+		if validateErr := m.Validate(); err == nil && validateErr != nil || err != nil && !errors.Is(err, ErrDuplicateField) && validateErr == nil {
+			t.Fatalf("found %v, checked %v", err, validateErr)
+		} else if validateErr != nil {
 			return
 		}
-		again, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
-		if err != nil || again.Validate() != nil || string(again.Name) != string(m.Name) || again.Seq != m.Seq^0x55 {
-			t.Fatalf("passed on as %x: %v", again.Raw, err)
+		forwarded, err := ParseMessage(m.AppendWithSeq(nil, m.Seq^0x55)[4:])
+		if err != nil || forwarded.Validate() != nil || string(forwarded.Name) != string(m.Name) || forwarded.Seq != m.Seq^0x55 {
+			t.Fatalf("forwarded as %x: %v", forwarded.Raw, err)
 		}
 	})
 }
