--- a/cmd/hazelwheel/advice_test.go
+++ b/cmd/hazelwheel/advice_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// What the checks find is logged, and refuses nothing; each thing is said once, also where the file is read again.
+// Findings are logged without preventing the start, and each is logged once, even if the file is read again.
 func TestFindingsAreLoggedOnce(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	w.settings["selfIndex"], w.settings["newer"] = 3, map[string]any{"than": "this"}
--- a/cmd/hazelwheel/backend_test.go
+++ b/cmd/hazelwheel/backend_test.go
@@ -17,17 +17,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cuts answers with some bytes and resets the connection behind them, after a pause.
+// cuts returns a responder that writes text, waits, and then resets the connection.
 func cuts(text string, after time.Duration) responder {
 	return func(c *net.TCPConn, a attempt) bool {
 		sends(text)(c, a)
-		time.Sleep(after) // a server's work
+		time.Sleep(after) // simulates the server's processing time
 		reset(c)
 		return false
 	}
 }
 
-// drips answers with some bytes and goes on with one after the other, for as long as anybody takes them.
+// drips returns a responder that writes text and then single bytes until a write fails.
 func drips(text string) responder {
 	return func(c *net.TCPConn, a attempt) bool {
 		for ok := sends(text)(c, a); ok; ok = sends("x")(c, a) {
@@ -37,17 +37,17 @@
 	}
 }
 
-// What one server makes of an attempt: each class has as many attempts as it may have, and its client gets a whole answer of a
-// server or a failure. TestResends has the same of connections that end in order.
+// For each kind of server fault, each class gets only the attempts that it allows, and the client gets either one server's complete
+// response or an error. TestResends covers connections that are closed in order.
 func TestBackendCrossings(t *testing.T) {
 	const close1 = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	long := strings.Repeat("x", 900<<10) // that is held whole
+	long := strings.Repeat("x", 900<<10) // buffered completely
 	for _, c := range []struct {
 		name   string
 		first  responder
 		body   string
-		again  bool // where the class allows it the request is sent once more
-		served bool // the first answer is served
+		again  bool // the request is sent once more if the class allows it
+		served bool // the first response is passed to the client
 	}{
 		{name: "reset before the answer", first: cuts("", 0), again: true},
 		{name: "reset before the answer, long body", first: cuts("", 0), body: long, again: true},
@@ -62,7 +62,7 @@
 		{name: "answered twice", first: sends(message(200, "sound") + message(200, "other")), served: true},
 		{name: "answered by halves", first: func(conn *net.TCPConn, a attempt) bool {
 			sends(message(200, "sound")[:30])(conn, a)
-			time.Sleep(50 * time.Millisecond) // so that they come apart
+			time.Sleep(50 * time.Millisecond) // so that they arrive in separate reads
 			return sends(message(200, "sound")[30:])(conn, a)
 		}, served: true},
 	} {
@@ -72,7 +72,7 @@
 			}
 			t.Run(c.name+", "+class, func(t *testing.T) {
 				s := newBackend(t, "s-00000001", onceThen(c.first, sends(message(200, "sound"))))
-				w := newCrossing(t, func(w *testSidecar) { // a reset that comes late beside the aim may not be sent again, also on a busy machine
+				w := newCrossing(t, func(w *testSidecar) { // A late reset, relative to the objective, may prevent a resend, also on a busy machine.
 					w.setClassField("objectiveS", 40)
 					w.setClassField("giveUpS", 80)
 				}, s)
@@ -85,7 +85,7 @@
 				case !may || c.served:
 				case c.again:
 					attempts = 2
-				default: // it may be sent again or not: the decisions guess at the cause
+				default: // Either is allowed: the policy infers the cause and may resend or not.
 					attempts = min(len(s.of(id)), 2)
 				}
 				if attempts == 2 || c.served {
@@ -101,8 +101,8 @@
 	}
 }
 
-// A connection that rested has been closed or reset by its server, or has brought what nobody asked for, when the next request is
-// taken up, unseen as yet: the request goes out on another, once, whatever its class.
+// An idle connection was closed or reset by its server, or received unsolicited bytes, before the next request is assigned to it, and
+// the sidecar has not noticed yet. The request is sent once, on another connection, whatever its class.
 func TestRestingConnectionIsOver(t *testing.T) {
 	for name, ends := range map[string]func(c *net.TCPConn){
 		"closed":         func(c *net.TCPConn) { c.Close() },
@@ -118,10 +118,10 @@
 				conn.send(text(class, newID(), 8*time.Second, ""))
 				_, err := conn.answer()
 				require.NoError(t, err)
-				time.Sleep(20 * time.Millisecond) // the connection has settled and would be used again
+				time.Sleep(20 * time.Millisecond) // the connection has become idle and would be reused
 				w.freeze()
 				ends(s.connections()[0])
-				if name != "answered again" { // it may take the system some time
+				if name != "answered again" { // the kernel may take a moment to report it
 					w.eventually("it is over", func() bool { return !s.isIn(t, established) })
 				}
 				id := newID()
@@ -139,8 +139,8 @@
 	}
 }
 
-// A connection that rested is reset by its server as the request on it has been written and not been answered: the request may
-// have run.
+// The server resets a reused connection after the request was written and before it was answered. The request may have run, so only
+// classes that allow a repeat send it again.
 func TestReusedConnectionIsReset(t *testing.T) {
 	for class, attempts := range map[string]int{"read": 2, "alert": 2, "write": 1} {
 		t.Run(class, func(t *testing.T) {
@@ -156,7 +156,7 @@
 			conn.send(text(class, newID(), 8*time.Second, ""))
 			_, err := conn.answer()
 			require.NoError(t, err)
-			time.Sleep(20 * time.Millisecond) // the connection has settled and is used again
+			time.Sleep(20 * time.Millisecond) // the connection has become idle and is reused
 			id := newID()
 			conn.send(text(class, id, 8*time.Second, ""))
 			a, err := conn.answer()
@@ -169,8 +169,8 @@
 	}
 }
 
-// A large answer whose end would be its length is reset while its client reads nothing, so that its server is left unread: to the
-// client it is not whole.
+// A large response is reset while its client is not reading, so that the sidecar has stopped reading from the server. The client must be
+// able to tell that the response is incomplete.
 func TestLargeAnswerIsReset(t *testing.T) {
 	const size = 16 << 20
 	for name, head := range map[string]string{
@@ -182,7 +182,7 @@
 			stuck := make(chan struct{})
 			s := newBackend(t, "s-00000001", func(c *net.TCPConn, a attempt) bool {
 				sends(head)(c, a)
-				_ = c.SetWriteDeadline(time.Now().Add(2 * time.Second)) // then nobody takes any more
+				_ = c.SetWriteDeadline(time.Now().Add(2 * time.Second)) // by then nobody reads any more
 				_, err := c.Write(make([]byte, size))
 				assert.Error(t, err, "it is not read to its end")
 				reset(c)
@@ -202,8 +202,8 @@
 	}
 }
 
-// An answer that never ends is not waited for for ever: the client gets a failure in time, or sees some time after its deadline that
-// what it has is not whole.
+// A response that never ends is not waited for indefinitely: the client gets an error in time, or sees soon after its deadline that the
+// response is incomplete.
 func TestAnswerNeverEnds(t *testing.T) {
 	const deadline = time.Second
 	for name, begin := range map[string]string{
@@ -221,7 +221,7 @@
 			if begin == "" {
 				s.set(func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false })
 			}
-			w := newCrossing(t, func(w *testSidecar) { w.setClassField("objectiveS", 0.5) }, s) // its deadline is long beside what is usual
+			w := newCrossing(t, func(w *testSidecar) { w.setClassField("objectiveS", 0.5) }, s) // its deadline is long compared with the usual latency
 			id, conn, began := newID(), w.dial(0), time.Now()
 			conn.send(text("write", id, deadline, ""))
 			_ = conn.SetReadDeadline(began.Add(deadline + 6*time.Second))
@@ -239,14 +239,14 @@
 	}
 }
 
-// A backend sends each answer once more ten milliseconds later. Nothing tells that copy from the next answer, so connections rest for
-// longer once such a copy has been seen, and no further request gets another's answer.
+// A backend sends each response a second time 10 ms later. The copy can't be told from the next response, so connections stay idle for
+// longer once a copy has been seen, and no later request gets the response to another.
 func TestLateSecondCopies(t *testing.T) {
 	s := newBackend(t, "s-00000001", func(conn *net.TCPConn, a attempt) bool {
 		answer, began := message(200, a.id), time.Now()
 		_, err := io.WriteString(conn, answer)
 		time.Sleep(10 * time.Millisecond)
-		if time.Since(began) < 25*time.Millisecond { // a machine that is busy makes it later than anybody would wait
+		if time.Since(began) < 25*time.Millisecond { // on a busy machine the copy may come later than any sidecar would wait for
 			_, _ = io.WriteString(conn, answer)
 		}
 		return err == nil
@@ -267,16 +267,16 @@
 		return strings.Contains(w.log.String(), "unasked bytes")
 	})
 	for range 30 {
-		time.Sleep(5 * time.Millisecond) // a connection that rests for less is in use when the copy comes
+		time.Sleep(5 * time.Millisecond) // a connection that is idle for less than this is in use when the copy arrives
 		id, body := ask()
 		assert.Equal(t, id, body)
 	}
 }
 
-// A backend answers before it has the whole request. The client, which sends on for longer than a request may take to arrive, gets
-// that answer and nothing else: the rest of the request is no longer waited for.
+// A backend responds before it has the complete request. The client, which keeps sending for longer than a request may take to arrive,
+// gets that response and nothing else: the rest of the request is no longer waited for.
 func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
-	const sendsFor = 3200 * time.Millisecond // more than the time for a body that arrives
+	const sendsFor = 3200 * time.Millisecond // exceeds the time limit for an arriving body
 	s := newServer(t, "s-00000001", nil)
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).EnableFullDuplex()
--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -18,7 +18,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// busy returns a sidecar with three servers, of which two fail at times, with a capture.
+// busy returns a sidecar with a capture and three servers, two of which fail at times.
 func busy(t *testing.T, settings string) *testSidecar {
 	var n atomic.Int64
 	odd := func(w http.ResponseWriter, r *http.Request) {
@@ -42,7 +42,7 @@
 	return w
 }
 
-// load sends some requests, several at a time.
+// load sends a number of requests, several at a time.
 func (w *testSidecar) load(requests int) {
 	var all sync.WaitGroup
 	for range 8 {
@@ -55,7 +55,7 @@
 	all.Wait()
 }
 
-// dump has the capture written and returns the log from there on.
+// dump has the capture written to the log and returns the log from there on.
 func (w *testSidecar) dump() string {
 	before := strings.Count(w.log.String(), `"k":"end"}`)
 	w.signal(syscall.SIGUSR1)
@@ -70,7 +70,7 @@
 
 var summary = regexp.MustCompile(`(\d+) events replayed, (\d+) decisions compared, (\d+) differ; (\d+) lines truncated, (\d+) lines not compared`)
 
-// compared returns how many decisions a replay has compared.
+// compared returns how many decisions a replay compared.
 func compared(t *testing.T, text string) int {
 	m := summary.FindStringSubmatch(text)
 	require.NotNil(t, m, text)
@@ -79,8 +79,8 @@
 	return n
 }
 
-// What a running sidecar has recorded replays without a difference, also once the ring has dropped its start; a
-// decision that was changed is found.
+// A capture of a running sidecar replays without differences, also after the ring buffer has dropped its oldest records. A decision that
+// was tampered with is reported.
 func TestCaptureReplays(t *testing.T) {
 	w := busy(t, `"max_bytes":131072`).start()
 	w.load(80)
@@ -95,7 +95,7 @@
 	assert.Zero(t, stats["lost"].(float64)+stats["no_checkpoint"].(float64))
 	t.Logf("a checkpoint held the loop for %v us at the most", stats["checkpoint_max_us"])
 
-	for _, text := range []string{first, dump, w.log.String()} { // the whole log holds two dumps
+	for _, text := range []string{first, dump, w.log.String()} { // the complete log holds two dumps
 		code, said := w.replay(text)
 		assert.Zero(t, code, said)
 		assert.Greater(t, compared(t, said), 40)
@@ -123,8 +123,8 @@
 	assert.Equal(t, 2, code, said)
 }
 
-// SIGUSR1 is caught while the program still reads its configuration, and while it drains; a dump that has begun is
-// written to its end.
+// SIGUSR1 is handled while the program still reads its configuration and while it drains, and a dump that has begun is written
+// completely.
 func TestDumpAtAnyTime(t *testing.T) {
 	let := make(chan struct{})
 	w := newTestSidecar(t, newServer(t, "s-00000001", func(http.ResponseWriter, *http.Request) { <-let }))
@@ -136,7 +136,7 @@
 	w.cmd.Stderr, w.cmd.Stdout = &w.log, &w.out
 	require.NoError(t, w.cmd.Start())
 	t.Cleanup(func() { _ = w.cmd.Process.Kill() })
-	f, err := os.OpenFile(w.path, os.O_WRONLY, 0) // returns once the program has come to read it
+	f, err := os.OpenFile(w.path, os.O_WRONLY, 0) // returns once the program opens the file for reading
 	require.NoError(t, err)
 	w.signal(syscall.SIGUSR1)
 	_, err = f.Write(raw)
@@ -154,7 +154,7 @@
 	assert.NoError(t, w.cmd.Wait())
 }
 
-// A dump that nobody reads holds up neither requests, nor lines of the log, nor the end.
+// A dump that nobody reads delays neither requests, nor log lines, nor the shutdown.
 func TestUnreadDump(t *testing.T) {
 	t.Run("pipe", func(t *testing.T) {
 		r, stderr, err := os.Pipe()
@@ -198,7 +198,7 @@
 	assert.NoError(t, w.cmd.Wait())
 }
 
-// Without the file SIGUSR1 does what it always did: nothing.
+// Without a features file SIGUSR1 is ignored.
 func TestNoCapture(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).start()
 	w.signal(syscall.SIGUSR1)
@@ -210,7 +210,7 @@
 	assert.NotContains(t, w.counters(), "hazelwheel_drill_hits")
 }
 
-// With a folder the segments are written there while the sidecar serves, to the last line at its end.
+// With a folder configured, segments are written there while the sidecar serves, up to the last line at shutdown.
 func TestCaptureFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "capture")
 	w := busy(t, `"max_bytes":131072,"dir":"`+dir+`"`).start()
--- a/cmd/hazelwheel/config_test.go
+++ b/cmd/hazelwheel/config_test.go
@@ -21,7 +21,7 @@
 	exampleCore = "../../example/config.json"
 )
 
-// Exit codes and what is printed, command by command.
+// Checks the exit status and output of each command.
 func TestConfigCommands(t *testing.T) {
 	dir := t.TempDir()
 	spoilt := filepath.Join(dir, "spoilt.toml")
@@ -74,7 +74,7 @@
 	}
 }
 
-// What shows a secret's hash is the owner's alone to read.
+// A file that contains the hash of a secret is readable by its owner only.
 func TestImportedSecretIsKept(t *testing.T) {
 	dir := t.TempDir()
 	code, said := run(t, "config", "import", "--out", dir, "--features", "../../example/features.json", exampleCore)
@@ -86,7 +86,7 @@
 	}
 }
 
-// words splits a command line; quotes keep spaces.
+// words splits a command line; quoted parts keep their spaces.
 func words(line string) []string {
 	var all []string
 	for i, part := range strings.Split(line, `"`) {
@@ -99,7 +99,7 @@
 	return all
 }
 
-// Standard input stands for a file, and Windows' line ends for others.
+// A file may be read from standard input, and may have CRLF line endings.
 func TestConfigFromStandardInput(t *testing.T) {
 	raw, err := os.ReadFile(exampleApp)
 	require.NoError(t, err)
@@ -121,7 +121,7 @@
 	assert.Contains(t, said, "render")
 }
 
-// Five applications, each from config new over config render to a sidecar that serves a request of every class of its own.
+// For five applications, the files that config new and config render write start a sidecar that serves a request of each class.
 func TestNewConfigurationsServe(t *testing.T) {
 	for name, c := range map[string]struct {
 		flags, classes []string
@@ -179,8 +179,8 @@
 	}
 }
 
-// Danger: an example that does not pass is copied all the same. Every TOML and JSON text in the pages is checked, and every
-// command line of the tool must be one that it knows.
+// Danger: users copy examples from the pages even if they are wrong. Each TOML and JSON example must pass the checks, and each command
+// line must be accepted by the program.
 func TestExamplesInThePagesAreSound(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operators/*.md")
 	require.NoError(t, err)
@@ -210,7 +210,7 @@
 	assert.GreaterOrEqual(t, checked, 6, "the pages have examples")
 }
 
-// The walk from nothing to a running sidecar, as the page has it: each command ends with 0 and says what is shown.
+// Runs the page's steps from nothing to a running sidecar: each command ends with 0 and prints what the page shows.
 func TestWalkOfThePage(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators/config.md")
 	require.NoError(t, err)
@@ -237,7 +237,7 @@
 	}
 }
 
-// The page's mistakes are told as it shows them.
+// The mistakes that the page shows are reported with the messages that it shows.
 func TestMistakesOfThePage(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators/config.md")
 	require.NoError(t, err)
@@ -256,7 +256,7 @@
 	assert.Equal(t, len(shown)+1, strings.Count(said, "\n"), "all of them, and the line that counts")
 }
 
-// At a terminal what no flag says is asked for, and asked again until it makes sense.
+// At a terminal, config new asks for what no flag gives, and asks again until the answer is valid.
 func TestNewAsks(t *testing.T) {
 	script, err := exec.LookPath("script")
 	if err != nil {
@@ -277,7 +277,7 @@
 	assert.Len(t, f.App.Classes, 1)
 }
 
-// Colour is for a terminal, and for one whose user has not declined it.
+// Output is colored only on a terminal, and only if NO_COLOR is not set.
 func TestColour(t *testing.T) {
 	script, err := exec.LookPath("script")
 	if err != nil {
--- a/cmd/hazelwheel/configadvice.go
+++ b/cmd/hazelwheel/configadvice.go
@@ -14,15 +14,15 @@
 // and a sidecar that exceeds its memory is killed.
 const maxServedBytes = 1 << 20
 
-// findingLogger logs the findings of the checks about the files that a sidecar serves by, each finding once. They are advice: serve starts
-// whatever they say. It is not safe for concurrent use.
+// findingLogger logs the findings of the checks about the files that a sidecar runs with, each finding once. Findings never keep the
+// sidecar from starting. It is not safe for concurrent use.
 type findingLogger struct {
 	log    *slog.Logger
 	logged map[string]bool // by file, code and message
 }
 
-// logNew checks files and logs the findings that it has not logged before. An empty name stands for no file. Danger: a panic of a check
-// must not keep a sidecar from serving, so it is recovered.
+// logNew checks files and logs the findings that it has not logged before. An empty name stands for no file. Danger: a panic in a check
+// must not stop the sidecar, so it is recovered.
 func (l *findingLogger) logNew(names ...string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -41,7 +41,8 @@
 	}
 }
 
-// countAlike returns how many findings have the file and the code of the i-th, itself included; 0 if it isn't the first of them.
+// countAlike returns how many findings have the same file and code as the i-th, including that one, or 0 if an earlier finding has them
+// too.
 func countAlike(findings []lint.Finding, i int) (n int) {
 	for j := range findings {
 		if findings[j].Code != findings[i].Code || findings[j].File != findings[i].File {
@@ -55,8 +56,8 @@
 	return n
 }
 
-// lintFiles returns the findings of the checks about files. It passes over files that are missing, too large or not regular. Danger: reading
-// a pipe that the sidecar has read before may block for ever.
+// lintFiles returns the findings of the checks about files. It skips files that are missing, too large or not regular. Danger: reading a
+// pipe that the sidecar has already read may block forever.
 func lintFiles(names []string) []lint.Finding {
 	var files []*appconfig.File
 	for _, name := range names {
--- a/cmd/hazelwheel/configfiles.go
+++ b/cmd/hazelwheel/configfiles.go
@@ -19,8 +19,8 @@
 	return ok && os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && term.IsTerminal(int(f.Fd()))
 }
 
-// openFiles reads files by their names; "-" stands for standard input. A name that is given twice is an error. A file that can't be read is
-// none: it is marked as Gone.
+// openFiles reads files by their names; "-" stands for standard input. A name that is given twice is an error. A file that can't be read
+// is included in the result, marked as Unreadable.
 func openFiles(c *cli.Command, names []string) ([]*appconfig.File, error) {
 	var files []*appconfig.File
 	for i, name := range names {
@@ -32,8 +32,8 @@
 	return files, nil
 }
 
-// reportFindings checks files, writes the findings, and returns the error that ends the program with the status of the worst finding: nil
-// where the files pass. Against is the site's file that applications are checked against, or nil.
+// reportFindings checks files, writes the findings, and returns the error that ends the program with the status of the worst finding, or
+// nil where the files pass. The parameter against is the site's file that applications are checked against, or nil.
 func reportFindings(c *cli.Command, w io.Writer, files []*appconfig.File, against *appconfig.File, write findingsWriter) error {
 	findings := lint.Run(files, against)
 	if err := write(w, findings); err != nil {
--- a/cmd/hazelwheel/configrender.go
+++ b/cmd/hazelwheel/configrender.go
@@ -24,7 +24,7 @@
 	}
 	app := appconfig.Open(c.Args().First(), c.Root().Reader)
 	if err := reportFindings(c, c.Root().ErrWriter, []*appconfig.File{app}, site, writeText); err != nil {
-		return err // a file with errors is not rendered: the sidecar would serve by it
+		return err // don't render a file with errors: the sidecar would run with it
 	}
 	if app.Kind != appconfig.AppFile {
 		return usageError(fmt.Errorf("%s is no application's file", app.Name))
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -24,26 +24,26 @@
 	"golang.org/x/sys/unix"
 )
 
-// The tests of crossings force two events to meet: an end, a close or a reset, and bytes on their way. They speak over plain
-// sockets on both sides of the program, and hold the program still (SIGSTOP) where both events have to be there at once.
+// These tests force two events to coincide: the end, close or reset of a connection, and bytes in transit. They use plain sockets on
+// both sides of the program, and stop the program (SIGSTOP) where it must find both events at once.
 
-// attempt is a request as a backend has read it, to its last byte.
+// attempt is a request as a backend has received it, completely.
 type attempt struct {
 	id, path, body string
-	told           time.Duration // its Request-Timeout
+	told           time.Duration // its Request-Timeout header
 	at             time.Time     // when its last byte was read
-	connection     int           // the number of its connection, from 0
+	connection     int           // number of its connection, from 0
 }
 
-// responder answers an attempt on its connection, and reports whether the connection goes on.
+// responder responds to an attempt on its connection, and reports whether the connection stays open.
 type responder func(c *net.TCPConn, a attempt) (keep bool)
 
-// backend is a server on a plain listener: a test decides on each byte of it, and on how its connections end.
+// backend is a server on a plain listener, with which a test controls each byte and how its connections end.
 type backend struct {
 	name     string
 	address  string
-	listener net.Listener // nil: its connections are not taken yet
-	fd       int          // of a listener whose connections are not taken yet
+	listener net.Listener // nil until connections are accepted
+	fd       int          // listening socket that does not accept connections yet
 
 	mu       sync.Mutex
 	script   responder
@@ -51,7 +51,7 @@
 	open     []*net.TCPConn // all connections so far
 }
 
-// newBackend returns a backend that takes connections.
+// newBackend returns a backend that accepts connections.
 func newBackend(t *testing.T, name string, script responder) *backend {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 	return b
 }
 
-// newLateBackend returns a backend whose queue of new connections is full: a connection comes up only some time after comeUp.
+// newLateBackend returns a backend whose accept queue is full: connects succeed only some time after comeUp.
 func newLateBackend(t *testing.T, name string, script responder) *backend {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
@@ -77,7 +77,7 @@
 	return b
 }
 
-// comeUp takes connections from now on; the kernel of the other side tries again after one second, three and seven.
+// comeUp accepts connections from now on. The connecting kernel retries after one, three and seven seconds.
 func (b *backend) comeUp(t *testing.T) {
 	again, err := unix.Dup(b.fd)
 	require.NoError(t, err)
@@ -126,7 +126,7 @@
 	}
 }
 
-// got returns the attempts that have come whole so far.
+// got returns the attempts that have been received completely so far.
 func (b *backend) got() []attempt {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,27 +143,28 @@
 	return all
 }
 
-// connections returns all so far.
+// connections returns all connections accepted so far.
 func (b *backend) connections() []*net.TCPConn {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]*net.TCPConn(nil), b.open...)
 }
 
-// The states of a connection as the system counts them.
+// Connection states as the kernel numbers them in /proc/net/tcp.
 const (
 	established = "01"
 	synSent     = "02"
 )
 
-// isIn reports whether a connection to the backend is in a state, as the system of the one who dialed it sees it. Danger: beside other tests the
-// table has 100,000 lines of connections that wait for their end. Taken apart line by line under the race detector, one look takes seconds.
+// isIn reports whether a connection to the backend is in a state, as the kernel shows it for the connecting side. Danger: when other
+// tests run too, the table has 100,000 lines of connections in TIME_WAIT. Parsing them line by line under the race detector takes
+// seconds for one call.
 func (b *backend) isIn(t *testing.T, state string) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	require.NoError(t, err)
 	remote := netip.MustParseAddrPort(b.address)
 	ip := remote.Addr().As4()
-	slices.Reverse(ip[:]) // the table has addresses in the machine's byte order
+	slices.Reverse(ip[:]) // the table has addresses in host byte order
 	return bytes.Contains(table, fmt.Appendf(nil, " %X:%04X %s ", ip[:], remote.Port(), state))
 }
 
@@ -175,25 +176,25 @@
 
 func (b *backend) endpoint() endpoint { return endpoint{b.name, b.address, "a", "SERVING", 1, 0} }
 
-// listOf is one object of discovery with the whole list.
+// listOf returns one discovery object with the complete endpoint list.
 func listOf(t *testing.T, index int, endpoints ...endpoint) string {
 	raw, err := json.Marshal(map[string]any{"index": index, "snapshot": true, "endpoints": endpoints})
 	require.NoError(t, err)
 	return string(raw) + "\n"
 }
 
-// reset ends a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	c.Close()
 }
 
-// message is an answer with a length.
+// message returns a response with a Content-Length.
 func message(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
 }
 
-// sends answers with some bytes and keeps the connection.
+// sends returns a responder that writes text and keeps the connection open.
 func sends(text string) responder {
 	return func(c *net.TCPConn, _ attempt) bool {
 		_, err := io.WriteString(c, text)
@@ -201,7 +202,7 @@
 	}
 }
 
-// sendsWhen does so once a channel is closed.
+// sendsWhen is like sends, but waits until a channel is closed.
 func sendsWhen(release <-chan struct{}, text string) responder {
 	return func(c *net.TCPConn, a attempt) bool {
 		<-release
@@ -209,7 +210,7 @@
 	}
 }
 
-// onceThen has the first attempt answered by one script and all others by another.
+// onceThen uses one responder for the first attempt and another for all others.
 func onceThen(one, others responder) responder {
 	var once sync.Once
 	return func(c *net.TCPConn, a attempt) bool {
@@ -219,13 +220,13 @@
 	}
 }
 
-// client is a plain connection to the program.
+// client is a plain TCP connection to the program.
 type client struct {
 	*net.TCPConn
 	r *bufio.Reader
 }
 
-// dial opens one; receive is the size of its receive buffer, 0: the system's.
+// dial opens a client connection with a receive buffer of a size; 0 means the system's default.
 func (w *testSidecar) dial(receive int) *client {
 	w.Helper()
 	dialer := net.Dialer{Timeout: patience}
@@ -250,14 +251,15 @@
 
 func (c *client) send(text string) { _, _ = io.WriteString(c.TCPConn, text) }
 
-// received is what came back on a connection.
+// received is a response as read from a connection.
 type received struct {
 	status int
 	body   string
 	last   bool
 }
 
-// answer reads one. An error tells that it did not come whole: io.EOF that nothing of it did before an end in order.
+// answer reads one response. An error says that it was incomplete; io.EOF, that the connection was closed in order before its first
+// byte.
 func (c *client) answer() (received, error) {
 	if _, err := c.r.Peek(1); err != nil {
 		return received{}, err
@@ -270,7 +272,7 @@
 	return received{response.StatusCode, string(body), response.Close}, err
 }
 
-// end reads to the end of a connection and returns io.EOF where it is in order, or how else it ended.
+// end reads until the connection ends. It returns io.EOF for an orderly close, or else the error.
 func (c *client) end() error {
 	for {
 		if _, err := c.r.ReadByte(); err != nil {
@@ -279,7 +281,7 @@
 	}
 }
 
-// newID returns a Request-Id that no other request has.
+// newID returns a unique Request-Id.
 func newID() string {
 	lastID.Lock()
 	defer lastID.Unlock()
@@ -287,7 +289,7 @@
 	return fmt.Sprintf("%016x", lastID.n)
 }
 
-// text is a request of a class as a client writes it.
+// text returns a request of a class as a client writes it.
 func text(class, id string, timeout time.Duration, body string) string {
 	method, more := "POST", fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	switch class {
@@ -300,7 +302,7 @@
 		timeout.Milliseconds(), more, body)
 }
 
-// within polls until a condition holds, and reports whether it came to hold in time.
+// within polls until a condition holds, and reports whether it did in time.
 func within(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if f() {
@@ -310,7 +312,7 @@
 	return f()
 }
 
-// newCrossing returns a running sidecar with backends, whose time limits are long where the test does not set them.
+// newCrossing returns a running sidecar with backends. Time limits that the test does not set are long.
 func newCrossing(t *testing.T, change func(w *testSidecar), backends ...*backend) *testSidecar {
 	w := newTestSidecar(t)
 	for _, b := range backends {
@@ -322,14 +324,14 @@
 	return w.start()
 }
 
-// setClassField sets a field of all setClassField.
+// setClassField sets a field of all classes.
 func (w *testSidecar) setClassField(name string, value any) {
 	for _, class := range w.settings["classes"].([]map[string]any) {
 		class[name] = value
 	}
 }
 
-// freeze has the program stand still, and returns once it does.
+// freeze stops the program with SIGSTOP and returns once it has stopped.
 func (w *testSidecar) freeze() {
 	w.Helper()
 	w.signal(syscall.SIGSTOP)
@@ -339,7 +341,7 @@
 	})
 }
 
-// awaitExit waits for the program's end by itself and returns how long after a time it came.
+// awaitExit waits until the program exits by itself and returns how long after since that was.
 func (w *testSidecar) awaitExit(since time.Time) time.Duration {
 	w.Helper()
 	over := make(chan error, 1)
@@ -353,7 +355,7 @@
 	return time.Since(since)
 }
 
-// awaitNoAccept polls until the program takes no more connections.
+// awaitNoAccept polls until the program accepts no more connections.
 func (w *testSidecar) awaitNoAccept() {
 	w.Helper()
 	w.eventually("the listener is closed", func() bool {
@@ -365,13 +367,13 @@
 	})
 }
 
-// stallMeter measures for how long the machine itself stands still: what is late by that much accuses nobody else.
+// stallMeter measures how long the machine itself stalls: delays of that size are not held against the program.
 type stallMeter struct {
 	late atomic.Int64
 	over chan struct{}
 }
 
-// newStallMeter measures from now on to the end of the test.
+// newStallMeter measures from now until the test ends.
 func newStallMeter(t *testing.T) *stallMeter {
 	const nap, usual = 5 * time.Millisecond, 10 * time.Millisecond
 	s := &stallMeter{over: make(chan struct{})}
@@ -393,5 +395,5 @@
 	return s
 }
 
-// sum is how long the machine has stood still so far.
+// sum returns the total stall time so far.
 func (s *stallMeter) sum() time.Duration { return time.Duration(s.late.Load()) }
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// turnsAway answers an attempt that has not begun.
+// turnsAway is a response that rejects an attempt before it has run.
 const turnsAway = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
-// answersAfter answers so long after it has read an attempt: a server's work.
+// answersAfter returns a responder that waits for the processing time after it has read an attempt, and then answers.
 func answersAfter(work time.Duration, answer string) responder {
 	return func(c *net.TCPConn, a attempt) bool {
 		time.Sleep(work)
@@ -24,14 +24,14 @@
 	}
 }
 
-// The time that an attempt tells its server is never more than what is left to the client, whatever its request has waited for. How
-// long it has waited at least is known, so that a busy machine only makes the bound wider than it need be.
+// The time limit sent to a server never exceeds the time that the client has left, whatever the request has waited for. The test knows a
+// lower bound of that wait, so a busy machine only makes the check more lenient than necessary.
 func TestToldTimeIsLeft(t *testing.T) {
 	const timeout = 6 * time.Second
 	ask := func(body string) (id, all string) { id = newID(); return id, text("write", id, timeout, body) }
 	for _, c := range []struct {
 		name string
-		// wait has a request sent and brings it to its server, and returns its id and how long it has waited by then at least.
+		// wait sends a request, lets it reach its server, and returns its id and the least time that it has waited by then.
 		wait func(w *testSidecar, s *backend) (id string, waited time.Duration)
 		late bool
 	}{
@@ -53,7 +53,7 @@
 			w.dial(0).send(all)
 			w.eventually("the dial", func() bool { return s.isIn(w.T, synSent) })
 			waited := time.Since(began)
-			s.comeUp(w.T) // the kernel tries again after a second
+			s.comeUp(w.T) // the kernel retries the connect after a second
 			return id, waited
 		}},
 		{name: "the program, which stood still", wait: func(w *testSidecar, s *backend) (string, time.Duration) {
@@ -64,21 +64,21 @@
 			w.freeze()
 			id, all := ask("body")
 			conn.send(all)
-			time.Sleep(500 * time.Millisecond) // it lies in the socket
+			time.Sleep(500 * time.Millisecond) // it stays in the socket's receive buffer
 			w.signal(syscall.SIGCONT)
 			return id, 500 * time.Millisecond
 		}},
 		{name: "its own body", wait: func(w *testSidecar, s *backend) (string, time.Duration) {
 			id, all := ask(strings.Repeat("x", 60<<10))
 			conn, pieces := w.dial(0), 6
-			for i := range pieces { // its time counts from its last byte
+			for i := range pieces { // its time limit counts from its last byte
 				conn.send(all[i*len(all)/pieces : (i+1)*len(all)/pieces])
 				time.Sleep(50 * time.Millisecond)
 			}
 			return id, 0
 		}},
 		{name: "its own long body", wait: func(w *testSidecar, s *backend) (string, time.Duration) {
-			id, all := ask(strings.Repeat("x", 3<<20)) // it is sent on while it comes
+			id, all := ask(strings.Repeat("x", 3<<20)) // it is forwarded while it arrives
 			conn := w.dial(0)
 			conn.send(all[:2<<20])
 			w.eventually("it is sent on", func() bool { return len(s.connections()) == 1 })
@@ -99,14 +99,14 @@
 			w.eventually("the attempt", func() bool { return len(s.of(id)) > 0 })
 			all := s.of(id)
 			told := all[len(all)-1].told
-			const tick = 15 * time.Millisecond // of the kernel's count of what lies in a socket, with room
+			const tick = 15 * time.Millisecond // resolution of the kernel's queueing time stamps, with a margin
 			assert.LessOrEqual(t, told, timeout-waited+tick)
 			assert.Greater(t, told, time.Second)
 		})
 	}
 }
 
-// A request that waits behind another on its connection has as long as one whose client waits from its sending.
+// A pipelined request has the same time limit as one whose client waits from the moment of sending.
 func TestToldTimeBehindAnother(t *testing.T) {
 	const timeout, work = 6 * time.Second, 700 * time.Millisecond
 	for name, more := range map[string]bool{"alone": false, "more comes behind it": true} {
@@ -130,7 +130,7 @@
 	}
 }
 
-// A short deadline is kept: an answer comes, no attempt is begun after it, and none tells its server more time than there is.
+// Short deadlines are met: a response arrives, no attempt starts after the deadline, and no server is told a longer time than is left.
 func TestShortDeadlines(t *testing.T) {
 	for _, timeout := range []time.Duration{50 * time.Millisecond, 120 * time.Millisecond, 280 * time.Millisecond} {
 		for name, answers := range map[string]responder{
@@ -155,7 +155,7 @@
 					require.NoError(t, err)
 					assert.NotEqual(t, 200, a.status)
 					assert.Less(t, took, timeout+500*time.Millisecond+still.sum(), class)
-					time.Sleep(timeout) // for attempts that must not come
+					time.Sleep(timeout) // for attempts that must not arrive
 					for _, attempt := range s.of(id) {
 						assert.LessOrEqual(t, attempt.told, timeout)
 						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.sum(), class)
@@ -168,8 +168,8 @@
 	}
 }
 
-// Where the window for repeats is shorter than the deadline, no further attempt of a guarded class begins after it: neither one that
-// is decided then, nor one that was decided before and whose connection comes up then.
+// Where the repeat window is shorter than the deadline, no further attempt of a guarded class starts after it: neither one that is
+// decided then, nor one that was decided before and whose connection is established then.
 func TestWindowForRepeats(t *testing.T) {
 	const window = 600 * time.Millisecond
 	setWindow := func(w *testSidecar) {
@@ -200,7 +200,7 @@
 		assert.Equal(t, 200, a.status)
 		assert.Len(t, s.of(id), 2)
 	})
-	t.Run("turned away after it", func(t *testing.T) { // nothing has run: the window has not begun
+	t.Run("turned away after it", func(t *testing.T) { // nothing has run, so the window has not begun
 		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, turnsAway), sends(message(200, "sound"))))
 		w := newCrossing(t, setWindow, s)
 		id, conn := newID(), w.dial(0)
@@ -216,7 +216,7 @@
 		w := newCrossing(t, setWindow, errs, late)
 		var id string
 		var conn *client
-		for range 30 { // until the first attempt of one goes to the server that errs, and the next to the other
+		for range 30 { // until the first attempt of a request goes to the failing server and the next to the other
 			id, conn = newID(), w.dial(0)
 			conn.send(text("alert", id, 12*time.Second, ""))
 			if within(300*time.Millisecond, func() bool { return len(errs.of(id)) == 1 }) {
@@ -226,7 +226,7 @@
 		}
 		require.Len(t, errs.of(id), 1)
 		w.eventually("the dial", func() bool { return late.isIn(t, synSent) })
-		late.comeUp(t) // the kernel tries again a second after it began
+		late.comeUp(t) // the kernel retries the connect a second after it began
 		_, err := conn.answer()
 		require.NoError(t, err)
 		for _, again := range late.of(id) {
@@ -235,17 +235,17 @@
 	})
 }
 
-// A connection comes up while the program stands still, and its request's time is over by the time it looks: nothing is written.
+// A connection is established while the program is stopped, and the request's deadline has passed when it resumes: nothing is written.
 func TestConnectionComesUpAtTheDeadline(t *testing.T) {
-	const timeout = 4 * time.Second // the system tries again after one second and after three
-	for i := range 6 {              // whether the connection or the end of the time is seen first is not settled
+	const timeout = 4 * time.Second // the kernel retries the connect after one and after three seconds
+	for i := range 6 {              // either event, the connection or the timeout, may be seen first
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			s := newLateBackend(t, "s-00000001", sends(message(200, "sound")))
 			w := newCrossing(t, func(w *testSidecar) { w.setClassField("objectiveS", 3) }, s)
 			var id string
 			var conn *client
 			var began time.Time
-			// Danger: on a busy machine the dial may be seen, and the program held, only after its time is over.
+			// Danger: on a busy machine the dial may be seen, and the program stopped, only after the deadline.
 			for held, tries := false, 0; !held; tries++ {
 				require.Less(t, tries, 5, "the program could not be held while it dials")
 				id, conn = newID(), w.dial(0)
@@ -260,23 +260,23 @@
 				}
 			}
 			s.comeUp(t)
-			w.eventually("it is up", func() bool { return len(s.connections()) == 2 }) // the first fills the queue
+			w.eventually("it is up", func() bool { return len(s.connections()) == 2 }) // the first connection fills the queue
 			time.Sleep(time.Until(began.Add(timeout + 200*time.Millisecond)))
 			w.signal(syscall.SIGCONT)
 			a, err := conn.answer()
 			require.NoError(t, err)
 			assert.NotEqual(t, 200, a.status)
 			w.eventually("nothing is open", func() bool { return w.counter("open") == 0 })
-			w.ask("read", "", "") // by then what was written has come
+			w.ask("read", "", "") // by then everything that was written has arrived
 			assert.Empty(t, s.of(id), "no attempt begins after the deadline")
 		})
 	}
 }
 
-// A program that gets the processor by fits and starts writes no attempt whose time is over: each tells its server some.
+// A program that is scheduled only in short bursts sends no attempt after its deadline: each tells its server a time above 0.
 func TestNoAttemptWithoutTime(t *testing.T) {
 	const requests, timeout = 200, 50 * time.Millisecond
-	s := newBackend(t, "s-00000001", func(c *net.TCPConn, a attempt) bool { // each attempt has a connection of its own
+	s := newBackend(t, "s-00000001", func(c *net.TCPConn, a attempt) bool { // each attempt has its own connection
 		sends("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")(c, a)
 		return false
 	})
--- a/cmd/hazelwheel/drill_test.go
+++ b/cmd/hazelwheel/drill_test.go
@@ -20,13 +20,13 @@
 
 const drillSecret = " a secret\twith \x01 odd bytes "
 
-// withFaults names a file of features with some drills.
+// withFaults sets a features file with some drills.
 func (w *testSidecar) withFaults(drills string) *testSidecar {
 	w.features = fmt.Sprintf(`{"drills":[%s],"drills.secret_sha256":"%x"}`, drills, sha256.Sum256([]byte(drillSecret)))
 	return w
 }
 
-// run runs a command of the program to its end and returns its exit code and all it prints.
+// run runs a command of the program and returns its exit code and everything that it prints.
 func run(t *testing.T, args ...string) (code int, text string) {
 	out, err := program(args...).CombinedOutput()
 	var exit *exec.ExitError
@@ -39,7 +39,7 @@
 	return code, string(out)
 }
 
-// writeFile writes a writeFile of the test's own.
+// writeFile writes a file into the test's own folder and returns its path.
 func (w *testSidecar) writeFile(name, text string) string {
 	path := filepath.Join(w.TempDir(), name)
 	require.NoError(w, os.WriteFile(path, []byte(text), 0o600))
@@ -50,13 +50,13 @@
 	return run(w.T, "drill", "start", "--config", w.path, "--name", name, "--secret-file", w.writeFile("secret", secret))
 }
 
-// faultHits returns how many requests the first drill has touched.
+// faultHits returns how many requests the first drill has affected.
 func (w *testSidecar) faultHits() float64 {
 	return w.counters()["hazelwheel_drill_hits"].([]any)[0].(map[string]any)["hits"].(float64)
 }
 
-// Of 1000 requests about a tenth is delayed, and the log names each of them. The bounds are over six standard
-// deviations away: chance alone does not break them once in a hundred million runs.
+// About a tenth of 1000 requests is delayed, and the log names each of them. The bounds are over six standard deviations from the mean:
+// a correct program exceeds them less than once in 100 million runs.
 func TestDrillDelaysItsShare(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s).withFaults(`{"name":"lag1","class":"read","share":10,"delay_ms":400}`).start()
@@ -101,7 +101,7 @@
 	assert.EqualValues(t, slow, w.faultHits())
 }
 
-// Who does not know the secret starts nothing, and is told nothing; the sidecar's log tells of the attempt.
+// Without the secret no drill can be started, the reply doesn't tell whether the drill exists, and the sidecar logs the attempt.
 func TestDrillIsRefused(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).withFaults(`{"name":"a","class":"read","share":100,"abort":"503"}`).start()
 	for _, c := range []struct {
@@ -136,7 +136,7 @@
 	assert.Equal(t, 1, code, text)
 }
 
-// Without a hash there is no such path, whatever drills the file holds.
+// Without a secret's hash the endpoint does not exist, whatever drills the file defines.
 func TestNoDrillWithoutHash(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	w.features = `{"drills":[{"name":"a","class":"read","share":100,"abort":"503"}]}`
@@ -150,14 +150,14 @@
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 }
 
-// A delayed request is open like any other: its id is taken, its client may go, the sidecar does not end before it
-// has its answer, and the decisions keep a part of its time.
+// A delayed request counts as open: its id is in use, its client may disconnect, the sidecar waits for its response before it exits, and
+// the policy keeps part of its time for the send.
 func TestDelayedRequestsAreOpen(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s).withFaults(`{"name":"a","class":"read","share":100,"delay_ms":60000},
 		{"name":"b","class":"write","share":100,"delay_ms":600}`)
 	read := w.settings["classes"].([]map[string]any)[0]
-	read["objectiveS"] = 0.5 // what is left must do for a send
+	read["objectiveS"] = 0.5 // the remaining time must suffice for a send
 	read["giveUpS"] = 60
 	w.start()
 	for _, name := range []string{"a", "b"} {
@@ -172,8 +172,8 @@
 	c.Close()
 	w.eventually("its client's departure", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
 
-	// A fifth of its time is left for the send, here 3 s of real time. With the 0.3 s that 1.5 s leave, a server or a sidecar that stands
-	// still for so long on a busy machine has the request end at its deadline, which is no fault.
+	// A fifth of the time is left for the send, here 3 s of real time. With the 0.3 s that 1.5 s leave, a server or sidecar that stalls
+	// on a busy machine would make the request miss its deadline, which is not a fault of the program.
 	cut := w.ask("read", "", "", "Request-Timeout", "15000m")
 	assert.Equal(t, 200, cut.status, "the delay is cut to leave time for the send: %s after %v", cut.body, cut.took)
 	assert.GreaterOrEqual(t, cut.took, 12*time.Second)
@@ -187,13 +187,13 @@
 	assert.Equal(t, 2, s.requestCount(), "what was abandoned was never sent")
 }
 
-// A read that is delayed beyond its aim is slow, not refused: what is left of its time must not be taken for that of a
-// client's later try, whose aim has passed.
+// A read that is delayed beyond its objective is slow, not rejected: it must not be treated as a client's later retry, for which the
+// objective has already passed.
 func TestDelayBeyondTheAim(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).withFaults(`{"name":"a","class":"read","share":100,"delay_ms":900}`)
 	w.settings["classes"].([]map[string]any)[0]["objectiveS"] = 0.6
 	w.start()
-	for range 5 { // how long clients wait is learned
+	for range 5 { // the policy learns how long clients wait
 		w.ask("read", "", "")
 	}
 	code, text := w.controlFault("a", drillSecret)
@@ -203,7 +203,7 @@
 	assert.GreaterOrEqual(t, p.took, 900*time.Millisecond)
 }
 
-// A file at fault ends the program before it begins, with one line that names the field.
+// An invalid features file ends the program at startup with one line that names the field.
 func TestFeaturesAtFault(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	path := w.writeFile("features.json", `{"drills":[{"name":"a","class":"read","shares":1}]}`)
--- a/cmd/hazelwheel/fleet_test.go
+++ b/cmd/hazelwheel/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Where many sidecars run, a process has TCP and UDP over IPv4 and nothing else.
+// On hosts that run many sidecars a process may use only TCP and UDP over IPv4, so the program must not open Unix sockets.
 func TestNoUnixSockets(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "a", says(200, "ok"))).start()
 	require.Equal(t, 200, w.ask("read", "/read/1", "").status)
@@ -28,7 +28,7 @@
 	links, err := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", w.cmd.Process.Pid))
 	require.NoError(t, err)
 	for _, link := range links {
-		target, _ := os.Readlink(link) // one that was closed meanwhile is none
+		target, _ := os.Readlink(link) // empty if the descriptor was closed meanwhile
 		if strings.HasPrefix(target, "socket:") {
 			sockets++
 			assert.False(t, unix[target], "%s is a Unix socket", link)
@@ -37,8 +37,8 @@
 	assert.Greater(t, sockets, 2)
 }
 
-// A start with nothing sound to go by: no list or an empty one, no word of the fleet. The list is asked for and requests are
-// served; the log has a line for each.
+// The sidecar starts without valid information: no endpoint list or an empty one, and no peers. It requests the list and serves
+// requests, and logs a line for each condition.
 func TestStartsWithoutSoundFacts(t *testing.T) {
 	for _, known := range []string{`{"index":0,"snapshot":true,"endpoints":[]}`, `{}`, ``} {
 		t.Run(known, func(t *testing.T) {
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -30,7 +30,7 @@
 	return n
 }
 
-// deaths returns how many deaths all of them have declared.
+// deaths returns how many deaths some members have declared in all.
 func (c *testFleet) deaths(all ...*fleetMember) (n uint64) {
 	c.Helper()
 	for _, m := range all {
@@ -46,7 +46,8 @@
 	return s.ID
 }
 
-// Seven are cut four to three: each side counts itself, and both serve; mended, they are one again. Then for a moment only.
+// A network partition splits seven sidecars four to three: each side counts only itself, and both serve. After it heals they are one
+// fleet again. Then the same with a short partition.
 func TestFleetIsCut(t *testing.T) {
 	c := newTestFleet(t, 7).start()
 	c.ready(c.all...)
@@ -74,7 +75,8 @@
 	stop()
 }
 
-// All links go at ten bytes a second, less than beats take: somebody is suspected, all serve, and once it is over all agree.
+// All links are limited to ten bytes a second, less than heartbeats need: some members are suspected, all serve, and once the limit is
+// lifted all agree.
 func TestFleetOverSlowLinks(t *testing.T) {
 	c := newTestFleet(t, 5).start()
 	c.ready(c.all...)
@@ -91,10 +93,10 @@
 	stop()
 }
 
-// Who can be reached by most is not called dead: neither one that one other does not hear, nor one that two do not. Those who do not hear
-// it are among its watchers: to anybody else its silence is nothing, since nothing is expected of it there.
+// A member that most others can reach is not declared dead, whether one other can't hear it or two can't. The ones that can't hear it
+// are among its watchers: only watchers expect heartbeats of it, so its silence means nothing to others.
 func TestFleetHearsThroughOthers(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, deaf := range map[string]int{"one way": 1, "two of seven": 2} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestFleet(t, 7).start()
@@ -104,7 +106,7 @@
 			mute, watchers := c.watched(deaf)
 			ways := processcluster.Directions([]string{mute.name}, names(watchers[:deaf]), true)
 			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-			// It is accused, says no, and is accused again after a while: by then it could have been called dead.
+			// It is accused, refutes that, and is accused again after a while: by then it could have been declared dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
 				s, _ := mute.seen()
@@ -121,8 +123,8 @@
 	}
 }
 
-// watched returns a member that so many others watch at least, and these. Who watches whom goes by identities, which are drawn at the
-// start: of seven a given two are no neighbours on any ring in a fifth of all cases.
+// watched returns a member that at least so many others watch, and these watchers. Who watches whom depends on the identities, which are
+// random: of seven members, two given ones are neighbors on no ring in a fifth of all cases.
 func (c *testFleet) watched(atLeast int) (by *fleetMember, watchers []*fleetMember) {
 	c.Helper()
 	c.poll(fmt.Sprintf("one is watched by %d", atLeast), func() bool {
@@ -149,9 +151,9 @@
 	return by, watchers
 }
 
-// One that stands still for a while goes on with what it knew, and nobody else is called dead for it.
+// A member that is stopped for a while resumes with its old state, and no other member is declared dead because of it.
 func TestFleetWithOneThatStandsStill(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, stall := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(stall.String(), func(t *testing.T) {
 			c := newTestFleet(t, 5).start()
@@ -165,7 +167,7 @@
 			if stall > 4*time.Second {
 				t.Logf("held for dead after %v", c.view(others, others))
 			}
-			time.Sleep(stall - time.Since(began)) // the trouble itself; what follows from it is polled
+			time.Sleep(stall - time.Since(began)) // the duration of the fault itself; its effects are polled for
 			still.resume()
 			t.Logf("back after %v", c.agree(c.all...))
 			after, _ := still.seen()
@@ -182,7 +184,8 @@
 	}
 }
 
-// A copied folder: two processes claim one identity. Both serve, the one that is not as far takes another, and both count.
+// A state folder was copied, so two processes claim one identity. Both serve, the one whose state is older takes another identity, and
+// both are counted.
 func TestFleetTellsACopyApart(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
@@ -206,7 +209,7 @@
 	c.poll("one says so", func() bool {
 		return strings.Contains(c.all[2].log.String()+twin.log.String(), "goes on under another identity")
 	})
-	// What was drawn anew is kept: after a restart all are who they are.
+	// The new identity is stored: after a restart all members keep theirs.
 	for _, m := range []*fleetMember{c.all[2], twin} {
 		id := m.id()
 		m.kill()
@@ -217,11 +220,11 @@
 	stop()
 }
 
-// All are killed and begin again within a second; of the addresses to join by one alone lives. And some that find nobody
+// All members are killed and restart within a second, and only one of the addresses to join by is alive. Then members that find no peer
 // serve alone until they meet.
 func TestFleetBeginsAgain(t *testing.T) {
 	c := newTestFleet(t, 6)
-	for _, m := range c.all { // two of the three never live
+	for _, m := range c.all { // two of the three addresses to join by are never alive
 		m.join = []string{freeAddress(t), freeAddress(t), c.all[0].advertise}
 	}
 	c.start().ready(c.all...)
@@ -266,8 +269,8 @@
 	lonely.placed(lonely.all...)
 }
 
-// What is on disk is lost, torn, of a later version, or can't be written: the process serves and is a new one; with its state
-// it is the same.
+// If the state on disk is lost, truncated, of a later version or not writable, the process serves under a new identity. With its state
+// it keeps its identity.
 func TestFleetState(t *testing.T) {
 	c := newTestFleet(t, 4).start()
 	c.ready(c.all...)
@@ -311,7 +314,7 @@
 		}
 	}
 	m.kill()
-	m.dir = filepath.Join(file, "below a file") // nothing can be written there
+	m.dir = filepath.Join(file, "below a file") // nothing can be written below a file
 	m.start()
 	c.ready(m)
 	c.agree(c.all...)
@@ -319,7 +322,7 @@
 	assert.False(t, s.IdentityStored)
 	c.poll("it says so", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
-	// A disk that is full: no byte of a file can be written.
+	// A full disk: no byte of a file can be written.
 	m.kill()
 	m.dir, m.full = t.TempDir(), true
 	m.start()
@@ -364,10 +367,10 @@
 	stop()
 }
 
-// What a capture holds of a sidecar whose place in its fleet changes replays without a difference.
+// The capture of a sidecar whose rank in its fleet changes replays without differences.
 func TestFleetInACapture(t *testing.T) {
 	c := newTestFleet(t, 4)
-	c.replica = 2 // the settings are wrong; what counts is who is there
+	c.replica = 2 // the configured number is wrong; the live members count
 	for _, m := range c.all {
 		m.capture = true
 	}
@@ -388,7 +391,7 @@
 	assert.Greater(t, compared(t, out), 20)
 }
 
-// A process takes the place of another with its socket: it keeps the identity, and never do the two count as two.
+// A process takes over from another with its socket: it keeps the identity, and the two are never counted as two members.
 func TestFleetReplacement(t *testing.T) {
 	c := newTestFleet(t, 4)
 	m := c.all[3]
@@ -419,7 +422,7 @@
 	}()
 	for range 3 {
 		old, ended, door := m.cmd, m.ended, m.ops
-		m.ops = freeAddress(t) // each process has its own
+		m.ops = freeAddress(t) // each process has its own admin endpoint
 		m.start()
 		c.poll("it speaks for the sidecar", func() bool {
 			s, ok := m.seen()
@@ -440,7 +443,7 @@
 	assert.Equal(t, id, m.id())
 }
 
-// A peer says what it likes. It is told apart, the others go on, and nobody's memory grows without a bound.
+// A malicious peer sends arbitrary messages. Its connection is closed, the other members go on, and nobody's memory grows without bound.
 func TestFleetBearsALiar(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
@@ -481,10 +484,10 @@
 		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
 		for _, text := range texts {
 			if _, err := conn.Write(text); err != nil {
-				return // it has been sent away
+				return // the sidecar has closed the connection
 			}
 		}
-		_, _ = io.Copy(io.Discard, conn) // until it is sent away; an error says so, too
+		_, _ = io.Copy(io.Discard, conn) // until the sidecar closes the connection, which an error shows too
 	}
 	for name, texts := range map[string][][]byte{
 		"a huge frame":           {hello("yard"), binary.BigEndian.AppendUint32(nil, 1<<31)},
@@ -507,8 +510,8 @@
 	s, _ := victim.seen()
 	t.Logf("known after a million lies: %d; links %+v", len(s.Members), s.Links)
 	assert.Less(t, len(s.Members), 4000)
-	// The last one says too much, if it says it fast enough; on a machine whose cores are taken its link goes before that, as one that
-	// nobody needs.
+	// The last connection exceeds the rate limit if it sends fast enough. On a busy machine it is closed before that, as an unneeded
+	// link.
 	assert.GreaterOrEqual(t, s.Links.ProtocolErrors, uint64(6))
 	assert.Less(t, s.Links.ReceivedBytes, uint64(4<<20))
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", victim.cmd.Process.Pid))
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -22,10 +22,11 @@
 
 const large = 32 << 20
 
-// sum is what a body is known by.
+// sum returns the SHA-256 hash by which bodies are compared.
 func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
-// newFlowServer is a server that does not hold what it gets: it answers with its length and hash, or with so many bytes.
+// newFlowServer returns a server that does not buffer bodies: it responds with the length and hash of the request's body, or with body,
+// framed as the query's way says.
 func newFlowServer(t *testing.T, body []byte) *server {
 	s := newServer(t, "s-00000001", nil)
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +57,8 @@
 	return s
 }
 
-// Bodies and answers of 32 MB come whole, in every form, many at a time, in a process that could not hold two of them.
+// Requests and responses of 32 MB arrive intact, in every transfer encoding and many at a time, in a process whose memory could not hold
+// two of them.
 func TestLargeMessages(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef\n"), large/17)
 	w := newTestSidecar(t, newFlowServer(t, body))
@@ -91,7 +93,7 @@
 	}
 }
 
-// memoryMB returns the most memory that a process has had resident.
+// memoryMB returns the peak resident memory of a process.
 func memoryMB(t *testing.T, pid int) float64 {
 	status, err := readStatus(pid)
 	require.NoError(t, err)
@@ -105,7 +107,7 @@
 	return kb / 1024
 }
 
-// A client that does not read holds up its own answer and nobody else's, and gets all of it once it reads.
+// A client that does not read delays only its own response, and gets all of it once it reads.
 func TestSlowReaderOfALargeAnswer(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), large)
 	w := newTestSidecar(t, newFlowServer(t, body)).start()
@@ -126,7 +128,7 @@
 	w.eventually("over", func() bool { return w.counter("open") == 0 && w.counter("served") == 101 })
 }
 
-// What breaks off after its begin is passed on can be told from a whole answer, counts as failed, and is not asked for again.
+// A response that breaks off after its start was passed on is recognizable as incomplete, counts as failed, and is not requested again.
 func TestLargeAnswerBreaksOff(t *testing.T) {
 	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nF4240\r\n"} {
 		t.Run(head[:7], func(t *testing.T) {
@@ -141,7 +143,7 @@
 	}
 }
 
-// A client that leaves in the middle of an answer costs the server's link and nothing more.
+// A client that disconnects in the middle of a response costs only the connection to the server.
 func TestClientLeavesALargeAnswer(t *testing.T) {
 	w := newTestSidecar(t, newFlowServer(t, bytes.Repeat([]byte("x"), large))).start()
 	c, err := net.Dial("tcp", w.listen)
@@ -154,7 +156,8 @@
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 }
 
-// A request whose body is no longer held is never sent a second time; before its last byte nothing has run, and it is refused.
+// A request whose body is no longer buffered is never sent a second time. Before its last byte the server has run nothing, so the
+// request is rejected.
 func TestHalfSentRequestIsNotSentAgain(t *testing.T) {
 	var heads, wholes atomic.Int32
 	broken := newServer(t, "s-00000001", nil)
@@ -172,7 +175,7 @@
 		r := w.request(class, "", "")
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, large))), large
 		p := w.send(r)
-		if p.err == nil { // else the answer was cut off by the client's own sending
+		if p.err == nil { // else the client's own sending cut off the response
 			assert.Equal(t, 503, p.status, class)
 		}
 		w.eventually("refused", func() bool { return w.counter("open") == 0 })
@@ -181,7 +184,7 @@
 	assert.EqualValues(t, 2, w.counter("throttled"))
 }
 
-// A body that is held whole goes to another server where the first has died on it.
+// A body that is buffered completely is sent to another server where the first one failed while receiving it.
 func TestHeldBodyIsSentAgain(t *testing.T) {
 	s := newServer(t, "s-00000001", says(503, "", "Not-Started", "1"))
 	w := newTestSidecar(t, s).start()
@@ -195,7 +198,7 @@
 	}
 }
 
-// A body may take as long as it brings something; one that brings next to nothing is ended.
+// An upload may take any time while it makes progress; one that makes next to none is ended.
 func TestSlowUpload(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "done"))
 	w := newTestSidecar(t, s).start()
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -11,26 +11,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// departures are the ways in which a client goes. A client that ends its sending alone can't be told from one that has closed until
-// something is written to it, and is taken for gone: the protocol calls both the end of a wait where a sidecar gives up an attempt.
+// departures are the ways in which a client disconnects. A client that only shuts down its sending side can't be told from one that has
+// closed until something is written to it, so it is treated as gone: the protocol says that both end the wait, and a sidecar gives up
+// the attempt.
 var departures = map[string]func(c *client){
 	"closes":           func(c *client) { c.Close() },
 	"resets":           func(c *client) { reset(c.TCPConn) },
 	"ends its sending": func(c *client) { _ = c.CloseWrite() },
-	"sends much, closes": func(c *client) { // more than is read ahead: the end lies behind bytes that are left in the socket
+	"sends much, closes": func(c *client) { // more than is read ahead: the end of the stream is behind bytes that stay in the socket
 		c.send(strings.Repeat(text("write", newID(), 20*time.Second, strings.Repeat("x", 1000)), 30))
 		c.Close()
 	},
 }
 
-// No attempt begins for a client that has gone, wherever its request waits: once the cause of the wait is over, the next client's
-// request is sent on and that of the one who has gone is not. TestClientGoes has one whose attempt is out.
+// No attempt starts for a client that has disconnected, wherever its request waits: once the cause of the wait is over, the next
+// client's request is sent and that of the disconnected client is not. TestClientGoes covers a client whose attempt is in flight.
 func TestGoneClientIsNotServed(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// begin has a client's request wait and returns the backend for it, and what ends the cause of the wait.
+		// begin makes a client's request wait. It returns the backend for it and a function that ends the cause of the wait.
 		begin    func(t *testing.T, departs func(w *testSidecar, conn *client)) (w *testSidecar, s *backend, id string)
-		attempts int // that are in order
+		attempts int // expected number of attempts
 	}{
 		{"no server is listed", goneWhileUnlisted, 0},
 		{"its connection comes up", goneWhileConnecting, 0},
@@ -41,7 +42,7 @@
 			t.Run(c.name+", client "+how, func(t *testing.T) {
 				w, s, id := c.begin(t, func(w *testSidecar, conn *client) { depart(conn) })
 				next, other := newID(), w.dial(0)
-				other.send(text("read", next, 15*time.Second, "")) // of another class: what was turned away says nothing about it
+				other.send(text("read", next, 15*time.Second, "")) // of another class, which the rejection does not affect
 				a, err := other.answer()
 				require.NoError(t, err)
 				assert.Equal(t, 200, a.status)
@@ -54,7 +55,7 @@
 	}
 }
 
-// seen waits until the program has noticed that a client has gone. One that is not noticed soon is left to the test's other checks.
+// seen waits until the program has noticed that a client has disconnected. If that takes long, the test's other checks decide.
 func seen(w *testSidecar) {
 	within(2*time.Second, func() bool { return w.counter("abandoned") == 1 })
 }
@@ -62,7 +63,7 @@
 func goneWhileUnlisted(t *testing.T, departs func(*testSidecar, *client)) (*testSidecar, *backend, string) {
 	s, listed := newBackend(t, "s-00000001", sends(message(200, "sound"))), make(chan struct{})
 	w := newCrossing(t, func(w *testSidecar) {
-		w.setClassField("objectiveS", 40) // a request is held for 4.8 s before it is looked at again
+		w.setClassField("objectiveS", 40) // a request is held for 4.8 s before it is checked again
 		w.setClassField("giveUpS", 40)
 		w.discovery.tellOnce(8, listed, func() string { return listOf(t, 8, s.endpoint()) })
 	})
@@ -89,7 +90,7 @@
 	return w, s, id
 }
 
-// goneBetweenAttempts has the first attempt turned away, and a pause before the next.
+// goneBetweenAttempts has the first attempt rejected, which leads to a pause before the next.
 func goneBetweenAttempts(t *testing.T, departs func(*testSidecar, *client)) (*testSidecar, *backend, string) {
 	turnedAway := make(chan struct{})
 	refuse := func(c *net.TCPConn, _ attempt) bool {
@@ -98,7 +99,7 @@
 	}
 	s := newBackend(t, "s-00000001", onceThen(refuse, sends(message(200, "sound"))))
 	w := newCrossing(t, func(w *testSidecar) {
-		w.setClassField("objectiveS", 40) // it is looked at again after 4.8 s
+		w.setClassField("objectiveS", 40) // it is checked again after 4.8 s
 		w.setClassField("giveUpS", 40)
 	}, s)
 	id, conn := newID(), w.dial(0)
@@ -111,7 +112,7 @@
 	return w, s, id
 }
 
-// goneBeforeTheLook has the request and the end both in the socket when the program looks at it.
+// goneBeforeTheLook has both the request and the end of the stream in the socket when the program first reads it.
 func goneBeforeTheLook(t *testing.T, departs func(*testSidecar, *client)) (*testSidecar, *backend, string) {
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
 	w := newCrossing(t, nil, s)
@@ -122,12 +123,13 @@
 	w.freeze()
 	conn.send(text("write", id, 8*time.Second, "body"))
 	departs(w, conn)
-	time.Sleep(200 * time.Millisecond) // from 0.1 s on after the end no attempt may begin
+	time.Sleep(200 * time.Millisecond) // from 0.1 s after the disconnect on no attempt may start
 	w.signal(syscall.SIGCONT)
 	return w, s, id
 }
 
-// A client that sends its request and closes at once may be looked at before its end has come; an attempt begins then or never.
+// A client sends its request and closes at once. The program may read the request before the close arrives, so an attempt starts then or
+// never.
 func TestClientGoesAtOnce(t *testing.T) {
 	const clients, atMost = 100, 100 * time.Millisecond
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -23,7 +23,7 @@
 	Inflight int
 }
 
-// side asks at the side port.
+// side sends a request to the health port.
 func side(t *testing.T, address, path string) (c condition) {
 	r, err := outside.Get("http://" + address + path)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	return address
 }
 
-// Discovery that says nothing new but is there keeps the list young; once it has stopped, ready turns 503.
+// A watch without changes keeps the endpoint list fresh while discovery is reachable; once discovery has stopped, /ready turns to 503.
 func TestReadyFollowsDiscovery(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t)
@@ -85,7 +85,7 @@
 	assert.Equal(t, 200, r.StatusCode, "the platform's own is as it was")
 }
 
-// What is out, and the end, are told while they last.
+// Requests in flight and the shutdown are reported while they last.
 func TestReadyCountsRequests(t *testing.T) {
 	var let atomic.Bool
 	s := newServer(t, "s-00000001", func(http.ResponseWriter, *http.Request) {
@@ -110,7 +110,7 @@
 	assert.NoError(t, w.cmd.Wait())
 }
 
-// A port that is taken is a fault to be told, not a sidecar without its side port.
+// A health port that is in use is an error at startup: the sidecar must not run without it.
 func TestSidePortTaken(t *testing.T) {
 	w := newTestSidecar(t)
 	taken := httptest.NewServer(nil)
--- a/cmd/hazelwheel/hostile_test.go
+++ b/cmd/hazelwheel/hostile_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A message whose end two readers could see in different places is refused, and what lies behind it never reaches a
-// server: at once or in pieces, on a new link or on one that has carried a request.
+// A message whose end two parsers could see in different places is rejected, and the bytes behind it never reach a server: sent at once
+// or in pieces, on a new connection or on one that has carried a request.
 func TestSmuggling(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s).start()
@@ -60,7 +60,7 @@
 	}
 }
 
-// What a server sends beyond an answer answers nobody, and 1xx in front of one is passed over.
+// Bytes that a server sends after a response become no response to any request, and 1xx responses before the final one are skipped.
 func TestMoreThanTheAnswer(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	for name, text := range map[string]string{
@@ -74,7 +74,7 @@
 				s.set(says(200, "other"))
 				c, _, err := w.(http.Hijacker).Hijack()
 				if assert.NoError(t, err) {
-					t.Cleanup(func() { c.Close() }) // the link stays open
+					t.Cleanup(func() { c.Close() }) // the connection stays open
 					io.WriteString(c, text)
 				}
 			})
@@ -88,7 +88,7 @@
 	}
 }
 
-// Interim answers without end and noise without end hold nothing.
+// A server that sends endless interim responses or garbage makes the request fail long before its deadline.
 func TestAnswersWithoutEnd(t *testing.T) {
 	for _, text := range []string{"HTTP/1.1 100 Continue\r\n\r\n", "X: 1\r\n"} {
 		t.Run(strings.Fields(text)[0], func(t *testing.T) {
--- a/cmd/hazelwheel/hosts_test.go
+++ b/cmd/hazelwheel/hosts_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A watch that fails is begun again, goes on from the list that is held, and its lines may be cut anywhere.
+// A watch that fails is reopened and continues from the list that is held. Its lines may be split anywhere.
 func TestWatch(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first)
@@ -22,7 +22,7 @@
 		text := line(t, 9, true, second)
 		d.write("\n" + text[:20])
 		w.eventually("nothing yet", func() bool { return w.counter("watches") == 2 && w.counter("lists") == 0 })
-		d.write(text[20:] + "\n" + `{"index":10,"snap`) // and it breaks
+		d.write(text[20:] + "\n" + `{"index":10,"snap`) // then the connection breaks
 	}
 	w.discovery.answers <- func(d watch) { panic(http.ErrAbortHandler) }
 	w.start()
@@ -35,8 +35,8 @@
 	assert.Zero(t, first.requestCount())
 }
 
-// A watch that says nothing, not even its empty lines, has failed. What it misses counts as told 6 s after it fell silent, so the
-// next call comes well before.
+// A watch that sends nothing, not even its empty keep-alive lines, has failed. Changes that it misses count as known 6 s after it fell
+// silent, so the next call must come well before that.
 func TestWatchFallsSilent(t *testing.T) {
 	w := newTestSidecar(t)
 	w.discovery.answers <- func(d watch) {
@@ -52,7 +52,7 @@
 	assert.EqualValues(t, 1, w.counter("list_failed"))
 }
 
-// A watch whose first object comes byte by byte is never silent and never up; it is opened anew all the same.
+// A watch whose first object arrives byte by byte is never silent and never complete; it is reopened all the same.
 func TestWatchThatDrips(t *testing.T) {
 	w := newTestSidecar(t)
 	w.discovery.answers <- func(d watch) {
@@ -75,14 +75,14 @@
 	}
 }
 
-// After each call that fails, in whatever way, the next one comes soon enough for its answer to be there within 6 s of when
-// discovery can be reached again.
+// After each kind of failed call, the next one comes soon enough for its response to arrive within 6 s of when discovery is reachable
+// again.
 func TestFailedCallsAreRepeatedSoon(t *testing.T) {
 	w := newTestSidecar(t)
 	fails := []func(watch){
 		func(d watch) { d.WriteHeader(503) },
 		func(watch) { panic(http.ErrAbortHandler) },
-		func(d watch) { d.write("\n") }, // and it ends
+		func(d watch) { d.write("\n") }, // then the watch ends
 		func(d watch) { d.WriteHeader(503) },
 		func(d watch) { d.WriteHeader(503) },
 		func(d watch) { d.WriteHeader(503) },
@@ -99,8 +99,8 @@
 	}
 }
 
-// Where lists are pushed a change counts as told at once, so a watch that has failed is away for less than a draining server may
-// still be sent requests.
+// Where lists are pushed a change counts as known at once. So a failed watch must be reopened within the time for which a draining
+// server may still be sent requests.
 func TestPushedListsAreWatchedAgainAtOnce(t *testing.T) {
 	leaves, stays := newServer(t, "s-00000001", says(200, "")), newServer(t, "s-00000002", says(200, ""))
 	w := newTestSidecar(t, leaves, stays)
@@ -128,7 +128,7 @@
 	assert.Equal(t, before, leaves.requestCount())
 }
 
-// Lists may be indented, come in pieces and follow each other on one line; a whole list may be the answer's end.
+// Lists may be indented, arrive in pieces, or follow each other on one line; a complete list may be the last of a response.
 func TestListsInAllForms(t *testing.T) {
 	first, second, third := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2")), newServer(t, "s-00000003", says(200, "3"))
 	indented := func(index int, snapshot bool, servers ...*server) string {
@@ -146,7 +146,7 @@
 		d.write(strings.TrimSpace(line(t, 9, false, first)) + indented(10, false, third) + "\n\n")
 		w.eventually("both changes", func() bool { return w.counter("lists") == 3 })
 		first.status = "SERVING"
-		d.write(strings.TrimSuffix(line(t, 11, true, first), "\n")) // and it ends
+		d.write(strings.TrimSuffix(line(t, 11, true, first), "\n")) // then the watch ends
 	}
 	w.start()
 	w.eventually("the last one", func() bool { return w.counter("lists") == 4 })
@@ -156,7 +156,7 @@
 	assert.Equal(t, "1", w.ask("read", "", "").body)
 }
 
-// What is no list ends its watch, is logged once however often it comes, and leaves the present list in use.
+// A malformed list ends its watch, is logged once however often it arrives, and leaves the present list in use.
 func TestMalformedLists(t *testing.T) {
 	first := newServer(t, "s-00000001", says(200, "1"))
 	w := newTestSidecar(t, first)
@@ -193,7 +193,7 @@
 	w.eventually("its idle links are closed", func() bool { _, opened, closed := leaves.counts(); return opened == closed })
 }
 
-// Probes go where the deployment has its reports; what they say beside the known fields does no harm.
+// Probes use the path and report fields that are configured, and unknown fields in the replies are ignored.
 func TestProbes(t *testing.T) {
 	for how, path := range map[string]string{"on_probe": "/status/load", "inline": "/health"} {
 		t.Run(how, func(t *testing.T) {
@@ -214,7 +214,7 @@
 	}
 }
 
-// A full server turns probes away, which shows that it lives; one with a long line lets them wait first.
+// A full server rejects probes, which shows that it is alive; one with a long queue makes them wait first.
 func TestProbesTurnedAway(t *testing.T) {
 	full, slow := newServer(t, "s-00000001", says(503, "")), newServer(t, "s-00000002", nil)
 	slow.set(func(w http.ResponseWriter, r *http.Request) {
@@ -230,7 +230,7 @@
 	assert.Zero(t, w.countOfOutcome("probe_ends", "host_error"))
 }
 
-// A probe whose link breaks is begun again on a new one: it asks after the server, not the link.
+// A probe whose connection breaks is retried on a new one: it tests the server, not the connection.
 func TestProbeOnABrokenLink(t *testing.T) {
 	s := newServer(t, "s-00000001", nil)
 	s.set(func(w http.ResponseWriter, r *http.Request) {
@@ -244,7 +244,7 @@
 	assert.Zero(t, w.countOfOutcome("probe_ends", "reset"))
 }
 
-// A probe whose answer can't be read has found its server alive, and says nothing of its load.
+// A probe with an unreadable response shows that its server is alive, and nothing of its load.
 func TestSpoiltProbes(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", breaks("\x00\x01noise")))
 	w.setLimit("probes", true)
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -20,20 +20,21 @@
 	"hazelwheel/internal/coordination"
 )
 
-// discoveryRegistry is discovery for many sidecars: it counts versions, tells changes since one, and says an empty line every 2 s.
+// discoveryRegistry is a discovery service for many sidecars: it counts versions, sends the changes since one, and sends an empty line
+// every 2 s.
 type discoveryRegistry struct {
 	*httptest.Server
 	mu      sync.Mutex
 	index   int
-	entries []endpoint // the one of each change, from the version after first on
-	odd     int        // the call whose watch is told something else of the last version than the others; -1: none is
-	live    []int      // the calls whose watches are up
+	entries []endpoint // the endpoint of each change, from the version after first on
+	odd     int        // the call whose watch is sent another last version than the others; -1 for none
+	live    []int      // the calls whose watches are open
 	down    chan struct{}
-	changed chan struct{} // is closed with each change
+	changed chan struct{} // closed at each change
 	calls   int
 }
 
-// first is a version before which nothing was told. Configurations hold an earlier one.
+// first is the version before the first change. Configurations hold an earlier one.
 const first = 40
 
 func newDiscoveryRegistry(t *testing.T) *discoveryRegistry {
@@ -43,7 +44,7 @@
 	return r
 }
 
-// publish makes a version of which one entry is new.
+// publish creates a version that changes one endpoint.
 func (r *discoveryRegistry) publish(e endpoint, split bool) (index uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +86,7 @@
 	default:
 	}
 	since := -1
-	fmt.Sscanf(q.FormValue("since"), "%d", &since) // else the whole list is wanted
+	fmt.Sscanf(q.FormValue("since"), "%d", &since) // without a number the complete list is sent
 	r.count(number, true)
 	defer r.count(number, false)
 	for {
@@ -112,7 +113,7 @@
 			text, since = string(raw)+"\n", r.index
 		}
 		r.mu.Unlock()
-		io.WriteString(w, text) // fails for who has gone, which the context tells
+		io.WriteString(w, text) // fails if the client has disconnected, which the context reports
 		w.(http.Flusher).Flush()
 		select {
 		case <-changed:
@@ -133,7 +134,7 @@
 	}
 }
 
-// newListeners returns sidecars that do the job list, and serve.
+// newListeners returns sidecars that can take the list role, and that serve.
 func newListeners(t *testing.T) (c *testFleet, stop func()) {
 	c = newOwners(t, 5, 5)
 	c.jobs, c.registry = []string{"list"}, newDiscoveryRegistry(t)
@@ -150,7 +151,8 @@
 	return l
 }
 
-// fed waits until three of some own the job's parts and hold the only watches, and all go by what is passed on.
+// fed waits until three of the members own the parts of the list role and have the only watches, and all members use the list that these
+// relay.
 func (c *testFleet) fed(what string, some ...*fleetMember) (owners []*fleetMember) {
 	c.Helper()
 	began := time.Now()
@@ -176,7 +178,7 @@
 	return owners
 }
 
-// know waits until all of them hold a version, and says how long that took at the slowest.
+// know waits until all of the members hold a version, and returns the longest time that one of them took.
 func (c *testFleet) know(index uint64, some ...*fleetMember) time.Duration {
 	c.Helper()
 	began := time.Now()
@@ -186,8 +188,8 @@
 	return time.Since(began)
 }
 
-// Three of five watch; what discovery writes is passed on to all. An owner of it is killed while discovery goes on writing: the
-// others go on by the other two, none is without news for longer than a watch may be silent, and there is a third again.
+// Three of five members watch discovery and relay its changes to all. An owner is killed while discovery publishes changes: the members
+// go on with the other two, none goes without news for longer than a watch may be silent, and there are three watches again.
 func TestOwnerListOutlivesItsOwners(t *testing.T) {
 	c, stop := newListeners(t)
 	owners := c.fed("before", c.all...)
@@ -199,7 +201,8 @@
 	for range 3 {
 		t.Logf("a version is everywhere after %v", c.know(c.registry.publish(c.server.endpoint(), false), left...))
 	}
-	// Danger: where the machine starves all but one, that one owns all three jobs, and hears nobody's words but has its own watch.
+	// Danger: where the machine starves all members but one, that one owns all three roles, and hears no relayed lists but has its own
+	// watch.
 	oldest := 0.0
 	c.poll("there is a third", func() bool {
 		for _, m := range left {
@@ -223,7 +226,8 @@
 	stop()
 }
 
-// Discovery goes and comes back: all know at once that there is no news, serve from what they hold, and three watch again.
+// Discovery fails and recovers: all members know at once that there is no news and serve from the list that they hold, and afterwards
+// three watch again.
 func TestOwnerListDiscoveryGoes(t *testing.T) {
 	c, stop := newListeners(t)
 	c.registry.fail(true)
@@ -237,14 +241,14 @@
 	stop()
 }
 
-// Two owners are told unlike things of one version: whoever hears of both asks discovery for the whole list, and no list of a lower
-// version comes back.
+// Two owners get different contents for one version: a member that hears both requests the complete list from discovery, and no list of
+// a lower version is used again.
 func TestOwnerListWordsDisagree(t *testing.T) {
 	c, stop := newListeners(t)
 	_, before := c.registry.state()
 	split := c.registry.publish(c.server.endpoint(), true)
 	c.know(split, c.all...)
-	// Danger: where the owner of one word had just lost its lease, as on an overfull machine, nobody hears the other.
+	// Danger: where the owner of one list had just lost its lease, as on an overloaded machine, nobody hears the other.
 	again := time.Now().Add(3 * time.Second)
 	c.poll("somebody has heard of both", func() bool {
 		if time.Now().After(again) {
@@ -258,8 +262,8 @@
 	stop()
 }
 
-// A drill that is started at one sidecar runs at all, once at each, and ends once. Its owner is killed meanwhile, and comes back to what
-// is left of it.
+// A drill that is started at one sidecar runs once at each, and ends once. Its owner is killed meanwhile, and after its restart runs the
+// rest of the drill.
 func TestOwnerDrill(t *testing.T) {
 	c := newOwners(t, 5, 5)
 	c.jobs = []string{"drill"}
@@ -311,7 +315,7 @@
 		assert.Equal(t, id, drills(m)[0].ID)
 		want := 1
 		if m == first {
-			want = 2 // lives
+			want = 2 // once in each of its two processes
 		}
 		assert.Equal(t, want, strings.Count(m.log.String(), "msg=\"drill of the fleet started\"")+strings.Count(m.log.String(), "msg=\"drill started\""), m.name)
 	}
--- a/cmd/hazelwheel/maintenancesubmit_test.go
+++ b/cmd/hazelwheel/maintenancesubmit_test.go
@@ -18,7 +18,8 @@
 	"hazelwheel/internal/decide/maintenance"
 )
 
-// fakeAdminEndpoint replies to command lines by a list, of which it repeats the last; an empty reply closes the connection without one.
+// fakeAdminEndpoint sends replies to command lines from a list, whose last it repeats; for an empty reply it closes the connection
+// without one.
 type fakeAdminEndpoint struct {
 	mu       sync.Mutex
 	replies  []string
@@ -54,7 +55,7 @@
 	return d
 }
 
-// commands returns the commands that it has received.
+// commands returns the commands that the endpoint has received.
 func (d *fakeAdminEndpoint) commands(t *testing.T) (all []maintenance.Command) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +67,7 @@
 	return all
 }
 
-// What each command submits to the admin endpoint, what it prints, and the status with which it ends.
+// Checks what each command submits to the admin endpoint, what it prints, and its exit status.
 func TestMaintenanceCommandLines(t *testing.T) {
 	t.Parallel()
 	c := &testFleet{T: t}
@@ -120,8 +121,8 @@
 	}
 }
 
-// A command that is not committed yet is submitted again with its nonce, also after lost replies; after the time-out the error names the nonce
-// with which to repeat it. A rejection, and an endpoint that was never reached, end it at once.
+// A command that is not committed yet is submitted again with its nonce, also after a lost reply. After the timeout the error names the
+// nonce to repeat it with. A rejection, or an endpoint that was never reached, ends the command at once.
 func TestMaintenanceCommandIsRetriedUntilCommitted(t *testing.T) {
 	t.Parallel()
 	c := &testFleet{T: t}
--- a/cmd/hazelwheel/norace_test.go
+++ b/cmd/hazelwheel/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// memoryMost is what a process limited to 64 MB may have resident.
+// memoryMost is the most resident memory, in MB, of a process limited to 64 MB.
 const memoryMost = 64.0
--- a/cmd/hazelwheel/ops_test.go
+++ b/cmd/hazelwheel/ops_test.go
@@ -15,21 +15,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// withAdminEndpoint gives the program an operators' door.
+// withAdminEndpoint configures an admin endpoint.
 func (w *testSidecar) withAdminEndpoint() *testSidecar {
 	w.adminAddress = freeAddress(w.T)
 	w.env = append(w.env, "GW_OPS="+w.adminAddress)
 	return w
 }
 
-// call says one line at a door and returns all that is answered; callers wait for a second.
+// call sends text to an admin endpoint and returns the complete reply. It fails the test where there is none.
 func call(t *testing.T, address, text string) string {
 	answer, err := callOnce(address, text)
 	require.NoError(t, err, text)
 	return answer
 }
 
-// callOnce does so for who goes on without an answer.
+// callOnce is like call, but returns an error where there is no reply.
 func callOnce(address, text string) (string, error) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -48,7 +48,7 @@
 
 func (w *testSidecar) callAdmin(line string) string { return call(w.T, w.adminAddress, line+"\n") }
 
-// figure returns one of the figures, -1 if it is not there.
+// figure returns one of the metrics, or -1 if it does not exist.
 func (w *testSidecar) figure(name string) (n int) {
 	n = -1
 	for line := range strings.Lines(w.callAdmin("DUMP")) {
@@ -64,12 +64,12 @@
 	w.eventually(fmt.Sprint(name, " ", want), func() bool { return w.figure(name) == want })
 }
 
-// Calls that make no sense get one line that says why, and callers who say nothing cost nobody anything.
+// An invalid command gets a one-line reason, and idle connections to the admin endpoint cost others nothing.
 func TestDoorCalls(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).withAdminEndpoint().start()
 	w.eventually("health", func() bool { return strings.HasPrefix(w.callAdmin("HEALTH"), "OK") })
 	var silent []net.Conn
-	for i := range 40 { // more than are let in
+	for i := range 40 { // more connections than are accepted
 		c, err := net.Dial("tcp", w.adminAddress)
 		require.NoError(t, err)
 		defer c.Close()
@@ -99,7 +99,7 @@
 	}
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 	_ = silent[39].SetReadDeadline(time.Now().Add(patience))
-	fmt.Fprint(silent[39], "HEALTH\n") // the newest has not been pushed out
+	fmt.Fprint(silent[39], "HEALTH\n") // the newest connection has not been evicted
 	answer, err := io.ReadAll(silent[39])
 	require.NoError(t, err)
 	assert.Equal(t, "OK serving\n", string(answer))
@@ -113,7 +113,7 @@
 	assert.Equal(t, "ERR the line has no end\n", string(answer))
 }
 
-// The figures are what has crossed the wire, by class, and /counters says the same.
+// The metrics count what crossed the wire, by class, and /counters agrees with them.
 func TestFigures(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s, newServer(t, "s-00000002", says(200, ""))).withAdminEndpoint().start()
@@ -154,7 +154,7 @@
 	<-asked
 }
 
-// A server that is out by hand gets nothing, whatever discovery says of it, until the call back; then it is used.
+// A server that is banned by an operator gets no requests, whatever discovery says, until the ban is lifted.
 func TestBans(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first, second).withAdminEndpoint()
@@ -185,7 +185,7 @@
 	told(line(t, 8, true, first, second))
 	require.Contains(t, w.callAdmin("OFFLINE s-00000002"), "OK")
 	only("1")
-	require.Contains(t, w.callAdmin("OFFLINE s-00000002"), "OK") // again is harmless
+	require.Contains(t, w.callAdmin("OFFLINE s-00000002"), "OK") // repeating the command has no effect
 	told(line(t, 9, false, second))
 	only("1")
 	second.status = "DELETED"
@@ -205,7 +205,7 @@
 	only("2")
 }
 
-// A ban while the watch is down does not keep the sidecar from watching again.
+// A ban while the watch is down does not keep the sidecar from reopening the watch.
 func TestBanWhileUnwatched(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first, second).withAdminEndpoint()
@@ -215,7 +215,7 @@
 	w.eventually("the watch is down", func() bool { return w.counter("list_failed") >= 1 })
 	require.Contains(t, w.callAdmin("OFFLINE s-00000001"), "OK")
 	first.status = "DELETED"
-	for range 2 { // the call that was cut off may still take one with it
+	for range 2 { // the call that was cut off may still consume one of the scripted answers
 		w.discovery.answers <- list(line(t, 9, false, first))
 	}
 	<-w.discovery.calls
@@ -224,7 +224,8 @@
 	assert.Equal(t, "2", w.ask("read", "", "").body)
 }
 
-// A drain by hand says no, ends links without losing a request, and goes on serving who comes; one call ends it.
+// After a drain command the sidecar is not ready, closes connections without losing a request, and goes on serving those that come;
+// another command ends the drain.
 func TestDrainByHand(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "x"))
 	w := newTestSidecar(t, s).withAdminEndpoint().start()
@@ -258,7 +259,7 @@
 	<-open
 }
 
-// What the door's address can't be gets one line.
+// An admin address that can't be used leads to one line and exit status 2.
 func TestDoorFaults(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -29,8 +29,8 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// standBetween has the program stand still between the check of a lease and what is done under it, once, as soon as there is a file.
-// This is the hook of the build for tests; the program itself has none.
+// standBetween makes the program stop itself (SIGSTOP) between the check of a lease and the action that the lease covers, once, as soon
+// as a file exists. Only the test build has this hook; the program itself has none.
 func standBetween(file string) {
 	if file == "" {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// newOwners returns sidecars of which the first so many are electors and all can do the job.
+// newOwners returns sidecars of which the first so many are electors and all can take the role.
 func newOwners(t *testing.T, n, electors int) *testFleet {
 	c := newTestFleet(t, n)
 	for _, m := range c.all[:electors] {
@@ -68,7 +68,7 @@
 	return c
 }
 
-// owners asks the sidecar at its door who owns what; false: it does not say.
+// owners queries the sidecar's admin endpoint for the owners of the roles; false if it does not reply.
 func (m *fleetMember) owners() (s coordination.LeaseStatus, ok bool) {
 	if m.frozen.Load() || m.cmd == nil {
 		return s, false
@@ -77,18 +77,19 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// job returns what a sidecar knows of the job "report".
+// job returns what a sidecar knows of the role "report".
 func (m *fleetMember) job() coordination.RoleStatus { return m.jobOf("report") }
 
 // report returns the last report that a sidecar knows.
 func (m *fleetMember) report() (r coordination.Report) {
 	if text, err := callOnce(m.ops, "REPORT\n"); err == nil {
-		_ = json.Unmarshal([]byte(text), &r) // else it is empty
+		_ = json.Unmarshal([]byte(text), &r) // on an error it stays empty
 	}
 	return r
 }
 
-// owner waits until one of some owns the job under a token above another, and all of them know it and have taken its effects.
+// owner waits until one of the members owns the role under a greater token than above, and all of them know it and have accepted its
+// effects.
 func (c *testFleet) owner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
 	c.poll("one owns the job", func() bool {
@@ -115,7 +116,7 @@
 	return owner, token
 }
 
-// took waits for the next owner, and says after how long one held the job.
+// took waits for the next owner, and logs how long the role was without one.
 func (c *testFleet) took(what string, above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
 	began := time.Now()
@@ -124,7 +125,7 @@
 	return owner, token
 }
 
-// command runs the program for its output and exit code.
+// command runs the program and returns its output and exit status.
 func (c *testFleet) command(args ...string) (out string, code int) {
 	c.Helper()
 	cmd := program(args...)
@@ -135,12 +136,12 @@
 	return string(raw), cmd.ProcessState.ExitCode()
 }
 
-// without returns all but some.
+// without returns all members except some.
 func (c *testFleet) without(some ...*fleetMember) []*fleetMember {
 	return slices.DeleteFunc(slices.Clone(c.all), func(m *fleetMember) bool { return slices.Contains(some, m) })
 }
 
-// leader returns who leads the electors.
+// leader returns the leader of the electors.
 func (c *testFleet) leader(some ...*fleetMember) (leader *fleetMember) {
 	c.Helper()
 	c.poll("one leads", func() bool {
@@ -155,10 +156,10 @@
 	return leader
 }
 
-// Three elect, one owns the job; it is killed, and another one owns it under a greater token. Then the leader and the owner are
-// killed at once, and again as soon as there is another leader.
+// With the electors and one owner of the role running, the owner is killed, and another sidecar owns the role under a greater token.
+// Then the leader and the owner are killed at once, and again as soon as there is another leader.
 func TestOwnerIsKilled(t *testing.T) {
-	c := newOwners(t, 7, 7).start() // a majority outlives all of this
+	c := newOwners(t, 7, 7).start() // a majority survives all of this
 	c.ready(c.all...)
 	stop := c.serveAll()
 	owner, token := c.owner(0, c.all...)
@@ -187,9 +188,9 @@
 	stop()
 }
 
-// The owner stands still between its check of the lease and the send, for longer than the lease. Another is granted the job and
-// acts; the old one goes on: its effect is refused wherever it comes, and its job has ended. The hook of the build for tests
-// reaches the instant; each time is a hit.
+// The owner is stopped between its check of the lease and its send, for longer than the lease. Another sidecar is granted the role and
+// acts; the old owner resumes: every receiver rejects its effect, and it no longer owns the role. The hook of the test build stops it at
+// exactly that instant, so each trial reproduces the race.
 func TestOwnerStandsStill(t *testing.T) {
 	c := newOwners(t, 5, 3)
 	for _, m := range c.all {
@@ -203,7 +204,7 @@
 		}
 		return n
 	}
-	// Who was heard by nobody for four seconds has no links any more when it goes on, and its effect goes nowhere: no hit.
+	// A sidecar that nobody has heard for four seconds has no connections left when it resumes, so its effect reaches nobody: no hit.
 	hits, rounds := 0, 0
 	for ; hits < 2 && rounds < 12; rounds++ {
 		owner, token := c.owner(0, c.all...)
@@ -218,8 +219,8 @@
 			}
 			return others[0].job().Token > token
 		})
-		if !still { // a busy machine: the job has moved before its owner had anything to say
-			_ = os.Remove(filepath.Join(owner.tmp, "stand")) // it may have been found meanwhile
+		if !still { // a busy machine: the role has moved before its owner had anything to send
+			_ = os.Remove(filepath.Join(owner.tmp, "stand")) // the owner may have found the file meanwhile
 			owner.resume()
 			continue
 		}
@@ -242,16 +243,16 @@
 	stop()
 }
 
-// stopped reports whether the system says that the process stands still.
+// stopped reports whether the kernel shows the process as stopped.
 func (m *fleetMember) stopped() bool {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(m.cmd.Process.Pid) + "/stat")
 	return err == nil && strings.HasPrefix(string(raw[strings.LastIndexByte(string(raw), ')')+1:]), " T")
 }
 
-// The owner is cut off one way and the other, from the electors alone, and from all but them. Whoever owns the job, its effects are
-// taken in the order of their tokens, and mended, all agree.
+// The owner is cut off in one direction, in the other, from the electors only, and from all but the electors. Whoever owns the role, its
+// effects are accepted in the order of their tokens, and once the partition heals all agree.
 func TestOwnerIsCut(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, cut := range map[string]func(c *testFleet, owner *fleetMember, electors, others []string) []processcluster.Direction{
 		"its words are lost": func(c *testFleet, owner *fleetMember, _, _ []string) []processcluster.Direction {
 			return processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
@@ -284,13 +285,13 @@
 	}
 }
 
-// The owner is cut off from all but the electors: it owns on, and what it says reaches all through them.
+// The owner is cut off from all but the electors: it stays the owner, and its effects reach all members through them.
 func TestOwnerIsCutOffFromReceivers(t *testing.T) {
 	c := newOwners(t, 6, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	held := false
-	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may end by itself
+	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may expire for other reasons
 		owner, token := c.owner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner })
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
@@ -308,7 +309,7 @@
 	stop()
 }
 
-// What the owner has said is held by the network until another has owned the job for a while, and comes in after all.
+// The network holds back what the owner has sent until another sidecar has owned the role for a while, and then delivers it.
 func TestOwnerWhoseBytesAreHeld(t *testing.T) {
 	c := newOwners(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
@@ -335,9 +336,9 @@
 	c.owner(later-1, c.all...)
 	c.agree(c.all...)
 
-	// Links that bring nothing for four seconds are ended, and held bytes with them. What was held from its first byte on is a link that
-	// comes up late: it brings what the old owner has said at the time.
-	// The process itself has gone by then: else the victim might keep the link that it has to it, and end this one.
+	// Connections that receive nothing for four seconds are closed, and the held bytes are lost with them. So what is held from its
+	// first byte on is a connection that is established late, and that delivers what the old owner sent at the time. The owner's process
+	// has ended by then: otherwise the victim might keep its existing connection to it and close this one.
 	owner.kill()
 	c.agree(c.without(owner)...)
 	victim := c.without(owner)[0]
@@ -372,7 +373,7 @@
 	stop()
 }
 
-// messageRecord keeps what sidecars have said: of each its last hello, and its effects.
+// messageRecord records what sidecars have sent: of each its last hello, and its effects.
 type messageRecord struct {
 	sync.Mutex
 	hello   map[string][]byte
@@ -396,7 +397,7 @@
 	}
 }
 
-// of returns the frames with which one says hello and what it has said to all under a token.
+// of returns the frames of a sidecar's hello and of the effects that it has sent to all under a token.
 func (r *messageRecord) of(name string, token uint64) [][]byte {
 	r.Lock()
 	defer r.Unlock()
@@ -409,8 +410,8 @@
 	return all
 }
 
-// A majority of the electors is frozen: nothing is granted, the lease ends, all serve; and it is killed: the same. Each time it comes
-// back, and the job is owned again.
+// A majority of the electors is frozen: nothing is granted, the lease expires, and all sidecars go on serving. Then that majority is
+// killed, with the same result. Each time it comes back, and the role is owned again.
 func TestOwnerWithoutAMajority(t *testing.T) {
 	c := newOwners(t, 5, 3).start()
 	c.ready(c.all...)
@@ -434,7 +435,7 @@
 		c.poll("nobody acts any more", func() bool {
 			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.job().HeldToken != 0 })
 		})
-		time.Sleep(4 * time.Second) // the trouble itself: the lease of one that is away ends, too
+		time.Sleep(4 * time.Second) // the duration of the fault itself: the lease of a member that is cut off expires, too
 		for _, m := range away {
 			if how == "frozen" {
 				m.resume()
@@ -451,26 +452,26 @@
 	stop()
 }
 
-// An elector comes back without its state, with a torn one, with an old copy: each time it is somebody else, and the job goes on. One
-// whose disk is full does not vote, says so, and serves.
+// An elector comes back without its state, with a truncated one, or with an old copy: each time it has a new identity, and the role
+// stays available. An elector whose disk is full does not vote, says so, and serves.
 func TestOwnerElectorState(t *testing.T) {
 	c := newOwners(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	c.owner(0, c.all...)
 	var old []byte
-	// comeBack has an elector killed and its file changed, where grants were written since old was read.
+	// comeBack kills an elector, changes its file after grants were written that old does not have, and restarts it.
 	comeBack := func(m *fleetMember, name, says string, same bool, spoil func(file string, raw []byte)) {
 		file := filepath.Join(m.dir, "peer")
 		var err error
 		old, err = os.ReadFile(file)
 		require.NoError(t, err)
 		_, token := c.owner(0, c.all...)
-		text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // a grant is a write at each elector
+		text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 		c.owner(token, c.all...)
-		c.poll("the grant is on its disk", func() bool { // a majority grants without it
+		c.poll("the grant is on its disk", func() bool { // a majority may grant before this elector has written it
 			raw, err := os.ReadFile(file)
 			return err == nil && !bytes.Equal(old, raw)
 		})
@@ -498,7 +499,7 @@
 	comeBack(m, "kept", "", true, func(string, []byte) {})
 	comeBack(m, "an old copy, written over", "it is a copy", false, func(file string, _ []byte) { require.NoError(t, os.WriteFile(file, old, 0o600)) })
 
-	// Two of three are left of the electors, and a new one takes the place of who it was.
+	// Two of three electors are left, and a new one takes the place of the former identity.
 	c.poll("an elector is replaced", func() bool {
 		s, _ := c.all[0].owners()
 		return len(s.Voters) == 3 && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" || e.ID == was })
@@ -523,14 +524,14 @@
 		c.owner(0, c.all...)
 	}
 
-	// A full disk under one that leads: another leads, and it says why.
+	// The leader's disk is full: another elector leads, and the former leader says why.
 	full := c.leader(c.all...)
 	limit := func(to uint64) {
 		require.NoError(t, unix.Prlimit(full.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: to, Max: unix.RLIM_INFINITY}, nil))
 	}
 	limit(0)
 	_, token := c.owner(0, c.all...)
-	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // a grant is a write
+	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 	require.NoError(t, err)
 	assert.Contains(t, text, "OK")
 	c.poll("it says that it does not vote", func() bool {
@@ -546,12 +547,12 @@
 	comeBack(c.all[1], "a disk that was set back as a whole", "goes on under another identity", false, func(file string, raw []byte) {
 		head, _, _ := bytes.Cut(raw, []byte{'\n'})
 		_, body, _ := bytes.Cut(old, []byte{'\n'})
-		require.NoError(t, os.WriteFile(file, slices.Concat(head, []byte{'\n'}, body), 0o600)) // it looks like its own
+		require.NoError(t, os.WriteFile(file, slices.Concat(head, []byte{'\n'}, body), 0o600)) // the file looks as if it were its own
 	})
 	stop()
 }
 
-// All are ended and begun again one after another: each time that the owner is, the job goes to another without a gap that is felt.
+// All sidecars are restarted one after another. Each time that this ends the owner, the role moves to another without a noticeable gap.
 func TestOwnerRollingRestart(t *testing.T) {
 	c := newOwners(t, 5, 3).start()
 	c.ready(c.all...)
@@ -579,8 +580,8 @@
 	stop()
 }
 
-// A fleet of nine shrinks to three: electors that have gone are replaced by those that are left, and the job goes on. Two that are not
-// electors know nothing of owners, like an earlier version: what is for all passes them by.
+// A fleet of nine shrinks to three: electors that have gone are replaced by remaining members, and the role stays available. Two members
+// that are not electors don't know roles, like an earlier version: they ignore what is sent to all.
 func TestOwnerFleetShrinks(t *testing.T) {
 	c := newOwners(t, 9, 5)
 	c.all[7].plain, c.all[8].plain = true, true
@@ -588,7 +589,7 @@
 	stop := c.serveAll()
 	able := c.without(c.all[7:]...)
 	_, token := c.owner(0, able...)
-	left := c.all[4:7] // one elector, and two that are none
+	left := c.all[4:7] // one elector, and two members that are none
 	for _, m := range c.all[:4] {
 		m.gone.Store(true)
 		m.signal(syscall.SIGTERM)
@@ -608,7 +609,7 @@
 	stop()
 }
 
-// The report sums what all have served, by class, and names who did not answer; every sidecar knows it.
+// The report sums the requests of all sidecars by class and names those that did not reply; every sidecar knows it.
 func TestOwnerReports(t *testing.T) {
 	c := newOwners(t, 5, 3).start()
 	c.ready(c.all...)
@@ -621,7 +622,7 @@
 	}
 	const total = 100
 	served := uint64(0)
-	for trial := 0; trial < 5 && served < total; trial++ { // what was answered to an owner that died, or too late, is in no report
+	for trial := 0; trial < 5 && served < total; trial++ { // what was sent to an owner that died, or sent too late, is in no report
 		served = 0
 		last := c.all[4].report()
 		for _, m := range c.all {
@@ -660,9 +661,9 @@
 	c.poll("who does not answer is named", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
 	still.resume()
 	var next *fleetMember
-	for n, before := 0, token-1; next == nil; n++ { // a lease may end for want of the machine: that grant is nobody's who stepped down
+	for n, before := 0, token-1; next == nil; n++ { // A lease may expire on an overloaded machine: that grant does not follow a step-down.
 		require.Less(t, n, 5, "leases end again and again")
-		owner, token = c.owner(before, c.all...) // it may have led the electors, and the lease have ended meanwhile
+		owner, token = c.owner(before, c.all...) // the owner may have led the electors, and its lease expired meanwhile
 		out, code = c.command("fleet", "step-down", "--ops", c.without(owner)[1].ops, "report")
 		assert.Zero(t, code, out)
 		m, after := c.took("asked to step down", token, c.all...)
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -32,45 +32,45 @@
 	server  *server
 	all     []*fleetMember
 	limits  map[string]any
-	replica int // what the settings say of the fleet's size
+	replica int // the fleet's size as configured
 
-	electors []string                      // addresses; none: there are none, and no jobs
-	jobs     []string                      // none: the report alone
-	registry *discoveryRegistry            // discovery for all; nil: each sidecar has one that says nothing
-	effects  *processcluster.EffectChecker // nil: nobody looks at them
+	electors []string                      // addresses; empty: no electors and no roles
+	jobs     []string                      // empty: only the report
+	registry *discoveryRegistry            // discovery service of all; nil: each sidecar has its own, which sends nothing
+	effects  *processcluster.EffectChecker // nil: effects are not checked
 	settings func(s map[string]any)
 }
 
-// fleetMember is one sidecar, over all restarts of its process.
+// fleetMember is one sidecar across all restarts of its process.
 type fleetMember struct {
 	c                   *testFleet
 	name                string
-	dir                 string // of its state
+	dir                 string // folder of its state
 	tmp                 string
 	listen, ops         string
 	peers, advertise    string
 	join                []string
 	env                 []string
 	cmd                 *exec.Cmd
-	ended               chan struct{} // the process has
+	ended               chan struct{} // closed once the process has ended
 	log                 *syncBuffer
 	frozen              atomic.Bool
-	gone                atomic.Bool // not to be asked
+	gone                atomic.Bool // true while it must not be sent requests
 	known               []endpoint
-	capture             bool     // what its decisions knew is recorded
-	full                bool     // its disk takes nothing
-	plain               bool     // it knows no owners, like an earlier version
-	passed              *os.File // the clients' socket, where the platform holds it
+	capture             bool     // its decisions are recorded
+	full                bool     // its disk is full
+	plain               bool     // it does not know roles, like an earlier version
+	passed              *os.File // the clients' listening socket, where the platform holds it
 	asked, refused, bad atomic.Int64
 }
 
-// newTestFleet returns sidecars that have not begun. They join by the first two.
+// newTestFleet returns sidecars that are not started. They join by the addresses of the first two.
 func newTestFleet(t *testing.T, n int) *testFleet {
 	t.Parallel()
 	return newTestFleetIn(t, n)
 }
 
-// newTestFleetIn does so for a test that has one already.
+// newTestFleetIn is like newTestFleet, for a test that has a sidecar already.
 func newTestFleetIn(t *testing.T, n int) *testFleet {
 	c := &testFleet{T: t, board: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
 		limits: map[string]any{"cores": 1, "sockets": 256}}
@@ -81,7 +81,7 @@
 	return c
 }
 
-// add adds a sidecar that has not begun.
+// add adds a sidecar that is not started.
 func (c *testFleet) add() *fleetMember {
 	m := &fleetMember{c: c, name: fmt.Sprintf("m%02d", len(c.all)), dir: c.TempDir(), tmp: c.TempDir(), listen: freeAddress(c.T), ops: freeAddress(c.T), peers: freeAddress(c.T),
 		log: &syncBuffer{}}
@@ -92,7 +92,7 @@
 		m.join = append(m.join, o.advertise)
 	}
 	c.all = append(c.all, m)
-	if len(c.all) == 2 { // else the first would find nobody after a restart
+	if len(c.all) == 2 { // else the first would find no peer after a restart
 		c.all[0].join = []string{m.advertise}
 	}
 	c.Cleanup(func() {
@@ -121,7 +121,7 @@
 	return f
 }
 
-// start begins the sidecar's process. It does not wait.
+// start starts the sidecar's process without waiting for it.
 func (m *fleetMember) start() *fleetMember {
 	m.c.Helper()
 	w := &testSidecar{T: m.c.T, discovery: newDiscovery(m.c.T), listen: m.listen, limits: m.c.limits, path: filepath.Join(m.tmp, "config.json")}
@@ -157,7 +157,7 @@
 	features := filepath.Join(m.tmp, "features.json")
 	require.NoError(m.c, os.WriteFile(features, text, 0o600))
 	m.cmd = program("serve", "--config", path, "--features", features)
-	if m.full { // no file of the process may have a byte
+	if m.full { // no file of the process may hold a byte
 		m.cmd.Path, m.cmd.Args = "/bin/sh", append([]string{"sh", "-c", `ulimit -f 0; exec "$0" "$@"`}, m.cmd.Args...)
 	}
 	m.cmd.Env = append(append(m.cmd.Env, "GW_OPS="+m.ops), m.env...)
@@ -188,7 +188,7 @@
 	require.NoError(m.c, m.cmd.Process.Signal(s))
 }
 
-// kill ends the process at once, and term in its own time.
+// kill ends the process with SIGKILL.
 func (m *fleetMember) kill() {
 	m.gone.Store(true)
 	m.signal(syscall.SIGKILL)
@@ -205,7 +205,7 @@
 	}
 }
 
-// freeze has the process stand still, and returns once the system says that it does.
+// freeze stops the process with SIGSTOP, and returns once the kernel shows it as stopped.
 func (m *fleetMember) freeze() {
 	m.c.Helper()
 	m.frozen.Store(true)
@@ -225,19 +225,19 @@
 	m.frozen.Store(false)
 }
 
-// poll waits for a condition.
+// poll waits until a condition holds.
 func (c *testFleet) poll(what string, f func() bool) {
 	c.Helper()
 	c.pollFor(3*patience, what, f)
 }
 
-// pollFor waits for one that takes its time.
+// pollFor is like poll, with a time limit of its own.
 func (c *testFleet) pollFor(patience time.Duration, what string, f func() bool) {
 	c.Helper()
 	c.pollUntil(patience, what, f, func() string { return "" })
 }
 
-// pollWith waits as poll does, and says what there was instead where it waits in vain.
+// pollWith is like poll, and reports the actual state on a timeout.
 func (c *testFleet) pollWith(what string, f func() bool, instead func() string) {
 	c.Helper()
 	c.pollUntil(3*patience, what, f, instead)
@@ -252,7 +252,7 @@
 	}
 }
 
-// seen asks the sidecar at its door who is there; false: it does not say.
+// seen queries the sidecar's admin endpoint for the members; false if it does not reply.
 func (m *fleetMember) seen() (s coordination.Status, ok bool) {
 	if m.frozen.Load() {
 		return s, false
@@ -261,7 +261,7 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// states returns what a sidecar holds of each name; of several identities of one name the one that lives, or else the last.
+// states returns a sidecar's view of each name: of several identities with one name the live one, or else the last.
 func states(s coordination.Status) map[string]string {
 	all := map[string]string{}
 	for _, m := range s.Members {
@@ -272,7 +272,7 @@
 	return all
 }
 
-// alive returns the names of those whom a sidecar holds for alive, sorted; one that is alive twice stands there twice.
+// alive returns the sorted names of those that a sidecar considers live; a name with two live identities is listed twice.
 func alive(s coordination.Status) (names []string) {
 	for _, m := range s.Members {
 		if m.State == "alive" {
@@ -283,13 +283,13 @@
 	return names
 }
 
-// agree waits until each of them holds exactly these for alive and ranks are dense; it returns how long that took.
+// agree waits until each of the members considers exactly these live and ranks are dense; it returns how long that took.
 func (c *testFleet) agree(all ...*fleetMember) time.Duration {
 	c.Helper()
 	return c.view(all, all)
 }
 
-// view waits until some hold exactly others for alive.
+// view waits until some members consider exactly others live.
 func (c *testFleet) view(some, others []*fleetMember) time.Duration {
 	c.Helper()
 	began := time.Now()
@@ -316,7 +316,7 @@
 	}
 }
 
-// placed waits until the ranks in force are 0 to n-1, each once, among n.
+// placed waits until the ranks in use are 0 to n-1, each once, and the count is n.
 func (c *testFleet) placed(all ...*fleetMember) {
 	c.Helper()
 	c.poll("ranks are dense", func() bool {
@@ -332,7 +332,7 @@
 	})
 }
 
-// request returns a request of its own for a sidecar, with the time that its client has. Boxes know the sidecar by its path.
+// request returns a unique request for a sidecar with a Request-Timeout. Servers recognize the sidecar by the path.
 func (m *fleetMember) request(patience string) *http.Request {
 	r, err := http.NewRequest("GET", "http://"+m.listen+"/read/"+m.name, nil)
 	if err != nil {
@@ -346,8 +346,8 @@
 	return r
 }
 
-// serveAll asks all sidecars again and again, from a client each, until what it returns is called. Each request must get its
-// answer, and a sidecar that neither stands still nor ends must serve.
+// serveAll sends requests to all sidecars, from one client each, until the function that it returns is called. Each request must be
+// answered, and a sidecar that is neither stopped nor ending must serve.
 func (c *testFleet) serveAll() (stop func()) {
 	over := make(chan struct{})
 	var clients sync.WaitGroup
@@ -384,18 +384,18 @@
 		clients.Wait()
 		for _, m := range c.all {
 			assert.Zero(c, m.bad.Load(), "%s left requests without an answer", m.name)
-			// A machine that is busy may make the decisions turn some away.
+			// On a busy machine the policy may reject some requests.
 			assert.LessOrEqual(c, m.refused.Load(), 1+m.asked.Load()/50, "%s did not serve", m.name)
 		}
 	}
 }
 
-// silentMost is how long a connection may be silent before a sidecar closes it at the earliest: silentS of internal/sidecar. Where the
-// machine is so busy that the client itself stands still for longer between its dial and its request, that is no fault of the sidecar's.
+// silentMost is the shortest time after which a sidecar closes a silent connection: silentS of internal/sidecar. Where the client itself
+// stalls for longer between its dial and its request on a busy machine, the sidecar is not at fault.
 const silentMost = 2200 * time.Millisecond
 
-// askOnce sends a request over a connection of its own, and tells how long after its dial began the client had written it; where that
-// never came, how long the call took.
+// askOnce sends a request over a connection of its own. It returns how long after the start of the dial the client had written it, or
+// where that never happened, how long the call took.
 func askOnce(client *http.Client, r *http.Request) (p *http.Response, sentAfter time.Duration, err error) {
 	var wrote atomic.Int64 // the transport writes in another goroutine
 	began := time.Now()
@@ -416,7 +416,7 @@
 	}
 }
 
-// Two sidecars find each other; one is killed, and the other holds it for dead, counts itself alone and goes on serving.
+// Two sidecars find each other. One is killed; the other declares it dead, counts only itself and goes on serving.
 func TestFleetOfTwo(t *testing.T) {
 	c := newTestFleet(t, 2).start()
 	c.ready(c.all...)
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -21,7 +21,7 @@
 	lab "hazelwheel/internal/lab/load"
 )
 
-// from returns a client whose connections come from an address; kept reports whether it keeps them.
+// from returns a client whose connections come from an address; kept reports whether it reuses them.
 func from(t *testing.T, address string, kept bool) *http.Client {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	c := &http.Client{Timeout: patience, Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: !kept}}
@@ -29,13 +29,13 @@
 	return c
 }
 
-// Each flood from one address, or from a thousand: alerts of a client that was there before are served all the while, on
-// kept connections and on new ones, and so are those of a stranger who comes in the middle of it.
+// During each kind of flood, from one address or from a thousand, the alerts of a client that was known before are served, on kept
+// connections and on new ones, and so are those of an unknown client that connects during the flood.
 func TestFloods(t *testing.T) {
 	for _, kind := range flood.Kinds() {
 		for name, addresses := range map[string]int{kind: 1, kind + ", 1,000 addresses": 1000} {
 			if addresses > 1 && kind != "half-head" && kind != "silent" {
-				continue // what an address has asked for makes no difference to the others
+				continue // which requests an address has sent makes no difference to the others
 			}
 			t.Run(name, func(t *testing.T) {
 				body := ""
@@ -46,7 +46,7 @@
 				w.limits["sockets"], w.limits["memory_mb"] = 192, 64
 				w.start()
 				again := 0
-				ask := func(c *http.Client) { // as the application does, which comes back once or twice
+				ask := func(c *http.Client) { // like the application, which retries once or twice
 					for {
 						r, err := c.Do(w.request("alert", "", "x"))
 						if err == nil {
@@ -63,7 +63,7 @@
 					}
 				}
 				kept, fresh := from(t, "127.0.0.3", true), from(t, "127.0.0.3", false)
-				for range 4 { // it is known from now on
+				for range 4 { // from now on the address is known
 					ask(kept)
 				}
 				p := flood.Plan{Kind: kind, Target: netip.MustParseAddrPort(w.listen), From: netip.MustParseAddr("127.0.0.2"),
@@ -103,7 +103,7 @@
 				}
 				assert.LessOrEqual(t, all.Links, all.Most+all.Most/8)
 				assert.LessOrEqual(t, bytes, 16<<20, "a quarter of the memory")
-				w.signal(syscall.SIGTERM) // while it lasts
+				w.signal(syscall.SIGTERM) // during the flood
 				assert.NoError(t, w.cmd.Wait())
 				assert.Contains(t, w.out.String(), `"panics":0,`)
 			})
@@ -111,7 +111,8 @@
 	}
 }
 
-// isUnderPressure tells, as a client is told, whether what others do has cost any of them something, or many have come.
+// isUnderPressure reports whether the load by other clients has cost any client something, or many connections have come, as the
+// counters that a client can read show.
 func (w *testSidecar) isUnderPressure(c *http.Client) bool {
 	r, err := c.Get("http://" + w.listen + "/counters")
 	require.NoError(w, err)
@@ -125,8 +126,8 @@
 	return sum > 0 || all["descriptors"].(float64) > 60 || all["accepted"].(float64) > 500
 }
 
-// SIGTERM while clients come back at once whenever they are told to close: the process ends, and soon, and nobody who was
-// let in goes without an answer.
+// SIGTERM arrives while clients reconnect as soon as their connections are closed: the process ends soon, and every accepted client gets
+// a response.
 func TestDrainEnds(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "x"))).start()
 	const clients = 8
@@ -139,7 +140,7 @@
 			for {
 				c, err := net.Dial("tcp", w.listen)
 				if err != nil {
-					return // refused: the listener is closed
+					return // connection refused: the listener is closed
 				}
 				_ = c.SetDeadline(time.Now().Add(patience))
 				_, _ = io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
@@ -176,7 +177,7 @@
 	assert.Zero(t, all.unanswered)
 }
 
-// A client that never closes its connection and never asks does not keep the process.
+// A client that neither closes its connection nor sends a request does not keep the process from ending.
 func TestDrainWithAClientThatStays(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", hangs)).start()
 	c, err := net.Dial("tcp", w.listen)
@@ -189,7 +190,7 @@
 	require.NoError(t, w.cmd.Wait())
 }
 
-// Clients shows at the running sidecar who holds what.
+// The clients command shows the connections that each client has to the running sidecar.
 func TestClients(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "x"))).start()
 	for range 3 {
@@ -206,7 +207,7 @@
 	assert.Contains(t, err.Error(), "exit status 1")
 }
 
-// acceptBeforeRequests opens so many connections, which the program has accepted when it returns. The client's next requests use them.
+// acceptBeforeRequests opens so many connections and returns once the program has accepted them. The client's next requests use them.
 func (w *testSidecar) acceptBeforeRequests(connections int) {
 	w.Helper()
 	before, polls := w.counter("accepted"), 0
@@ -232,8 +233,8 @@
 	}}
 }
 
-// All descriptors are taken while the configuration is read again, the capture is dumped and the process is told to end: what
-// is taken is answered. Executions without a descriptor wait for the links of others.
+// All descriptors are in use while the configuration is reloaded, the capture is dumped and the process is told to end: accepted
+// requests are answered. Attempts without a descriptor wait until other connections are closed.
 func TestNoDescriptorsLeft(t *testing.T) {
 	var open sync.WaitGroup
 	open.Add(1)
@@ -246,10 +247,10 @@
 	w.settings["obligations"].(map[string]any)["coldS"] = 0
 	w.features = `{"capture":{}}`
 	w.start()
-	// Each wants a link of its own on either side, of 40 in all less a reserve of 3. Who finds no place is closed unread or
-	// told so, and comes again; the last to come may find the process ended. All links of clients are accepted before the first
-	// request: beside 18 of them there is room for 17 to the server at most. One after the other, slow clients are rejected
-	// before they ask for the 18th, and no attempt ever waits.
+	// Each client needs a connection on either side, of 40 in all less a reserve of 3. A client without a place is closed unread or
+	// rejected, and retries; the last to retry may find that the process has ended. All client connections are accepted before the first
+	// request: beside 18 of them there is room for at most 17 to the server. If slow clients came one after the other, they would be
+	// rejected before they need the 18th, and no attempt would ever wait.
 	answers := make(chan reply, 18)
 	w.acceptBeforeRequests(cap(answers))
 	for range cap(answers) {
@@ -257,14 +258,14 @@
 		go func() {
 			p := w.send(r)
 			for end := time.Now().Add(patience); (p.err != nil || p.status == 503) && time.Now().Before(end) && !errors.Is(p.err, syscall.ECONNREFUSED); {
-				time.Sleep(10 * time.Millisecond) // between two tries, as a client does
+				time.Sleep(10 * time.Millisecond) // pause between two tries, as a client makes it
 				r.Body = io.NopCloser(strings.NewReader("x"))
 				p = w.send(r)
 			}
 			answers <- p
 		}()
 	}
-	w.awaitLog("attempts wait for a descriptor", 1) // nobody else can be let in to ask
+	w.awaitLog("attempts wait for a descriptor", 1) // by now no other client can be accepted to query the counters
 	w.writeConfig()
 	w.signal(syscall.SIGHUP)
 	w.awaitLog("configuration read", 1)
--- a/cmd/hazelwheel/quota_test.go
+++ b/cmd/hazelwheel/quota_test.go
@@ -33,11 +33,11 @@
 	s := newServer(t, "s-00000001", says(200, "answer"))
 	w, _ := withQuotas(t, quotaGroups, "", s)
 	w.start()
-	for range 6 { // the batch's own: 60 % of half of 20
+	for range 6 { // the batch group's own share: 60 % of half of 20
 		assert.Equal(t, 200, w.ask("read", "", "", "Organisation", "ministry.batch").status)
 	}
 	r := w.ask("read", "", "", "Organisation", "batch")
-	for range 5 { // what its relatives have left over so far
+	for range 5 { // what its related groups have left over so far
 		r = w.ask("read", "", "", "Organisation", "batch")
 	}
 	require.Equal(t, 429, r.status)
@@ -100,7 +100,7 @@
 	assert.Equal(t, 0.0, view.Groups[0].Limits[1].Holds, "no request is open any more")
 }
 
-// What has been used is known after a restart, a file that can't be read is set aside, and the program serves.
+// Usage is restored after a restart, an unreadable file is set aside, and the program serves in each case.
 func TestQuotasLiveThroughARestart(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "answer"))
 	dir := filepath.Join(t.TempDir(), "state")
@@ -116,7 +116,7 @@
 	}
 	assert.Greater(t, use(), 7)
 	w.eventually("a snapshot", func() bool { return w.counters()["quotas"].(map[string]any)["snapshots"].(float64) >= 2 })
-	require.NoError(t, w.cmd.Process.Kill()) // no last word
+	require.NoError(t, w.cmd.Process.Kill()) // killed, so it can't save at shutdown
 	_ = w.cmd.Wait()
 	w.start()
 	assert.Zero(t, use(), "a crash gives nobody a second helping")
@@ -152,7 +152,7 @@
 	assert.Equal(t, 200, w.ask("read", "", "", "Organisation", "city").status, "at once")
 }
 
-// Each fault ends with 2 and one line that names the file and the place.
+// Each invalid file ends the program with 2 and one line that names the file and the place.
 func TestQuotaFaults(t *testing.T) {
 	dir := t.TempDir()
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
@@ -202,7 +202,7 @@
 	for text, want := range faults {
 		n++
 		cmd := program("check", "--config", config, "--features", file("features"+strconv.Itoa(n)+".json", text))
-		var line strings.Builder // what the checks find besides is on standard output
+		var line strings.Builder // the other findings of the checks go to standard output
 		cmd.Stderr = &line
 		assert.Error(t, cmd.Run(), text)
 		assert.Equal(t, 2, cmd.ProcessState.ExitCode(), text)
--- a/cmd/hazelwheel/race_test.go
+++ b/cmd/hazelwheel/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// memoryMost is what a process limited to 64 MB may have resident: the race detector's own part comes on top.
+// memoryMost is the most resident memory, in MB, of a process limited to 64 MB, including the race detector's overhead.
 const memoryMost = 200.0
--- a/cmd/hazelwheel/reload_test.go
+++ b/cmd/hazelwheel/reload_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// list answers a watch with one object and holds it.
+// list answers a watch with one object and keeps the watch open.
 func list(text string) func(watch) {
 	return func(d watch) {
 		d.write(text)
@@ -17,8 +17,8 @@
 	}
 }
 
-// SIGHUP has the file read again. The new discovery is asked for its whole list at once, though a variable still
-// names the first one; meanwhile the list is kept and requests go on.
+// SIGHUP reloads the file. The new discovery address is asked for the complete list at once, though an environment variable still names
+// the first one; meanwhile the old list stays in use and requests are served.
 func TestReload(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first)
@@ -40,7 +40,7 @@
 	assert.EqualValues(t, 1, w.counter("reloads"))
 }
 
-// A file that is at fault changes nothing, and what can't change while running is said and left alone.
+// An invalid file changes nothing, and a setting that can't change at run time is logged and left as it is.
 func TestReloadFaults(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).start()
 	<-w.discovery.calls
@@ -64,7 +64,7 @@
 	assert.EqualValues(t, 1, w.counter("watches"), "the same discovery is watched on")
 }
 
-// Signals in a row lead to the last file, and one while draining does not keep the program from its end.
+// After several signals in a row the last file is in effect, and a signal during the drain does not keep the program from ending.
 func TestReloadsInARow(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).start()
 	for range 20 {
--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -19,11 +19,11 @@
 	"hazelwheel/internal/hotrestart"
 )
 
-// platform holds the clients' socket and starts one process of a sidecar after the other with it, as descriptor 4.
+// platform holds the clients' listening socket and starts one sidecar process after the other with it, as descriptor 4.
 type platform struct {
 	*testSidecar
 	socket *os.File
-	dir    string // $TMPDIR of all
+	dir    string // TMPDIR of all processes
 }
 
 func newPlatform(w *testSidecar) *platform {
@@ -45,7 +45,7 @@
 	end chan error
 }
 
-// begin starts a process and waits for its yes.
+// begin starts a process and waits until it reports that it is ready.
 func (p *platform) begin() *sidecarProcess {
 	q := p.spawn("4", p.socket)
 	p.eventually("health", func() bool {
@@ -76,7 +76,7 @@
 	return q
 }
 
-// retire has a process end as the platform does.
+// retire ends a process as the platform does.
 func (q *sidecarProcess) retire() {
 	q.Helper()
 	require.NoError(q, q.cmd.Process.Signal(syscall.SIGTERM))
@@ -90,12 +90,12 @@
 
 func (q *sidecarProcess) call(line string) string { return call(q.T, q.ops, line+"\n") }
 
-// Under load process after process takes over the socket: each request gets its one answer, bans hold over all of them, and
-// the list is known at once.
+// Under load, one process after another takes over the socket: each request gets exactly one response, bans apply in all processes, and
+// each new process has the list at once.
 func TestReplacement(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t)
-	w.discovery.answers <- list(line(t, 8, true, first, second)) // it is told once: the second process lives on what the first knew
+	w.discovery.answers <- list(line(t, 8, true, first, second)) // sent once: the second process starts with the list of the first
 	p := newPlatform(w)
 	old := p.begin()
 	w.eventually("served", func() bool { return w.ask("read", "", "").status == 200 })
@@ -116,7 +116,7 @@
 				default:
 				}
 				r, err := client.Do(w.request("write", "", "x"))
-				if err != nil && i%2 == 1 { // the closing of a kept link has crossed it: clients ask once more, on a new one
+				if err != nil && i%2 == 1 { // the kept connection was closed while the request was sent: clients retry once, on a new connection
 					client.CloseIdleConnections()
 					r, err = client.Do(w.request("write", "", "x"))
 				}
@@ -125,13 +125,13 @@
 					return
 				}
 				r.Body.Close()
-				if n++; r.StatusCode != 200 { // a machine that is busy may make the decisions turn some away
+				if n++; r.StatusCode != 200 { // on a busy machine the policy may reject some requests
 					assert.Equal(t, 503, r.StatusCode)
 				}
 			}
 		})
 	}
-	// The first state is saved before there is a list. A successor that goes on from it would wait for a list that is not told again.
+	// The first state is saved before there is a list. A successor that starts from it would wait for a list that is not sent again.
 	w.eventually("a state with both servers", func() bool {
 		text, err := os.ReadFile(filepath.Join(p.dir, "hazelwheel", "state"))
 		if err != nil {
@@ -159,7 +159,7 @@
 	w.eventually("back in use", func() bool { return w.ask("read", "", "").body == "2" })
 }
 
-// What operators say at one door holds at the other process too, and a drain by hand passes over.
+// Commands at one process's admin endpoint also apply to the other process, and a drain by command is handed over.
 func TestReplacementHeedsBothDoors(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first, second)
@@ -195,7 +195,8 @@
 	assert.Equal(t, "1", w.ask("read", "", "").body)
 }
 
-// A successor that dies before or after its yes leaves the old process serving; what it can't read means a plain start.
+// A successor that dies before or after it reports ready leaves the old process serving; a successor that can't read the saved state
+// starts without it.
 func TestReplacementFails(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "1"))
 	w := newTestSidecar(t, s)
@@ -220,7 +221,7 @@
 	}
 }
 
-// A passed descriptor at which nobody can be accepted is one line and exit 2.
+// A passed descriptor that can't accept connections leads to one line and exit status 2.
 func TestPassedFaults(t *testing.T) {
 	w := newTestSidecar(t)
 	p := newPlatform(w)
--- a/cmd/hazelwheel/rewrite_test.go
+++ b/cmd/hazelwheel/rewrite_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rawServer answers each request with text, and tells the heads it has received.
+// rawServer answers each request with text, and returns the heads of the requests that it receives.
 func rawServer(t *testing.T, text string) (address string, heads <-chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -47,8 +47,8 @@
 
 const answer = "HTTP/1.1 %s\r\nX-Debug: 1\r\nX-Old: 2\r\nx-old: 3\r\nServer-Load: queue=1\r\nConnection: X-Hop, Server-Load\r\nX-Hop: 4\r\nContent-Length: 2\r\n\r\nok"
 
-// The header of a request at the server and of its answer at the client, before and after rewriting. A resend begins
-// with the original header: what is added is there once.
+// Compares the header of a request at the server and of its response at the client, before and after rewriting. A resend starts from the
+// original header, so added fields occur once.
 func TestRewrites(t *testing.T) {
 	address, heads := rawServer(t, fmt.Sprintf(answer, "200 OK"))
 	failing, failed := rawServer(t, fmt.Sprintf(answer, "503 no"))
@@ -74,7 +74,7 @@
 	}
 	assert.Equal(t, []string{"HTTP/1.1 200 ", "X-New: 2", "X-New: 3", "Server-Load: queue=1", "Connection: close",
 		"Content-Length: 2", "", "ok"}, ask("read"))
-	head := func(heads <-chan string) string { // less the time, which runs
+	head := func(heads <-chan string) string { // without the time limit, which decreases
 		var kept []string
 		for _, line := range strings.Split(<-heads, "\r\n") {
 			if !strings.HasPrefix(line, "Request-Timeout: ") {
@@ -97,7 +97,7 @@
 	assert.Equal(t, 1, strings.Count(second, "proto=http"))
 }
 
-// Without the file headers pass as they always have.
+// Without a features file, header fields are passed on unchanged.
 func TestNoRewrites(t *testing.T) {
 	got := make(chan http.Header, 1)
 	w := newTestSidecar(t, newServer(t, "s-00000001", func(w http.ResponseWriter, r *http.Request) { got <- r.Header })).start()
--- a/cmd/hazelwheel/serve.go
+++ b/cmd/hazelwheel/serve.go
@@ -37,7 +37,7 @@
 	// Danger: an uncaught SIGHUP ends the process, also while it still reads its configuration.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
-	// An uncaught SIGUSR1 does, too. It is caught where the features may have a capture that it dumps.
+	// SIGUSR1 is caught this early too, where the features may have a capture that it dumps. The Go runtime ignores it otherwise.
 	dumpSignals := make(chan os.Signal, 1)
 	if c.String("features") != "" {
 		signal.Notify(dumpSignals, syscall.SIGUSR1)
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -25,7 +25,7 @@
 		assert.NoError(t, err)
 		assert.InDelta(t, 4_000_000, patience, 3_999_999)
 		w.Header().Set("X-Server", "1")
-		w.(http.Flusher).Flush() // chunks
+		w.(http.Flusher).Flush() // makes the response chunked
 		io.WriteString(w, r.Method+" "+r.RequestURI+" "+r.Header.Get("Request-Id")+" "+
 			r.Header.Get("Idempotency-Key")+" "+string(body))
 	})
@@ -49,7 +49,7 @@
 	})
 }
 
-// What a server's word or silence allows: a request that may have run and must not run twice goes out once.
+// Resends depend on the server's response or its absence: a request that may have run and must not run twice is sent once.
 func TestResends(t *testing.T) { everyWay(t, testResends) }
 
 func testResends(t *testing.T) {
@@ -83,7 +83,7 @@
 				c.first(w, r)
 			})
 			w := newTestSidecar(t, s)
-			for _, class := range w.settings["classes"].([]map[string]any) { // the pause after an error ends between two looks, on a busy machine, too
+			for _, class := range w.settings["classes"].([]map[string]any) { // on a busy machine, too, the pause after an error ends between two timer checks
 				class["objectiveS"], class["giveUpS"] = 8, 16
 			}
 			w.start()
@@ -94,7 +94,7 @@
 	}
 }
 
-// A connection that nobody takes proves that nothing has run.
+// A refused connection proves that nothing has run, so the request is sent again.
 func TestConnectionRefused(t *testing.T) { everyWay(t, testConnectionRefused) }
 
 func testConnectionRefused(t *testing.T) {
@@ -125,7 +125,7 @@
 	assert.Equal(t, "own", w.ask("write", "", "").body, "the late answer meets no other request")
 }
 
-// Nothing is held back: what can't be served is refused at once, with word of when to come again.
+// Nothing is queued for long: a request that can't be served is rejected at once, with a Retry-After.
 func TestThrottle(t *testing.T) { everyWay(t, testThrottle) }
 
 func testThrottle(t *testing.T) {
@@ -196,7 +196,7 @@
 		assert.Equal(t, c.status, status, c.name)
 		conn.Close()
 	}
-	// What comes before its turn waits, and an expected word is given.
+	// A pipelined request waits for its turn, and 100 Continue is sent where it is expected.
 	get := "GET /read HTTP/1.1\r\n" + id + "\r\n"
 	status, _, r := w.writeRaw(get + get + "POST /write HTTP/1.1\r\n" + id + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
 	assert.Equal(t, 200, status)
@@ -209,7 +209,7 @@
 	assert.Zero(t, w.counter("panics"))
 }
 
-// A client that never ends its request does not hold a link for ever.
+// A client that never completes its request does not keep a connection forever.
 func TestRequestThatNeverArrives(t *testing.T) {
 	w := newTestSidecar(t).start()
 	for _, part := range []string{"GE", "GET /read HTTP/1.1\r\n", "POST /write HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"} {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Links that say nothing are closed soon, and a flood of them costs the clients that ask nothing.
+// Silent connections are closed soon, and a flood of them does not affect clients that send requests.
 func TestSilentClients(t *testing.T) {
 	s, release := newServer(t, "s-00000001", says(200, "")), make(chan struct{})
 	w := newTestSidecar(t, s)
@@ -235,8 +235,8 @@
 	w.start()
 	const ask = "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n"
 	_, kept, r := w.writeRaw(fmt.Sprintf(ask, 1))
-	// It asks for as long as the others come. One that rests for 0.1 s may go while those that have just come are still to say their first
-	// word, which is so where many come in one turn of a busy machine.
+	// The client sends requests during the whole flood. Its connection may be closed if it is idle for 0.1 s while others have just been
+	// accepted and not sent anything yet, which happens where a busy machine accepts many in one turn of the loop.
 	s.set(func(rw http.ResponseWriter, r *http.Request) {
 		<-release
 		says(200, "")(rw, r)
@@ -264,8 +264,8 @@
 	assert.Positive(t, w.counter("retired"))
 }
 
-// Clients that ask once and stay do not hold ever more connections: once links are a fifth of the descriptors an
-// answer is the last on its link.
+// Clients that send one request and keep the connection don't use ever more descriptors: once client connections hold a fifth of them,
+// each response closes its connection.
 func TestClientsThatStay(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	w.limits["sockets"] = 100
@@ -291,7 +291,7 @@
 	t.Error("all stay")
 }
 
-// A request with the id of one that is open is answered with an error; the first goes on.
+// A request with the id of an open one gets an error; the first one goes on.
 func TestIDOfAnOpenRequest(t *testing.T) { everyWay(t, testIDOfAnOpenRequest) }
 
 func testIDOfAnOpenRequest(t *testing.T) {
@@ -310,7 +310,7 @@
 	assert.Equal(t, 2, s.requestCount())
 }
 
-// A client that goes on sending after its error has time to read it: what comes is dropped, not reset.
+// A client that goes on sending after an error response has time to read it: what arrives is discarded, without a reset.
 func TestErrorReachesAClientThatGoesOnSending(t *testing.T) {
 	w := newTestSidecar(t).start()
 	c, err := net.Dial("tcp", w.listen)
@@ -341,7 +341,7 @@
 	assert.Less(t, time.Since(began), patience/2, "the sidecar closed it, not the server")
 }
 
-// A request whose link comes up only after its server was told to drain is not written.
+// A request whose connection is established only after its server began to drain is not written.
 func TestDrainWhileConnecting(t *testing.T) { everyWay(t, testDrainWhileConnecting) }
 
 func testDrainWhileConnecting(t *testing.T) {
@@ -349,7 +349,7 @@
 	require.NoError(t, err)
 	defer unix.Close(fd)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	require.NoError(t, unix.Listen(fd, 0)) // one connection fills it; the next comes up when that is taken
+	require.NoError(t, unix.Listen(fd, 0)) // one connection fills the queue; the next is established once that one is accepted
 	name, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	address := "127.0.0.1:" + strconv.Itoa(name.(*unix.SockaddrInet4).Port)
@@ -368,7 +368,7 @@
 	s.status = "DRAINING"
 	close(drains)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
-	for range 2 { // the filler, and the link when the kernel tries again
+	for range 2 { // the one that fills the queue, and the sidecar's when the kernel retries
 		c, _, err := unix.Accept(fd)
 		require.NoError(t, err)
 		defer unix.Close(c)
@@ -387,7 +387,7 @@
 	w.limits["sockets"] = 64
 	w.start()
 	ask := "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n"
-	hold := func() { // a request that is never whole keeps its link busy
+	hold := func() { // an incomplete request keeps its connection busy
 		c, err := net.Dial("tcp", w.listen)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -397,7 +397,7 @@
 	for range 29 {
 		hold()
 	}
-	// A request that does not come gives way to one that does; the link that rests is closed in time.
+	// A connection with an incomplete request is closed in favor of one with a request; the idle connection is closed in time.
 	w.eventually("a newcomer is served", func() bool {
 		status, _, _ := w.writeRaw(ask + "\r\n")
 		return status == 200
@@ -405,7 +405,7 @@
 	require.NoError(t, kept.SetReadDeadline(time.Now().Add(patience)))
 	_, err := kept.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	for range 60 { // beyond that links are closed unread, and the program lives on
+	for range 60 { // more connections than this are closed unread, and the program goes on
 		if c, err := net.Dial("tcp", w.listen); err == nil {
 			defer c.Close()
 		}
@@ -413,7 +413,7 @@
 	require.NoError(t, w.cmd.Process.Signal(unix.Signal(0)))
 }
 
-// With more servers than descriptors, idle links make room for new ones.
+// With more servers than descriptors, idle connections to servers are closed to make room for new ones.
 func TestServerLinksMakeRoom(t *testing.T) {
 	s := newServer(t, "", says(200, ""))
 	w := newTestSidecar(t)
@@ -444,7 +444,7 @@
 	late := w.askAside("write", "", "")
 	w.eventually("the execution", func() bool { return s.requestCount() == 2 })
 	w.signal(syscall.SIGTERM)
-	// A link that rests carries what comes soon after the word to end; its answer says that it is the last.
+	// An idle connection still serves a request that arrives soon after SIGTERM; the response closes the connection.
 	s.set(says(200, ""))
 	w.eventually("ending", func() bool { return w.ask("read", "", "").last })
 	io.WriteString(resting, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\n\r\n")
@@ -457,7 +457,7 @@
 	require.NoError(t, w.cmd.Wait(), "ends by itself and well")
 	assert.Contains(t, w.out.String(), `"execution_ends":`)
 
-	// The address can be had again at once, though connections of the first life still linger.
+	// The address can be bound again at once, though connections of the first process linger in TIME_WAIT.
 	w.start()
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 	raw, err := program("serve", "--config", w.writeConfig()).CombinedOutput()
@@ -465,7 +465,7 @@
 	assert.Contains(t, string(raw), "address already in use")
 }
 
-// A client that is there before the program has found its feet is served like any other.
+// A client that connects before the program is ready is served like any other.
 func TestFirstClientIsEarly(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s)
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serverUsage is which sidecars sent to which boxes, as the boxes tell.
+// serverUsage counts the requests that each sidecar sent to each server, as the servers report them.
 type serverUsage struct {
 	mu   sync.Mutex
-	sent map[string]map[string]int // by sidecar and box
+	sent map[string]map[string]int // by sidecar and server
 }
 
 func (u *serverUsage) note(by, box string) {
@@ -27,7 +27,7 @@
 	u.sent[by][box]++
 }
 
-// fresh forgets what was noted, and returns it once each of some sidecars has sent so many.
+// fresh discards the counts and returns the new ones once each of some sidecars has sent so many requests.
 func (u *serverUsage) fresh(c *testFleet, some []*fleetMember, each int) (sent map[string]map[string]int) {
 	c.Helper()
 	u.mu.Lock()
@@ -51,13 +51,13 @@
 	return sent
 }
 
-// One sidecar more moves the boxes of the others by a place or two each, and every box is used by two of them at least. Told their rank
-// alone each of the 20 would hold another half of the boxes.
+// One more sidecar moves the server subsets of the others by one or two servers each, and every server is used by at least two sidecars.
+// If sidecars knew only their own rank, each of the 20 would use a different half of the servers.
 func TestShareOneMore(t *testing.T) {
 	const standing, boxes, each = 20, 40, 120
 	c := newTestFleet(t, standing+1)
 	c.replica = standing
-	c.settings = func(s map[string]any) { // little traffic and a tight aim: a sidecar holds half of the boxes
+	c.settings = func(s map[string]any) { // low traffic and a tight objective: a sidecar uses half of the servers
 		class := s["classes"].([]map[string]any)[0]
 		class["objectiveS"], class["giveUpS"] = 0.3, 2
 	}
@@ -108,7 +108,7 @@
 			}
 		})
 	}
-	u.fresh(c, some, 30) // what their own traffic is, they have to learn
+	u.fresh(c, some, 30) // the sidecars must learn their own traffic first
 	before := u.fresh(c, some, each)
 	newcomer.start()
 	c.ready(newcomer)
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// longestDeadline is that of all classes in the tests of how long the end may take.
+	// longestDeadline is the longest of all classes in the tests of how long a shutdown may take.
 	longestDeadline = 3 * time.Second
-	// killAfter is the soonest time after SIGTERM at which a process may be killed, beyond the longest deadline.
+	// killAfter is the earliest time after SIGTERM, beyond the longest deadline, at which a process may be killed.
 	killAfter = 700 * time.Millisecond
 )
 
-// newEnding returns a sidecar whose longest deadline is known.
+// newEnding returns a sidecar whose longest deadline is longestDeadline.
 func newEnding(t *testing.T, backends ...*backend) *testSidecar {
 	return newCrossing(t, func(w *testSidecar) {
 		w.setClassField("objectiveS", 2.5)
@@ -27,13 +27,13 @@
 	}, backends...)
 }
 
-// The last answer, written when nothing keeps the process any more, is received whole by a client that reads it 300 ms later and
-// has written more meanwhile, and the connection ends in order behind it: no reset takes it away.
+// The last response, which is written when nothing else keeps the process running, reaches a client completely that reads it 300 ms
+// later and has sent more meanwhile. The connection then closes in order: no reset discards the response.
 func TestShutdownLastAnswerIsReceived(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		body    int
-		receive int // the client's receive buffer; 0: the system's
+		receive int // the client's receive buffer; 0: the system's default
 	}{
 		{"small", 100, 0},
 		{"60 KB", 60 << 10, 0},
@@ -65,14 +65,14 @@
 	}
 }
 
-// The process ends by itself within the longest deadline and 0.7 s, whatever its clients do, and answers what had come by then.
+// The process ends by itself within the longest deadline plus 0.7 s, whatever its clients do, and answers what had arrived by then.
 func TestShutdownEndsInTime(t *testing.T) {
 	large := message(200, strings.Repeat("x", 8<<20))
 	hanging := func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false }
 	for _, c := range []struct {
 		name    string
 		answers responder
-		// acts has a client act around SIGTERM, which term sends, and returns what is to hold once the process has ended.
+		// acts lets a client act around SIGTERM, which term sends, and returns the checks to run once the process has ended.
 		acts func(w *testSidecar, s *backend, term func()) (check func())
 	}{
 		{"a client rests and never closes", hanging, func(w *testSidecar, s *backend, term func()) func() {
@@ -143,8 +143,8 @@
 	}
 }
 
-// A new configuration just before SIGTERM, at once after it, and while requests are waited for, does not cost any of them.
-// TestReloadsInARow has it without requests.
+// A new configuration just before SIGTERM, right after it, and while requests are in flight costs none of these requests.
+// TestReloadsInARow covers it without requests.
 func TestShutdownMeetsReload(t *testing.T) {
 	release := make(chan struct{})
 	s := newBackend(t, "s-00000001", sendsWhen(release, message(200, "sound")))
@@ -161,7 +161,7 @@
 	reload()
 	w.signal(syscall.SIGTERM)
 	w.awaitLog("msg=ending", 1)
-	w.awaitLog("configuration read", 1) // before the file is written again: its reader would find half of it
+	w.awaitLog("configuration read", 1) // before the file is written again: the reader would find half of it
 	reload()
 	w.awaitLog("configuration read", 2)
 	second.send(rest[30:])
--- a/cmd/hazelwheel/shutdown_test.go
+++ b/cmd/hazelwheel/shutdown_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A request that SIGTERM meets at any point of its way gets its whole answer, once sent and once answered, and an orderly end
-// of the connection behind it. TestEnd has one that waits for its answer, and one that comes on a connection that rests.
+// A request during which SIGTERM arrives, at any point, gets its complete response, is sent once and answered once, and its connection
+// then closes in order. TestEnd covers a request that waits for its response, and one on an idle connection.
 func TestShutdownMeetsRequest(t *testing.T) {
 	const half = 100 << 10
 	large := strings.Repeat("a", half) + strings.Repeat("b", half)
@@ -28,7 +28,7 @@
 		before        int // bytes of the request that are written before SIGTERM; 0: all
 		unlisted      bool
 		late          bool
-		headOf, sound string // the answer: what is written before SIGTERM, and the rest
+		headOf, sound string // the response: what is written before SIGTERM, and the rest
 	}{
 		{name: "its first line half read", class: "read", before: 8, sound: message(200, "sound")},
 		{name: "its head half read", class: "write", body: "body", before: 50, sound: message(200, "sound")},
@@ -100,8 +100,8 @@
 	}
 }
 
-// Of requests that were sent at once, before SIGTERM, after it, or on both sides of it, each is answered or has never been sent
-// on, and the connection ends in order behind the last answer. TestThriftEnds has it for Thrift.
+// Of requests that were pipelined before SIGTERM, after it, or on both sides of it, each is answered or was never forwarded, and the
+// connection closes in order after the last response. TestThriftEnds covers Thrift.
 func TestShutdownMeetsPipelinedRequests(t *testing.T) {
 	const before, after = 5, 5
 	for _, c := range []struct {
@@ -150,12 +150,12 @@
 	}
 }
 
-// Clients go on on every connection as long as it stays open, also behind an answer that says that it is the last, and send again
-// on a new one what was not answered. What reached a server is answered, and nothing reaches one twice.
+// Clients keep sending on every connection as long as it stays open, even after a response with "Connection: close", and resend
+// unanswered requests on a new one. Each request that reached a server is answered, and none reaches a server twice.
 func TestShutdownMeetsBusyClients(t *testing.T) {
 	const clients = 12
 	s := newBackend(t, "s-00000001", func(c *net.TCPConn, a attempt) bool {
-		time.Sleep(time.Duration(rand.IntN(20)) * time.Millisecond) // a server's work
+		time.Sleep(time.Duration(rand.IntN(20)) * time.Millisecond) // simulates the server's processing time
 		return sends(message(200, a.id))(c, a)
 	})
 	w := newCrossing(t, nil, s)
@@ -211,8 +211,8 @@
 	assert.Greater(t, len(answered), 5*clients)
 }
 
-// Clients that rest send just before, just as and just after the sidecar ends their connection: each is answered, or its request
-// is never sent on and its connection ends in order.
+// Idle clients send just before, just as and just after the sidecar closes their connection: each request is answered, or is never
+// forwarded and its connection closes in order.
 func TestShutdownMeetsRestingClients(t *testing.T) {
 	const clients = 60
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
@@ -229,9 +229,9 @@
 	var all sync.WaitGroup
 	for i, conn := range conns {
 		all.Go(func() {
-			if i%2 == 0 { // at a time of its own, about when connections are ended
+			if i%2 == 0 { // at a random time, about when connections are closed
 				time.Sleep(time.Until(said.Add(650*time.Millisecond + time.Duration(i)*3*time.Millisecond)))
-			} else { // as soon as it sees the end
+			} else { // as soon as it sees the close
 				assert.Equal(t, io.EOF, conn.end())
 			}
 			id := newID()
@@ -251,8 +251,8 @@
 	all.Wait()
 }
 
-// Clients connect and send while the program stands still, right before it would stop listening: what the system has accepted for it
-// by then is answered.
+// Clients connect and send while the program is stopped, right before it would stop listening: connections that the kernel has accepted
+// by then are answered.
 func TestShutdownMeetsNewClients(t *testing.T) {
 	const clients = 60
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
