--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -324,7 +324,7 @@
 	return w.start()
 }
 
-// setClassField sets a field of all classes.
+// setClassField sets a field of every class.
 func (w *testSidecar) setClassField(name string, value any) {
 	for _, class := range w.settings["classes"].([]map[string]any) {
 		class[name] = value
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -83,7 +83,7 @@
 				c.first(w, r)
 			})
 			w := newTestSidecar(t, s)
-			for _, class := range w.settings["classes"].([]map[string]any) { // on a busy machine, too, the pause after an error ends between two timer checks
+			for _, class := range w.settings["classes"].([]map[string]any) { // long enough for the pause after an error to end between two timer checks, on a busy machine too
 				class["objectiveS"], class["giveUpS"] = 8, 16
 			}
 			w.start()
--- a/cmd/hazelwheel/testsidecar_test.go
+++ b/cmd/hazelwheel/testsidecar_test.go
@@ -26,7 +26,7 @@
 	"hazelwheel/internal/lab/process"
 )
 
-// The tests start this test binary again as the program, and act as its client, servers and discovery.
+// The tests run this test binary again as the program, and act as its client, its servers and its discovery service.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_HAZELWHEEL") != "" {
 		standBetween(os.Getenv("STAND_STILL_AT"))
@@ -39,38 +39,38 @@
 	os.Exit(m.Run())
 }
 
-// testsAtOnce is how many tests are played at a time, on however many cores. Danger: many of them are fleets of five to nine processes
-// each, and all go by real time; played more at once they starve each other.
+// testsAtOnce is how many tests run in parallel, whatever the number of cores. Danger: many of them are fleets of five to nine processes
+// each, and all depend on real time; with more at once they starve each other.
 const testsAtOnce = 6
 
-// playAtMost lowers the number of tests that are played at a time.
+// playAtMost lowers the number of tests that run in parallel.
 func playAtMost(most int) {
 	atOnce := flag.Lookup("test.parallel")
 	if n, err := strconv.Atoi(atOnce.Value.String()); err != nil || n > most {
 		if err := atOnce.Value.Set(strconv.Itoa(most)); err != nil {
-			panic(err) // it is the flag of the testing package, which takes any number from 1 on
+			panic(err) // can't fail: the testing package's flag takes any number from 1 on
 		}
 	}
 }
 
-const patience = 20 * time.Second // for what must come; nothing here is proved by waiting for it in vain
+const patience = 20 * time.Second // time limit for what must happen; no test relies on this running out
 
-// outside asks without leaving connections behind.
+// outside is a client that does not keep connections open.
 var outside = http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// testSidecar is a process of the program, with stand-ins for all that it talks to.
+// testSidecar is a process of the program, with fakes of everything that it talks to.
 type testSidecar struct {
 	*testing.T
 	listen       string
-	adminAddress string // the address of its operators' door; empty: it has none
-	thrift       string // the address of its Thrift port; empty: it has none
+	adminAddress string // of its admin endpoint; empty: it has none
+	thrift       string // address of its Thrift port; empty: it has none
 	discovery    *discovery
 	settings     map[string]any
 	limits       map[string]any
 	known        []endpoint
-	path         string   // of the configuration
-	features     string   // the text of the file of features; empty: none is named
-	env          []string // of the program
+	path         string   // path of the configuration
+	features     string   // content of the features file; empty: no file is given
+	env          []string // environment of the program
 	cmd          *exec.Cmd
 	log          syncBuffer
 	out          bytes.Buffer
@@ -86,7 +86,7 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// newTestSidecar returns a sidecar that is not started yet, with its servers on the endpoint list.
+// newTestSidecar returns a sidecar that is not started, with its servers on the endpoint list.
 func newTestSidecar(t *testing.T, servers ...*server) *testSidecar {
 	t.Parallel()
 	w := &testSidecar{T: t, discovery: newDiscovery(t), listen: freeAddress(t), limits: map[string]any{"cores": 1}}
@@ -140,7 +140,7 @@
 	return string(b.text)
 }
 
-// freeAddress returns one whose port no outgoing connection takes meanwhile.
+// freeAddress returns an address whose port is not in the range of outgoing connections.
 func freeAddress(t *testing.T) string {
 	port, err := process.FreePort("127.0.0.1")
 	require.NoError(t, err)
@@ -167,7 +167,7 @@
 	return cmd
 }
 
-// start runs the program until it is ready. A program that still runs at the end of the test is ended there.
+// start runs the program until it is ready. A program that still runs when the test ends is killed.
 func (w *testSidecar) start() *testSidecar {
 	args := []string{"serve", "--verbose", "--config", w.writeConfig()}
 	if w.features != "" {
@@ -176,7 +176,7 @@
 	return w.launch(args...)
 }
 
-// launch does so by a command line of the caller's.
+// launch is like start, with the arguments of the caller.
 func (w *testSidecar) launch(args ...string) *testSidecar {
 	begin := func() {
 		w.cmd = program(args...)
@@ -188,13 +188,13 @@
 	w.Cleanup(func() {
 		_ = w.cmd.Process.Kill()
 		_ = w.cmd.Wait()
-		assert.NotContains(w, w.log.String(), "DATA RACE") // under -race the program is built so too
+		assert.NotContains(w, w.log.String(), "DATA RACE") // under -race the program is instrumented too
 		if w.Failed() {
 			w.Log(w.log.String())
 		}
 	})
 	w.eventually("ready", func() bool {
-		if strings.Contains(w.log.String(), "address already in use") && w.path != "" { // another test was quicker
+		if strings.Contains(w.log.String(), "address already in use") && w.path != "" { // another test took the address first
 			_ = w.cmd.Wait()
 			w.log.forget()
 			w.listen = freeAddress(w.T)
@@ -219,8 +219,8 @@
 	}
 }
 
-// awaitLog waits until the program's log holds a text so many times. Danger: the log comes through a pipe of its own, and
-// what an answer tells of may not have come through it yet.
+// awaitLog waits until the program's log contains a text a number of times. Danger: the log arrives through its own pipe, so a line may
+// not have arrived yet when a response already shows its effect.
 func (w *testSidecar) awaitLog(text string, times int) {
 	w.Helper()
 	w.eventually(text, func() bool { return strings.Count(w.log.String(), text) == times })
@@ -228,7 +228,7 @@
 
 func (w *testSidecar) signal(s syscall.Signal) { require.NoError(w, w.cmd.Process.Signal(s)) }
 
-// counters asks the program for all its counters.
+// counters fetches all counters of the program.
 func (w *testSidecar) counters() map[string]any {
 	r, err := outside.Get("http://" + w.listen + "/counters")
 	require.NoError(w, err)
@@ -249,7 +249,7 @@
 	n int
 }
 
-// request returns one of a class, with all that its class needs.
+// request returns a request of a class with all header fields that the class requires.
 func (w *testSidecar) request(class, path, body string, header ...string) *http.Request {
 	method := "POST"
 	if class == "read" {
@@ -275,7 +275,7 @@
 	status int
 	body   string
 	header http.Header
-	last   bool // its link is closed after it
+	last   bool // its connection is closed after it
 	took   time.Duration
 	err    error
 }
@@ -299,22 +299,22 @@
 	return p
 }
 
-// askAside does so in the background.
+// askAside is like ask, but runs in the background.
 func (w *testSidecar) askAside(class, path, body string, header ...string) <-chan reply {
 	c, r := make(chan reply, 1), w.request(class, path, body, header...)
 	go func() { c <- w.send(r) }()
 	return c
 }
 
-// server is a server that a test scripts.
+// server is a server whose responses a test scripts.
 type server struct {
 	*httptest.Server
 	name     string
 	status   string
 	sinceMS  int64
 	mu       sync.Mutex
-	answer   http.HandlerFunc // of the next requests
-	requests []string         // the bodies of what has come whole
+	answer   http.HandlerFunc // handles the next requests
+	requests []string         // the bodies of complete requests
 	opened   int              // connections
 	closed   int
 }
@@ -376,10 +376,10 @@
 	}
 }
 
-// hangs answers nothing for as long as the connection lasts.
+// hangs sends no response for as long as the connection lasts.
 func hangs(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// breaks ends the connection, after some bytes.
+// breaks closes the connection after some bytes.
 func breaks(bytes string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c, _, _ := w.(http.Hijacker).Hijack()
@@ -388,17 +388,17 @@
 	}
 }
 
-// discovery is a discovery service that says what a test writes to its watches.
+// discovery is a discovery service that writes what a test scripts to its watches.
 type discovery struct {
 	*httptest.Server
 	calls   chan string      // the query of each call
-	answers chan func(watch) // one for each call; a call beyond them goes to rest
+	answers chan func(watch) // one for each call; further calls are handled by rest
 	rest    func(watch)
 }
 
 type watch struct {
 	http.ResponseWriter
-	since string // the version from which changes are asked for; empty: none
+	since string // the version from which changes are requested; empty: none
 	done  <-chan struct{}
 }
 
@@ -425,7 +425,7 @@
 	return d
 }
 
-// waits answers a call once the test has an answer for it.
+// waits handles a call once the test has a script for it.
 func (d *discovery) waits(w watch) {
 	select {
 	case f := <-d.answers:
@@ -434,8 +434,8 @@
 	}
 }
 
-// tellOnce has each call that doesn't know a version yet told of it, once ready is closed. Danger: a watch that hears nothing for 3 s is
-// given up and made again; what is told to one call alone is lost where the machine is so busy that the test needs longer.
+// tellOnce sends a version to each call that doesn't have one yet, once ready is closed. Danger: a watch that hears nothing for 3 s is
+// closed and reopened; a version that is sent to one call only is lost where the test takes longer on a busy machine.
 func (d *discovery) tellOnce(version int, ready <-chan struct{}, list func() string) {
 	d.rest = func(w watch) {
 		select {
@@ -452,7 +452,7 @@
 
 func (d *discovery) address() string { return d.Listener.Addr().String() }
 
-// line is one object of discovery.
+// line is one discovery object.
 func line(t *testing.T, index int, snapshot bool, servers ...*server) string {
 	list := []endpoint{}
 	for _, s := range servers {
@@ -463,7 +463,7 @@
 	return string(raw) + "\n"
 }
 
-// writeRaw writes text to a connection of its own and returns the answer's status and what follows it.
+// writeRaw writes text to a connection of its own and returns the response's status and a reader for the rest.
 func (w *testSidecar) writeRaw(text string) (status int, c net.Conn, r *bufio.Reader) {
 	w.Helper()
 	c, err := net.Dial("tcp", w.listen)
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -24,7 +24,7 @@
 	"hazelwheel/internal/thrift"
 )
 
-// newThriftTestSidecar returns a sidecar with a Thrift port, which is not started yet.
+// newThriftTestSidecar returns a sidecar with a Thrift port that is not started.
 func newThriftTestSidecar(t *testing.T, servers ...*server) *testSidecar {
 	w := newTestSidecar(t, servers...)
 	w.thrift = freeAddress(t)
@@ -43,14 +43,14 @@
 	return c
 }
 
-// echo answers with what it has been asked.
+// echo answers with the request that it received.
 func echo(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = io.WriteString(rw, r.Header.Get("Request-Id")+"="+string(body))
 }
 
-// Calls are read however their bytes come, and calls that are sent ahead are answered in their order, in their encodings,
-// with their own sequence numbers.
+// Calls are parsed however their bytes are split, and pipelined calls are answered in order, each in its encoding and with its sequence
+// number.
 func TestThriftBytesComeInPieces(t *testing.T) {
 	w := newThriftTestSidecar(t, newServer(t, "s-00000001", echo)).start()
 	for _, enc := range encodings {
@@ -60,7 +60,7 @@
 			require.NoError(t, c.(*net.TCPConn).SetNoDelay(true))
 			_, _ = c.Write(call[:cut])
 			if cut%16 == 0 {
-				time.Sleep(time.Millisecond) // mostly in two reads, at times in one; both must do
+				time.Sleep(time.Millisecond) // usually read in two parts, at times in one; both must work
 			}
 			_, _ = c.Write(call[cut:])
 			require.Equal(t, "-7 read =x", said(t, c), "%v cut at %d", enc, cut)
@@ -82,7 +82,7 @@
 	assert.Equal(t, "1 read =slow", said(t, one))
 }
 
-// What is no framed Thrift is closed with a line in the log; what is Thrift and no call that is known is told so.
+// Input that is not framed Thrift closes the connection with a log line; valid Thrift that is no known call gets an exception.
 func TestThriftInput(t *testing.T) {
 	s := newServer(t, "s-00000001", echo)
 	w := newThriftTestSidecar(t, s).start()
@@ -109,7 +109,7 @@
 	deep := append([]byte{0, 0, 0x27, 0x15, 0x82, 0x21, 3, 1, 'x'}, bytes.Repeat([]byte{0x1c}, 10_000)...)
 	for name, c := range map[string]struct {
 		text   string
-		want   string // empty: closed without a word
+		want   string // empty: closed without a reply
 		closes bool
 	}{
 		"HTTP":                    {"GET /read HTTP/1.1\r\nHost: h\r\n\r\n", "", true},
@@ -142,7 +142,7 @@
 		}
 		conn.Close()
 	}
-	for _, enc := range encodings { // the reverse
+	for _, enc := range encodings { // in reverse order
 		c, err := net.Dial("tcp", w.listen)
 		require.NoError(t, err)
 		defer c.Close()
@@ -188,7 +188,7 @@
 		take.Store(int32(cut))
 		c := w.dialThrift()
 		before := w.counter("executions")
-		for { // a server that has broken so often is left alone for a while
+		for { // a server that has broken connections so often is avoided for a while
 			_, _ = c.Write(call)
 			m, err := readFrame(c)
 			require.NoError(t, err)
@@ -205,7 +205,7 @@
 	}
 }
 
-// A call whose client goes before its last byte never runs.
+// A call whose client disconnects before its last byte never runs.
 func TestThriftClientBreaksAtEveryByte(t *testing.T) {
 	s := newServer(t, "s-00000001", echo)
 	w := newThriftTestSidecar(t, s).start()
@@ -221,7 +221,7 @@
 	assert.Equal(t, 1, s.requestCount())
 }
 
-// A keyed call without a key is sent once, as nothing would drop its repeat.
+// A keyed call without a key is sent once, as no server could detect the duplicate.
 func TestThriftWithoutAKey(t *testing.T) {
 	for key, want := range map[string]int{"": 1, "k": 2} {
 		t.Run("key "+key, func(t *testing.T) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// The same key over HTTP and Thrift at once is two requests, which the servers tell to be one.
+// The same key over HTTP and Thrift at the same time leads to two requests, which the servers recognize as one.
 func TestSameKeyOverBoth(t *testing.T) {
 	s := newServer(t, "s-00000001", nil)
 	var arrivals sync.WaitGroup // each waits for the other
@@ -260,7 +260,7 @@
 	assert.Equal(t, 2, s.requestCount())
 }
 
-// What was called before a drain is answered on the link that it is out on; the next goes to another server.
+// A call that was sent before a drain is answered on its connection; the next one goes to another server.
 func TestThriftDrains(t *testing.T) {
 	s := newServer(t, "s-00000001", nil)
 	other := newServer(t, "s-00000002", says(200, "other"))
@@ -287,7 +287,7 @@
 	assert.Equal(t, 1, s.requestCount())
 }
 
-// After SIGTERM all calls that were sent ahead are answered, then the link is closed and the program ends.
+// After SIGTERM all pipelined calls are answered, then the connection is closed and the program ends.
 func TestThriftEnds(t *testing.T) {
 	s, release := newServer(t, "s-00000001", nil), make(chan struct{})
 	s.set(func(rw http.ResponseWriter, r *http.Request) {
@@ -314,7 +314,7 @@
 	assert.Equal(t, 20, s.requestCount())
 }
 
-// A call without an answer is taken and sent once, also when its client goes at once; the next on its link is answered.
+// A oneway call is accepted and sent once, even if its client disconnects at once; the next call on its connection is answered.
 func TestThriftOneway(t *testing.T) {
 	s := newServer(t, "s-00000001", echo)
 	w := newThriftTestSidecar(t, s).start()
@@ -332,7 +332,7 @@
 	assert.Zero(t, w.counter("abandoned"))
 }
 
-// Drills, the capture, the counters and reloads take calls as they take requests.
+// Drills, captures, counters and reloads treat calls like HTTP requests.
 func TestThriftWithOtherFeatures(t *testing.T) {
 	s := newServer(t, "s-00000001", echo)
 	w := newThriftTestSidecar(t, s).withFaults(`{"name":"cut","class":"write","share":100,"abort":"503"}`)
@@ -355,7 +355,7 @@
 	assert.Equal(t, []float64{3, 2, 1}, []float64{w.counter("requests"), w.counter("served"), w.counter("throttled")})
 }
 
-// Where boxes speak nothing else, no request goes to them over HTTP.
+// Where servers speak only Thrift, no request goes to them over HTTP.
 func TestThriftOnly(t *testing.T) {
 	s := newServer(t, "s-00000001", echo)
 	w := newThriftTestSidecar(t, s)
@@ -373,7 +373,7 @@
 	assert.Equal(t, "1 read =x", said(t, c))
 }
 
-// echoer answers with the struct that it was called with: the Apache library's processor, as generated code is one.
+// echoer returns the struct that it was called with: a processor of the Apache library, like generated code.
 type echoer struct{ apache.TProcessor }
 
 func (echoer) Process(ctx context.Context, in, out apache.TProtocol) (bool, apache.TException) {
@@ -384,8 +384,8 @@
 	return err == nil, apache.WrapTException(err)
 }
 
-// The Apache library's own server and client, framed and framed-multiplexed, in both encodings, with fields of all types: what
-// the parser's corpus holds.
+// Uses the Apache library's own server and client, framed and framed-multiplexed, in both encodings, with fields of all types, as in the
+// parser's corpus.
 func TestThriftWithApacheOnBothSides(t *testing.T) {
 	corpus, err := os.ReadFile("../../internal/thrift/testdata/messages.txt")
 	require.NoError(t, err)
@@ -433,7 +433,7 @@
 					asked, got := values(raw[len(raw)-body.Remaining():]), values(nil)
 					_, err = client.Call(t.Context(), "read", &asked, &got)
 					require.NoError(t, err, f[0])
-					mem := apache.NewTMemoryBuffer() // some are not as the library writes them
+					mem := apache.NewTMemoryBuffer() // some are not encoded as the library does it
 					require.NoError(t, asked.Write(t.Context(), apache.NewTCompactProtocolConf(mem, nil)))
 					require.Equal(t, values(mem.Bytes()), got, f[0])
 					called++
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -21,15 +21,15 @@
 	"hazelwheel/internal/thrift"
 )
 
-// everyWay runs a test over HTTP and over Thrift in both encodings. The test itself is the same: its requests and answers
-// are carried over, and its servers speak whatever comes.
+// everyWay runs a test over HTTP and over Thrift in both encodings. The test itself is the same: its requests and responses are
+// translated, and its servers accept each protocol.
 func everyWay(t *testing.T, test func(t *testing.T)) {
 	for _, way := range []string{"http", "binary", "compact"} {
 		t.Run(way, test)
 	}
 }
 
-// way returns what a test speaks, which everyWay has put into its name.
+// way returns the protocol of a test, which everyWay has put into its name.
 func way(t *testing.T) string {
 	for part := range strings.SplitSeq(t.Name(), "/") {
 		if part == "binary" || part == "compact" {
@@ -39,7 +39,7 @@
 	return "http"
 }
 
-// thriftFeatures is the operators' word for the methods that the tests call, which take one struct.
+// thriftFeatures returns a features file with the methods that the tests call, which take one struct.
 func thriftFeatures(listen string) string {
 	var classes []string
 	for _, c := range []string{"read", "alert", "write"} {
@@ -48,7 +48,7 @@
 	return fmt.Sprintf(`"thrift":{"listen":"%s","classes":[%s]}`, listen, strings.Join(classes, ","))
 }
 
-// arguments writes what the tests' methods take; what is empty or below 0 is left out.
+// arguments writes the arguments of the tests' methods. Values that are empty or below 0 are left out.
 func arguments(w *thrift.Writer, id, key, path, body string, patienceMS int) {
 	w.FieldHeader(thrift.Struct, 1)
 	w.BeginStruct()
@@ -62,7 +62,7 @@
 		w.FieldHeader(thrift.I32, 3)
 		w.I32(int32(patienceMS))
 	}
-	w.FieldHeader(thrift.Bool, 90) // nobody here knows it
+	w.FieldHeader(thrift.Bool, 90) // an unknown field
 	w.Bool(true)
 	w.FieldHeader(thrift.String, 4)
 	w.String(path)
@@ -71,7 +71,7 @@
 	w.EndStruct()
 }
 
-// frame returns a call.
+// frame returns a framed call.
 func frame(enc thrift.Encoding, kind thrift.Kind, name string, seq int32, id, key, body string) []byte {
 	var w thrift.Writer
 	w.BeginMessage(nil, enc, kind, name, seq)
@@ -79,8 +79,8 @@
 	return w.EndMessage()
 }
 
-// values is a struct that the Apache library writes and reads value by value, as generated code has it do; it is kept in the
-// compact protocol.
+// values is a struct that the Apache library writes and reads value by value, as generated code does; it is stored in the compact
+// protocol.
 type values []byte
 
 func pass(ctx context.Context, from, to apache.TProtocol) error {
@@ -110,7 +110,8 @@
 	return apache.NewTBinaryProtocolConf(framed, conf)
 }
 
-// thriftTransport carries HTTP requests to the program's Thrift port by the Apache library's client, and what comes back as HTTP.
+// thriftTransport sends HTTP requests as calls to the program's Thrift port with the Apache library's client, and returns the replies as
+// HTTP.
 type thriftTransport struct {
 	way, address string
 	idle         chan net.Conn
@@ -129,7 +130,7 @@
 	var w thrift.Writer
 	w.BeginMessage(nil, thrift.Compact, thrift.Call, "", 0)
 	arguments(&w, r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), rest, string(body), patienceMS)
-	asked, result := values(w.EndMessage()[8:]), values(nil) // behind a head without a name
+	asked, result := values(w.EndMessage()[8:]), values(nil) // after a message header with an empty name
 
 	var c net.Conn
 	select {
@@ -173,7 +174,7 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// told returns what an HTTP client would have been told.
+// told returns the HTTP response that corresponds to an exception.
 func told(e apache.TApplicationException) *http.Response {
 	h := http.Header{}
 	if after, advised := strings.CutPrefix(e.Error(), "throttled; retry-after="); advised {
@@ -186,7 +187,7 @@
 	return response(status, e.Error(), h)
 }
 
-// protocolListener is a listener that keeps connections which speak Thrift from an HTTP server, and has them served otherwise.
+// protocolListener passes on HTTP connections to an HTTP server, and has those that speak Thrift served separately.
 type protocolListener struct {
 	net.Listener
 	thrift func(peekedConn)
@@ -194,7 +195,7 @@
 	over   chan struct{}
 }
 
-// peekedConn is a connection whose first bytes have been looked at.
+// peekedConn is a connection whose first bytes have been peeked at.
 type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
@@ -238,7 +239,7 @@
 	}
 }
 
-// serveThrift has the server's handler answer calls, one after the other. That the connection ends shows while one is served.
+// serveThrift lets the server's handler answer calls, one after the other. It notices while it serves a call that the connection ends.
 func (s *server) serveThrift(c peekedConn) {
 	s.count(&s.opened)
 	gone, cancel := context.WithCancel(context.Background())
@@ -274,7 +275,7 @@
 	*n++
 }
 
-// call has a call answered and reports whether the connection goes on.
+// call handles a call and reports whether the connection stays open.
 func (s *server) call(ctx context.Context, c net.Conn, m thrift.Message) bool {
 	var found [thrift.MaxPaths]thrift.Value
 	if m.Find([]thrift.Path{{1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 5}}, &found) != nil {
@@ -310,7 +311,7 @@
 	return err == nil
 }
 
-// recorder lets a handler break the connection.
+// recorder allows a handler to break the connection.
 type recorder struct {
 	*httptest.ResponseRecorder
 	c     net.Conn
@@ -339,7 +340,7 @@
 	return m, err
 }
 
-// said returns a reply in a few words: its sequence number, and the result or the exception's type and text.
+// said returns a summary of a reply: its sequence number, and the result or the exception's type and text.
 func said(t *testing.T, c io.Reader) string {
 	t.Helper()
 	m, err := readFrame(c)
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -25,44 +25,44 @@
 	"hazelwheel/internal/maintenanceplan"
 )
 
-// maintenanceFleet is a fleet on whose machines plans do maintenance. Machines record the requests that they get, maintenance agents what they
-// do: both are checked at the end.
+// maintenanceFleet is a fleet with servers on which plans do maintenance. Servers record the requests that they get, and maintenance
+// agents what they do; checkRules compares both when the test ends.
 type maintenanceFleet struct {
 	*testFleet
 	boxes     []*machine
 	mechanics []*maintenanceagent.Agent
 	plans     []maintenance.Spec
-	times     map[string]int // that a box is in a plan, by name
-	serving   func()         // ends the clients and judges what they got
+	times     map[string]int // how many plans contain a server, by its name
+	serving   func()         // stops the clients and checks their responses
 	stood     []stallPeriod
-	past      int // requests of sidecars that had counted as gone, to boxes that were worked on
+	past      int // requests to servers in maintenance, from sidecars that counted as gone
 }
 
-// machine is a server that notes each request.
+// machine is a server that records each request.
 type machine struct {
 	*server
 	site    string
 	mu      sync.Mutex
 	came    []recordedRequest
-	waiting chan struct{} // requests that ask to be held wait for it
+	waiting chan struct{} // requests that ask to be held wait until it is closed
 }
 
-// recordedRequest is a request at a box; to is the zero time while the box works on it.
+// recordedRequest is a request at a server; to is the zero time while the server processes it.
 type recordedRequest struct {
 	from, to time.Time
-	by       string // the sidecar that has sent it, where its client says
-	held     bool   // until the box is released
+	by       string // the sidecar that sent it, if its client names one
+	held     bool   // until the server releases it
 }
 
 func (b *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // what was not read can't be worked on either
+	_, _ = io.Copy(io.Discard, r.Body) // the response must not start before the body has been read
 	held := strings.HasSuffix(r.URL.Path, "/hold")
 	b.mu.Lock()
 	at, waiting := len(b.came), b.waiting
 	b.came = append(b.came, recordedRequest{from: time.Now(), by: strings.TrimPrefix(r.URL.Path, "/read/"), held: held})
 	b.mu.Unlock()
 	if held {
-		<-waiting // also when its client has gone: a box does not know that
+		<-waiting // even if its client has disconnected, which a server doesn't notice
 	}
 	says(200, "ok")(w, r)
 	b.mu.Lock()
@@ -84,14 +84,14 @@
 	return e
 }
 
-// Times of the plans here.
+// Durations of the plans in these tests.
 const (
 	settleS = 0.3
 	coldS   = 0.5
 	takesIn = 300 * time.Millisecond
 )
 
-// newMaintenanceFleet returns so many sidecars, of which some are electors, with boxes at sites a, b and c in turn.
+// newMaintenanceFleet returns a number of sidecars, some of them electors, and servers at sites a, b and c in turn.
 func newMaintenanceFleet(t *testing.T, sidecars, electors, boxes int) *maintenanceFleet {
 	y := &maintenanceFleet{testFleet: newOwners(t, sidecars, electors), times: map[string]int{}}
 	y.jobs, y.registry = []string{"works"}, newDiscoveryRegistry(t)
@@ -119,7 +119,7 @@
 	return y
 }
 
-// open starts all, and has clients ask.
+// open starts all sidecars, and clients that send requests.
 func (y *maintenanceFleet) open() *maintenanceFleet {
 	y.start().ready(y.all...)
 	y.agree(y.all...)
@@ -127,13 +127,13 @@
 	return y
 }
 
-// asked has clients ask, until serving is called or the test ends.
+// asked lets clients send requests until serving is called or the test ends.
 func (y *maintenanceFleet) asked() {
 	y.serving = sync.OnceFunc(y.serveAll())
 	y.Cleanup(y.serving) // Danger: a client that goes on would log to a test that has ended
 }
 
-// mechanic has somebody work until the test ends or what it returns is called.
+// mechanic runs a maintenance agent until the test ends or the function that it returns is called.
 func (y *maintenanceFleet) mechanic(name string, change func(m *maintenanceagent.Agent)) (m *maintenanceagent.Agent, stop func()) {
 	m = &maintenanceagent.Agent{Name: name, WorkDuration: func(string) time.Duration { return takesIn }, AdminEndpoints: y.doors}
 	if change != nil {
@@ -143,7 +143,7 @@
 	return m, y.runs(m)
 }
 
-// runs has a mechanic begin, or begin again.
+// runs starts an agent, or starts it again.
 func (y *maintenanceFleet) runs(m *maintenanceagent.Agent) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -159,7 +159,7 @@
 	return stop
 }
 
-// doors are those of the sidecars that answer.
+// doors returns the admin endpoints of the sidecars that reply.
 func (y *maintenanceFleet) doors() (all []string) {
 	for _, m := range y.all {
 		if !m.gone.Load() && !m.frozen.Load() {
@@ -169,7 +169,7 @@
 	return all
 }
 
-// work says a command of the command line at a sidecar's door, which must do it.
+// work runs a subcommand of "fleet work" against a sidecar's admin endpoint. The command must succeed.
 func (y *maintenanceFleet) work(m *fleetMember, args ...string) string {
 	y.Helper()
 	out, code := y.command(append(append([]string{"fleet", "work"}, args...), "--ops", m.ops)...)
@@ -177,7 +177,7 @@
 	return out
 }
 
-// plan writes a plan's file and gives it at a sidecar's door. What it says replaces the lines that plans here have.
+// plan writes a plan's file and submits it to a sidecar. Lines replace the default settings of the plans in these tests.
 func (y *maintenanceFleet) plan(m *fleetMember, lines string, of ...*machine) {
 	y.Helper()
 	file := y.file(lines, of...)
@@ -185,7 +185,7 @@
 	y.work(m, "plan", file)
 }
 
-// given notes a plan for the judge.
+// given records a plan for checkRules.
 func (y *maintenanceFleet) given(file string, of ...*machine) {
 	y.Helper()
 	text, err := os.ReadFile(file)
@@ -216,7 +216,7 @@
 	return path
 }
 
-// works returns what a sidecar's door tells of plans.
+// works returns the status of the plans from a sidecar's admin endpoint.
 func (m *fleetMember) works() (s coordination.MaintenanceStatus, ok bool) {
 	if m.frozen.Load() || m.gone.Load() || m.cmd == nil {
 		return s, false
@@ -225,7 +225,7 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// newest returns the latest version that any door tells.
+// newest returns the status of the latest version that any sidecar has.
 func (y *maintenanceFleet) newest() (newest coordination.MaintenanceStatus) {
 	for _, m := range y.all {
 		if s, ok := m.works(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeSeconds < newest.AgeSeconds) {
@@ -235,7 +235,7 @@
 	return newest
 }
 
-// stage returns how far the work on a box has come, by the latest plan that has it.
+// stage returns the state of a server in the latest plan that contains it.
 func stage(s *coordination.MaintenanceStatus, b *machine) (found maintenance.Server) {
 	for _, p := range s.Plans {
 		for _, k := range p.Servers {
@@ -247,7 +247,7 @@
 	return found
 }
 
-// comes waits until a box has come to a stage, by the latest word.
+// comes waits until a server has reached a stage in the newest status.
 func (y *maintenanceFleet) comes(b *machine, to ...maintenance.Stage) (found maintenance.Server) {
 	y.Helper()
 	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
@@ -258,7 +258,7 @@
 	return found
 }
 
-// waits waits until something of a box is waited for, for somebody of that name (empty: anybody), and returns for what.
+// waits waits until a blocker of a server, with a reason and a member's name (empty: any), is reported.
 func (y *maintenanceFleet) waits(b *machine, why, who string) {
 	y.Helper()
 	last := ""
@@ -276,7 +276,7 @@
 	})
 }
 
-// ended waits until no plan goes on, and returns the last one.
+// ended waits until no plan is in progress, and returns the last one.
 func (y *maintenanceFleet) ended() maintenance.Plan {
 	y.Helper()
 	var s coordination.MaintenanceStatus
@@ -287,7 +287,7 @@
 	return s.Plans[len(s.Plans)-1]
 }
 
-// owner waits until one of some owns the job, and returns it.
+// owner waits until one of the members owns the role, and returns it.
 func (y *maintenanceFleet) owner(some ...*fleetMember) (owner *fleetMember) {
 	y.Helper()
 	y.poll("one settles the order", func() bool {
@@ -302,13 +302,13 @@
 	return owner
 }
 
-// jobOf returns what a sidecar knows of a job; nothing where its door does not answer.
+// jobOf returns what a sidecar knows of a role, or the zero value if it does not reply.
 func (m *fleetMember) jobOf(name string) coordination.RoleStatus {
 	j, _ := m.toldOf(name)
 	return j
 }
 
-// toldOf does so, and reports whether the door has answered: without an answer nothing is known of who owns the job.
+// toldOf is like jobOf, and reports whether the sidecar replied: without a reply the role's owner is unknown.
 func (m *fleetMember) toldOf(name string) (j coordination.RoleStatus, told bool) {
 	s, told := m.owners()
 	for _, k := range s.Roles {
@@ -319,7 +319,7 @@
 	return j, told
 }
 
-// hold has a request be held by a box, and returns which one it is. It was sent by a sidecar, and is out there until it is released.
+// hold sends a request through a sidecar that a server holds open until it is released, and returns that server.
 func (y *maintenanceFleet) hold(by *fleetMember, class string, header ...string) *machine {
 	y.Helper()
 	w := &testSidecar{T: y.T, listen: by.listen}
@@ -341,7 +341,7 @@
 	return found
 }
 
-// records returns what mechanics did, in the order in which it began.
+// records returns what the agents did, in the order of its start.
 func (y *maintenanceFleet) records() (all []maintenanceagent.Record) {
 	for _, m := range y.mechanics {
 		all = append(all, m.Records()...)
@@ -350,8 +350,9 @@
 	return all
 }
 
-// checkRules holds what mechanics did beside what came to the boxes: nobody works on a box that got a request less than the settle time
-// before, or has one out, but by force; no more boxes are out or cold at once than plans allow, and none twice under one plan.
+// checkRules compares what agents did with the requests at the servers. No agent works on a server that has a request in flight or got
+// one less than the settle time before, except by force. No more servers are out or warming up at once than the plans allow, and none
+// twice under one plan.
 func (y *maintenanceFleet) checkRules() {
 	all := y.records()
 	for _, r := range all {
@@ -395,7 +396,7 @@
 	}
 	for _, r := range all {
 		out := map[string]bool{}
-		for _, o := range all { // who is out or cold when the work on this one begins
+		for _, o := range all { // the servers that are out or warming up when the work on this one starts
 			until := o.EndedAt.Add(y.cold())
 			if !o.StartedAt.After(r.StartedAt) && (o.EndedAt.IsZero() || until.After(r.StartedAt)) {
 				out[o.Server] = true
@@ -413,7 +414,7 @@
 	}
 }
 
-// settle and cold are the shortest that plans here have.
+// settle and cold return the shortest settle and warm-up times of the plans in a test.
 func (y *maintenanceFleet) settle() time.Duration {
 	return y.least(func(p *maintenance.Spec) float64 { return p.QuietSeconds })
 }
@@ -430,25 +431,25 @@
 	return toDuration(s)
 }
 
-// wasGone reports whether a request is of a sidecar that stood still for so long that it counted as gone.
+// wasGone reports whether a request is from a sidecar that was stopped for so long that it counted as gone.
 func (y *maintenanceFleet) wasGone(v recordedRequest) bool {
 	return slices.ContainsFunc(y.stood, func(s stallPeriod) bool {
 		return s.member.name == v.by && v.from.After(s.from) && v.from.Before(s.until.Add(awakeIn))
 	})
 }
 
-// stallPeriod is a sidecar that stood still for longer than it takes to count as gone. What it sends when it goes on, until it has heard
-// what was agreed meanwhile, nobody could have waited for.
+// stallPeriod is a period in which a sidecar was stopped for longer than it takes to count as gone. Nobody can wait for the requests
+// that it sends between resuming and learning what was agreed meanwhile.
 type stallPeriod struct {
 	member      *fleetMember
 	from, until time.Time
 }
 
-// awakeIn is how long it may take until it has heard.
+// awakeIn is how long a resumed sidecar may take to learn that.
 const awakeIn = 2 * time.Second
 
-// The thin line: a sidecar is cut off from its peers and not from the boxes while a box is emptied. It is named, waited for, and the
-// box is not handed over; it returns, and the plan goes on.
+// A sidecar is cut off from its peers, but not from the servers, while a server is drained. It is named as the blocker and waited for,
+// and the server is not handed over; when the sidecar is back, the plan goes on.
 func TestWorkWaitsForWhoIsCutOff(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
@@ -461,7 +462,7 @@
 	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	b.release()
 	y.waits(b, "not heard to have stopped sending there", cut.name)
-	y.view([]*fleetMember{owner}, y.without(cut)) // it is held for dead, and waited for all the same
+	y.view([]*fleetMember{owner}, y.without(cut)) // it is declared dead, and waited for all the same
 	assert.Equal(t, maintenance.Draining, y.comes(b, maintenance.Draining).Stage)
 	assert.Empty(t, y.records())
 	y.board.SetFault(processcluster.LinkFault{}, ways...)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -19,13 +19,14 @@
 	"hazelwheel/internal/lab/processcluster"
 )
 
-// A sidecar is killed for good while a box is emptied: it is named, and counts as gone after the time that the plan states.
+// A sidecar is killed permanently while a server is drained: it is named as the blocker, and counts as gone after the time that the plan
+// states.
 func TestWorkWithoutWhoIsGone(t *testing.T) {
 	y := newMaintenanceFleet(t, 4, 3, 3).open()
 	y.mechanic("anna", nil)
 	dead := y.without(y.owner(y.all...), y.all[0], y.all[1], y.all[2])
 	if len(dead) == 0 {
-		dead = y.all[3:] // it owns the job as well
+		dead = y.all[3:] // then this one owns the role as well
 	}
 	b := y.hold(y.all[0], "write")
 	y.plan(y.all[0], `gone = "6s"`, b)
@@ -38,8 +39,8 @@
 	y.serving()
 }
 
-// While a box is worked on, sidecars start from the list of boxes that their configuration had before: one with its state, one that has
-// lost it, one that was killed before the box left and has never heard of it; and one reads its configuration again.
+// While a server is in maintenance, sidecars start with the endpoint list that their configuration had before: one with its state, one
+// that has lost it, and one that was killed before the server was drained and doesn't know of it. Another one reloads its configuration.
 func TestWorkSidecarsStart(t *testing.T) {
 	y := newMaintenanceFleet(t, 6, 3, 3).open()
 	y.mechanic("anna", func(m *maintenanceagent.Agent) {
@@ -77,13 +78,13 @@
 	y.serving()
 }
 
-// A request whose answer takes half a minute, and one that was given up on, whose box works on: the box is not handed over before they
-// have ended, or can't go on any more.
+// One request takes half a minute to answer, and another was given up on while its server still processes it: the server is not handed
+// over before they have ended, or can't go on any more.
 func TestWorkRequestIsOut(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name     string
-		patience string // of its client
+		patience string // the client's Request-Timeout
 		giveUpS  float64
 		heldS    float64
 	}{{"for half a minute", "40000m", 40, 30}, {"given up", "3000m", 8, 5}} {
@@ -113,10 +114,10 @@
 	}
 }
 
-// The load grows while boxes are out, and a site is lost: what nobody works on is given back, nothing more leaves, and once it is over the
-// plan goes on.
+// The load grows while servers are out, or a site is lost: servers that no agent works on are reinstated, no more are drained, and once
+// the trouble is over the plan goes on.
 func TestWorkFleetIsInTrouble(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name, waits string
 		begins      func(y *maintenanceFleet) (ends func())
@@ -148,7 +149,7 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 6).open()
-			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // sites a and b
+			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // servers of sites a and b
 			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
 			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
@@ -171,8 +172,8 @@
 	}
 }
 
-// A box that a plan has out is given back by hand at one sidecar: it is in use there, and not handed over until it is taken out there by
-// hand. It stays out there when the plan has ended, until it is given back by hand, too.
+// An operator reinstates a server at one sidecar while a plan has it out: that sidecar uses it, and it is not handed over until the
+// operator bans it there. It stays banned there when the plan has ended, until the operator reinstates it.
 func TestWorkAndHands(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
@@ -212,8 +213,9 @@
 	y.serving()
 }
 
-// One plan is given at both sides of a cut. The side that has a majority takes it, and waits; the other says that it is not known. Mended,
-// the second is told of the first, and the plan is carried out once. A command that is repeated is done once.
+// The same plan is submitted at both sides of a network partition. The side with a majority accepts it, and waits; the other replies
+// that the outcome is unknown. Once the partition heals, the second side learns of the first one's plan, which is carried out once. A
+// repeated command is done once.
 func TestWorkOnBothSidesOfACut(t *testing.T) {
 	y := newMaintenanceFleet(t, 5, 5, 3).open()
 	y.mechanic("anna", nil)
@@ -246,7 +248,8 @@
 	y.serving()
 }
 
-// A plan is aborted while boxes are in three states: what nobody works on is given back at once, what is worked on comes back in its time.
+// A plan is aborted while servers are in three states: those that no agent works on are reinstated at once, and the one in maintenance
+// returns when it is complete.
 func TestWorkIsAborted(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 6).open()
 	long := make(chan struct{})
@@ -277,8 +280,8 @@
 	y.serving()
 }
 
-// A mechanic dies with a box, and goes on with it when it is back; another one gets nothing meanwhile. One that is too slow loses it, and
-// its word comes too late. Old tokens and second words are turned away.
+// An agent dies while it has a server, and continues with it after its restart; another agent gets nothing meanwhile. An agent that is
+// too slow loses its server, and its report comes too late. Old tokens and second reports are rejected.
 func TestWorkMechanics(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	owner := y.owner(y.all...)
@@ -322,7 +325,7 @@
 	y.work(owner, "skip", y.boxes[1].name)
 	y.poll("it is given back", func() bool { return y.boxes[1].requestCount() > lost })
 
-	// By force, past a request that is out: on record with who had it.
+	// Forced while a request is in flight: the status records the sidecar that had it.
 	b := y.hold(owner, "write")
 	y.plan(owner, "name = \"third\"", b)
 	y.waits(b, "has something out there", owner.name)
@@ -335,10 +338,10 @@
 	y.serving()
 }
 
-// Discovery has its own word on a box that is out: it is dropped, listed at another address, listed as draining. It stays out, and comes
-// back in its time.
+// Discovery changes a server that is out: it is removed, listed at another address, or listed as draining. It stays out, and returns in
+// its time.
 func TestWorkDiscoveryMoves(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, change := range map[string]func(e *endpoint, other endpoint){
 		"dropped":         func(e *endpoint, _ endpoint) { e.Status = "DELETED" },
 		"another address": func(e *endpoint, other endpoint) { e.Address = other.Address },
@@ -379,8 +382,8 @@
 	}
 }
 
-// The fleet grows to twice its size during a plan and shrinks again; then a majority of the electors is lost: nothing more leaves, and
-// what is out can be given back by hand.
+// The fleet doubles during a plan and shrinks again. Then a majority of the electors is lost: no more servers are drained, and an
+// operator can reinstate those that are out.
 func TestWorkFleetChanges(t *testing.T) {
 	y := newMaintenanceFleet(t, 8, 3, 4)
 	for _, m := range y.all[4:] {
@@ -425,8 +428,8 @@
 		m.kill()
 	}
 	left := y.all[2:4]
-	// Danger: a door that does not answer in time says nothing; an owner whose lease runs still may hand the box over meanwhile, and that
-	// is agreed once the majority is back.
+	// Danger: an admin endpoint that does not reply in time shows nothing. An owner whose lease is still valid may hand the server over
+	// meanwhile, which is agreed once the majority is back.
 	y.poll("nobody settles anything", func() bool {
 		return !slices.ContainsFunc(left, func(m *fleetMember) bool {
 			j, told := m.toldOf("works")
@@ -454,8 +457,8 @@
 	y.serving()
 }
 
-// While a box is worked on, a process takes the place of a sidecar with its socket, and then all are killed at once and begin again, as
-// after a power cut: what is out stays out, and the plan goes on.
+// While a server is in maintenance, a process takes over from a sidecar with its socket. Then all are killed at once and restart, as
+// after a power failure: servers that are out stay out, and the plan goes on.
 func TestWorkAllBeginAgain(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3)
 	m := y.all[2]
@@ -487,7 +490,7 @@
 	y.comes(b, maintenance.InMaintenance)
 	out()
 	old, ended := m.cmd, m.ended
-	m.ops = freeAddress(t) // each process has its own
+	m.ops = freeAddress(t) // each process has its own admin endpoint
 	m.start()
 	y.poll("the new process has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -21,8 +21,8 @@
 	"hazelwheel/internal/lab/processcluster"
 )
 
-// stopAtStep has the program stand still, or end, when the owner of the plans comes to a step that a file names, once, or comes there
-// once more than so many times.
+// stopAtStep makes the program stop (SIGSTOP) or die (SIGKILL) when the owner of the plans reaches the step that a file names. It
+// happens once, after the step has been passed as often as the file says.
 func stopAtStep(file string) {
 	if file == "" {
 		return
@@ -47,20 +47,20 @@
 	}
 }
 
-// arm has a sidecar stand still or end at a step, the first so many times not.
+// arm makes a sidecar stop or die when it reaches a step again after it has passed it so many times.
 func (m *fleetMember) arm(step string, kill bool, times int) {
 	text := fmt.Sprint(step, " stop ", times)
 	if kill {
 		text = fmt.Sprint(step, " kill ", times)
 	}
-	m.frozen.Store(!kill) // for who asks it: it may be still at any instant from now on
+	m.frozen.Store(!kill) // for concurrent clients: the process may stop at any time from now on
 	m.gone.Store(kill)
 	file := filepath.Join(m.tmp, "step")
 	require.NoError(m.c, os.WriteFile(file+"-new", []byte(text), 0o600))
-	require.NoError(m.c, os.Rename(file+"-new", file)) // it is read while it is written
+	require.NoError(m.c, os.Rename(file+"-new", file)) // renamed, since the program may read it at any time
 }
 
-// fell reports whether an armed sidecar stands still or has ended.
+// fell reports whether an armed sidecar has stopped or died.
 func (m *fleetMember) fell(kill bool) bool {
 	if !kill {
 		return m.stopped()
@@ -73,8 +73,8 @@
 	}
 }
 
-// falls arms the owner, and waits until it has come to the step. Danger: on a busy machine the job may move meanwhile; then it is not armed
-// any more, and false is returned.
+// falls arms the owner and waits until it has reached the step. Danger: on a busy machine the role may move meanwhile; then the owner is
+// disarmed and falls returns false.
 func (y *maintenanceFleet) falls(owner *fleetMember, step string, kill bool, times int) bool {
 	y.Helper()
 	owner.arm(step, kill, times)
@@ -87,7 +87,7 @@
 		moved = s.Plans[len(s.Plans)-1].Ended || slices.ContainsFunc(y.without(owner), func(m *fleetMember) bool { return m.jobOf("works").HeldToken != 0 })
 		return moved
 	})
-	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // it is there just now
+	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // the owner is reaching the step right now
 		y.poll(owner.name+" falls", func() bool { return owner.fell(kill) })
 		return true
 	}
@@ -96,15 +96,15 @@
 	return false
 }
 
-// The coordinator is killed at a step, and the next one stands still at the same step, until a third one has handed over another box;
-// then it goes on. Each box is worked on once, the plan comes to its end.
+// The coordinator is killed at a step, and the next one is stopped at the same step until a third one has handed over another server;
+// then it resumes. Each server is worked on once, and the plan ends.
 func TestWorkCoordinatorFalls(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name string
-		step string            // at which it falls; empty: as soon as a box is at the stage
-		at   maintenance.Stage // of a box when it is armed; Waiting: none is out
-		half bool              // a pause is told, which somebody does not hear
+		step string            // where the coordinator fails; empty: as soon as a server is at the stage
+		at   maintenance.Stage // a server's stage when the coordinator is armed; Pending: no server is out
+		half bool              // a pause is sent that one member does not hear
 	}{
 		{"agreed that a box leaves, nobody told", "agreed", maintenance.Pending, false},
 		{"all told that it leaves", "told", maintenance.Pending, false},
@@ -122,7 +122,7 @@
 				m.env = append(m.env, "STOP_AT_STEP="+filepath.Join(m.tmp, "step"))
 			}
 			y.open()
-			var away atomic.Bool // the mechanic is: else the plan could come to its end while somebody starts again
+			var away atomic.Bool // whether the agent is away: else the plan could end while a sidecar restarts
 			y.mechanic("anna", func(m *maintenanceagent.Agent) {
 				m.WorkDuration = func(string) time.Duration { return time.Second }
 				m.AdminEndpoints = func() []string {
@@ -138,19 +138,19 @@
 			over := func() bool { s := y.newest(); return s.Plans[len(s.Plans)-1].Ended }
 			give()
 			var old *fleetMember
-			var token uint64 // under which it owned the job
+			var token uint64 // under which old owned the role
 			var from time.Time
 			for i, kill := range []bool{true, false} {
 				for fell := false; !fell; {
 					done, at, times := i, k.at, 0
 					if k.at == maintenance.Pending && i > 0 {
-						done, at, times = 0, maintenance.WarmingUp, 1 // that it is done comes first
+						done, at, times = 0, maintenance.WarmingUp, 1 // the first server must be done before
 					}
 					y.poll("a box is at that stage", func() bool {
 						count := y.counts()
 						return over() || count[maintenance.Done] >= done && count[at] > 0
 					})
-					if over() { // the machine was too slow to see it
+					if over() { // the machine was too slow to catch the stage
 						give()
 						continue
 					}
@@ -167,7 +167,7 @@
 						fell = true
 					case k.half:
 						y.board.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
-						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // whether it hears of it is another's matter
+						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // the command may fail, as the owner may die first
 						fell = y.falls(owner, k.step, kill, times)
 						y.board.SetFault(processcluster.LinkFault{}, deaf...)
 					default:
@@ -191,7 +191,7 @@
 			y.pollFor(6*patience, "a box is handed over", func() bool {
 				all := y.records()
 				if over() && !all[len(all)-1].StartedAt.After(from) {
-					give() // none was left
+					give() // no server was left
 				}
 				return len(all) > 0 && all[len(all)-1].StartedAt.After(from)
 			})
@@ -216,7 +216,7 @@
 	}
 }
 
-// counts returns how many boxes of the last plan are at each stage.
+// counts returns how many servers of the last plan are at each stage.
 func (y *maintenanceFleet) counts() map[maintenance.Stage]int {
 	count := map[maintenance.Stage]int{}
 	if s := y.newest(); len(s.Plans) > 0 {
