--- a/cmd/hazelwheel/backend_test.go
+++ b/cmd/hazelwheel/backend_test.go
@@ -103,7 +103,7 @@
 
 // An idle connection was closed or reset by its server, or received unsolicited bytes, before the next request is assigned to it, and
 // the sidecar has not noticed yet. The request is sent once, on another connection, whatever its class.
-func TestRestingConnectionIsOver(t *testing.T) {
+func TestIdleConnectionClosedByServer(t *testing.T) {
 	for name, ends := range map[string]func(c *net.TCPConn){
 		"closed":         func(c *net.TCPConn) { c.Close() },
 		"reset":          reset,
@@ -122,7 +122,7 @@
 				w.freeze()
 				ends(s.connections()[0])
 				if name != "answered again" { // the kernel may take a moment to report it
-					w.eventually("it is over", func() bool { return !s.isIn(t, established) })
+					w.eventually("the idle connection has ended", func() bool { return !s.isIn(t, established) })
 				}
 				id := newID()
 				conn.send(text(class, id, 8*time.Second, ""))
@@ -196,7 +196,7 @@
 			within(500*time.Millisecond, func() bool { return w.counter("open") == 0 })
 			a, err := conn.answer()
 			assert.Error(t, err, "%d bytes of %d seem whole", len(a.body), size)
-			w.eventually("it is over", func() bool { return w.counter("open") == 0 })
+			w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 			assert.Zero(t, w.counter("served"))
 		})
 	}
@@ -261,7 +261,7 @@
 		return id, a.body
 	}
 	conn = w.dial(0)
-	w.eventually("a copy has come and ended its connection", func() bool {
+	w.eventually("a copy has arrived and ended its connection", func() bool {
 		ask()
 		time.Sleep(100 * time.Millisecond)
 		return strings.Contains(w.log.String(), "unasked bytes")
--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -145,7 +145,7 @@
 	w.awaitLog(`"k":"end"}`, 1)
 
 	last := w.askAside("write", "", "")
-	w.eventually("a request is out", func() bool { return w.counter("executions") == 1 })
+	w.eventually("a request is in flight", func() bool { return w.counter("executions") == 1 })
 	w.signal(syscall.SIGTERM)
 	w.awaitLog("msg=ending", 1)
 	assert.Contains(t, w.dump(), `"do":"send"`)
@@ -185,7 +185,7 @@
 	})
 	w.load(400)
 	w.signal(syscall.SIGUSR1)
-	w.eventually("the dump has come to a stop", func() bool {
+	w.eventually("the dump is blocked", func() bool {
 		unread, err := unix.IoctlGetInt(int(r.Fd()), unix.TIOCINQ)
 		return err == nil && unread > 16<<10
 	})
--- a/cmd/hazelwheel/config_test.go
+++ b/cmd/hazelwheel/config_test.go
@@ -211,7 +211,7 @@
 }
 
 // Runs the page's steps from nothing to a running sidecar: each command ends with 0 and prints what the page shows.
-func TestWalkOfThePage(t *testing.T) {
+func TestStepsOfThePage(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/operators/config.md")
 	require.NoError(t, err)
 	self, err := filepath.Abs(os.Args[0])
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -335,7 +335,7 @@
 func (w *testSidecar) freeze() {
 	w.Helper()
 	w.signal(syscall.SIGSTOP)
-	w.eventually("it stands still", func() bool {
+	w.eventually("the process has stopped", func() bool {
 		status, err := readStatus(w.cmd.Process.Pid)
 		return err == nil && strings.Contains(status, "State:\tT")
 	})
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -26,7 +26,7 @@
 
 // The time limit sent to a server never exceeds the time that the client has left, whatever the request has waited for. The test knows a
 // lower bound of that wait, so a busy machine only makes the check more lenient than necessary.
-func TestToldTimeIsLeft(t *testing.T) {
+func TestRequestTimeoutWithinTimeLeft(t *testing.T) {
 	const timeout = 6 * time.Second
 	ask := func(body string) (id, all string) { id = newID(); return id, text("write", id, timeout, body) }
 	for _, c := range []struct {
@@ -81,7 +81,7 @@
 			id, all := ask(strings.Repeat("x", 3<<20)) // it is forwarded while it arrives
 			conn := w.dial(0)
 			conn.send(all[:2<<20])
-			w.eventually("it is sent on", func() bool { return len(s.connections()) == 1 })
+			w.eventually("the request is forwarded", func() bool { return len(s.connections()) == 1 })
 			conn.send(all[2<<20:])
 			return id, 0
 		}},
@@ -107,7 +107,7 @@
 }
 
 // A pipelined request has the same time limit as one whose client waits from the moment of sending.
-func TestToldTimeBehindAnother(t *testing.T) {
+func TestRequestTimeoutWhenPipelined(t *testing.T) {
 	const timeout, work = 6 * time.Second, 700 * time.Millisecond
 	for name, more := range map[string]bool{"alone": false, "more comes behind it": true} {
 		t.Run(name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 
 // Where the repeat window is shorter than the deadline, no further attempt of a guarded class starts after it: neither one that is
 // decided then, nor one that was decided before and whose connection is established then.
-func TestWindowForRepeats(t *testing.T) {
+func TestRepeatWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
 	setWindow := func(w *testSidecar) {
 		w.setClassField("objectiveS", 8)
@@ -260,13 +260,13 @@
 				}
 			}
 			s.comeUp(t)
-			w.eventually("it is up", func() bool { return len(s.connections()) == 2 }) // the first connection fills the queue
+			w.eventually("the connection is established", func() bool { return len(s.connections()) == 2 }) // the first connection fills the queue
 			time.Sleep(time.Until(began.Add(timeout + 200*time.Millisecond)))
 			w.signal(syscall.SIGCONT)
 			a, err := conn.answer()
 			require.NoError(t, err)
 			assert.NotEqual(t, 200, a.status)
-			w.eventually("nothing is open", func() bool { return w.counter("open") == 0 })
+			w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 			w.ask("read", "", "") // by then everything that was written has arrived
 			assert.Empty(t, s.of(id), "no attempt begins after the deadline")
 		})
--- a/cmd/hazelwheel/drill_test.go
+++ b/cmd/hazelwheel/drill_test.go
@@ -167,10 +167,10 @@
 	c, err := net.Dial("tcp", w.listen)
 	require.NoError(t, err)
 	fmt.Fprintf(c, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: gone\r\n\r\n")
-	w.eventually("one is delayed", func() bool { return w.counter("open") == 1 })
+	w.eventually("a request is delayed", func() bool { return w.counter("open") == 1 })
 	assert.Equal(t, 409, w.ask("read", "", "", "Request-Id", "gone").status)
 	c.Close()
-	w.eventually("its client's departure", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
+	w.eventually("the client has disconnected", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
 
 	// A fifth of the time is left for the send, here 3 s of real time. With the 0.3 s that 1.5 s leave, a server or sidecar that stalls
 	// on a busy machine would make the request miss its deadline, which is not a fault of the program.
@@ -180,7 +180,7 @@
 	assert.Less(t, cut.took, 15*time.Second)
 
 	last := w.askAside("write", "", "")
-	w.eventually("another is delayed", func() bool { return w.counter("open") == 1 })
+	w.eventually("another request is delayed", func() bool { return w.counter("open") == 1 })
 	w.signal(syscall.SIGTERM)
 	assert.Equal(t, 200, (<-last).status)
 	require.NoError(t, w.cmd.Wait())
@@ -204,7 +204,7 @@
 }
 
 // An invalid features file ends the program at startup with one line that names the field.
-func TestFeaturesAtFault(t *testing.T) {
+func TestInvalidFeatures(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	path := w.writeFile("features.json", `{"drills":[{"name":"a","class":"read","shares":1}]}`)
 	for _, command := range []string{"serve", "check"} {
--- a/cmd/hazelwheel/fleet_test.go
+++ b/cmd/hazelwheel/fleet_test.go
@@ -39,7 +39,7 @@
 
 // The sidecar starts without valid information: no endpoint list or an empty one, and no peers. It requests the list and serves
 // requests, and logs a line for each condition.
-func TestStartsWithoutSoundFacts(t *testing.T) {
+func TestStartsWithoutValidList(t *testing.T) {
 	for _, known := range []string{`{"index":0,"snapshot":true,"endpoints":[]}`, `{}`, ``} {
 		t.Run(known, func(t *testing.T) {
 			a := newServer(t, "a", says(200, "ok"))
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -48,7 +48,7 @@
 
 // A network partition splits seven sidecars four to three: each side counts only itself, and both serve. After it heals they are one
 // fleet again. Then the same with a short partition.
-func TestFleetIsCut(t *testing.T) {
+func TestFleetPartition(t *testing.T) {
 	c := newTestFleet(t, 7).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
@@ -64,7 +64,7 @@
 	c.placed(c.all...)
 
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	c.poll("somebody is suspected", func() bool {
+	c.poll("a member is suspected", func() bool {
 		s, _ := left[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
@@ -84,7 +84,7 @@
 	c.agree(c.all...)
 	ways := processcluster.Directions(names(c.all), names(c.all), false)
 	c.board.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
-	c.poll("somebody is suspected", func() bool {
+	c.poll("a member is suspected", func() bool {
 		s, _ := c.all[0].seen()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
@@ -95,7 +95,7 @@
 
 // A member that most others can reach is not declared dead, whether one other can't hear it or two can't. The ones that can't hear it
 // are among its watchers: only watchers expect heartbeats of it, so its silence means nothing to others.
-func TestFleetHearsThroughOthers(t *testing.T) {
+func TestFleetPartialConnectivity(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for name, deaf := range map[string]int{"one way": 1, "two of seven": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -152,7 +152,7 @@
 }
 
 // A member that is stopped for a while resumes with its old state, and no other member is declared dead because of it.
-func TestFleetWithOneThatStandsStill(t *testing.T) {
+func TestFleetWithStoppedMember(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for _, stall := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(stall.String(), func(t *testing.T) {
@@ -186,7 +186,7 @@
 
 // A state folder was copied, so two processes claim one identity. Both serve, the one whose state is older takes another identity, and
 // both are counted.
-func TestFleetTellsACopyApart(t *testing.T) {
+func TestFleetCopiedState(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
 	c.agree(c.all...)
@@ -206,7 +206,7 @@
 	}
 	assert.Len(t, ids, 4)
 	assert.True(t, ids[was], "one of the two keeps it")
-	c.poll("one says so", func() bool {
+	c.poll("a sidecar reports it", func() bool {
 		return strings.Contains(c.all[2].log.String()+twin.log.String(), "goes on under another identity")
 	})
 	// The new identity is stored: after a restart all members keep theirs.
@@ -222,7 +222,7 @@
 
 // All members are killed and restart within a second, and only one of the addresses to join by is alive. Then members that find no peer
 // serve alone until they meet.
-func TestFleetBeginsAgain(t *testing.T) {
+func TestFleetRestart(t *testing.T) {
 	c := newTestFleet(t, 6)
 	for _, m := range c.all { // two of the three addresses to join by are never alive
 		m.join = []string{freeAddress(t), freeAddress(t), c.all[0].advertise}
@@ -256,7 +256,7 @@
 	for _, m := range lonely.all[:2] {
 		lonely.ready(m.start())
 		var s coordination.Status
-		lonely.poll("it has begun", func() bool { // it serves before its identity is on disk
+		lonely.poll("the sidecar has started", func() bool { // it serves before its identity is on disk
 			s, _ = m.seen()
 			return s.ID != ""
 		})
@@ -320,7 +320,7 @@
 	c.agree(c.all...)
 	s, _ := m.seen()
 	assert.False(t, s.IdentityStored)
-	c.poll("it says so", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
+	c.poll("the log reports it", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
 	// A full disk: no byte of a file can be written.
 	m.kill()
@@ -424,11 +424,11 @@
 		old, ended, door := m.cmd, m.ended, m.ops
 		m.ops = freeAddress(t) // each process has its own admin endpoint
 		m.start()
-		c.poll("it speaks for the sidecar", func() bool {
+		c.poll("the new process acts for the sidecar", func() bool {
 			s, ok := m.seen()
 			return ok && s.ID == id && len(alive(s)) == 4 && s.Links.Links >= 3
 		})
-		c.poll("the old one is quiet", func() bool {
+		c.poll("the old process is quiet", func() bool {
 			text, err := callOnce(door, "PEERS\n")
 			return err == nil && strings.Contains(text, `"quiet":true`)
 		})
@@ -444,7 +444,7 @@
 }
 
 // A malicious peer sends arbitrary messages. Its connection is closed, the other members go on, and nobody's memory grows without bound.
-func TestFleetBearsALiar(t *testing.T) {
+func TestFleetMaliciousPeer(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
 	c.agree(c.all...)
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -158,7 +158,7 @@
 
 // A request whose body is no longer buffered is never sent a second time. Before its last byte the server has run nothing, so the
 // request is rejected.
-func TestHalfSentRequestIsNotSentAgain(t *testing.T) {
+func TestPartlySentRequestIsNotResent(t *testing.T) {
 	var heads, wholes atomic.Int32
 	broken := newServer(t, "s-00000001", nil)
 	broken.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -178,19 +178,19 @@
 		if p.err == nil { // else the client's own sending cut off the response
 			assert.Equal(t, 503, p.status, class)
 		}
-		w.eventually("refused", func() bool { return w.counter("open") == 0 })
+		w.eventually("the request is rejected", func() bool { return w.counter("open") == 0 })
 		assert.EqualValues(t, 1, heads.Load(), class)
 	}
 	assert.EqualValues(t, 2, w.counter("throttled"))
 }
 
 // A body that is buffered completely is sent to another server where the first one failed while receiving it.
-func TestHeldBodyIsSentAgain(t *testing.T) {
+func TestBufferedBodyIsResent(t *testing.T) {
 	s := newServer(t, "s-00000001", says(503, "", "Not-Started", "1"))
 	w := newTestSidecar(t, s).start()
 	body := strings.Repeat("x", 300_000)
 	asked := w.askAside("write", "", body)
-	w.eventually("turned away", func() bool { return s.requestCount() > 0 })
+	w.eventually("the first attempt", func() bool { return s.requestCount() > 0 })
 	s.set(says(200, "done"))
 	assert.Equal(t, "done", (<-asked).body)
 	for _, got := range s.requests {
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -47,7 +47,7 @@
 				require.NoError(t, err)
 				assert.Equal(t, 200, a.status)
 				assert.Len(t, s.of(next), 1)
-				w.eventually("nothing is open", func() bool { return w.counter("open") == 0 })
+				w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 				assert.Len(t, s.of(id), c.attempts, "no attempt for a client that has gone")
 				assert.EqualValues(t, 1, w.counter("abandoned"))
 			})
@@ -69,12 +69,12 @@
 	})
 	id, conn := newID(), w.dial(0)
 	conn.send(text("write", id, 35*time.Second, "body"))
-	w.eventually("it is taken", func() bool { return w.counter("open") == 1 })
+	w.eventually("the request is open", func() bool { return w.counter("open") == 1 })
 	departs(w, conn)
 	seen(w)
 	close(listed)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
-	w.eventually("it is over", func() bool { return w.counter("open") == 0 })
+	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 	return w, s, id
 }
 
@@ -108,7 +108,7 @@
 	w.eventually("it waits", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
 	departs(w, conn)
 	seen(w)
-	w.eventually("it is over", func() bool { return w.counter("open") == 0 })
+	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 	return w, s, id
 }
 
@@ -146,7 +146,7 @@
 		closed[id] = time.Now()
 	}
 	w.ask("read", "", "")
-	w.eventually("nothing is open", func() bool { return w.counter("open") == 0 })
+	w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 	for _, a := range s.got() {
 		if at, gone := closed[a.id]; gone {
 			assert.Less(t, a.at.Sub(at), atMost+still.sum())
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -66,7 +66,7 @@
 	}
 	w.eventually("ready", func() bool { return side(t, address, "/ready").status == 200 })
 	began := time.Now()
-	w.eventually("ready for longer than a list may be old", func() bool {
+	w.eventually("ready for longer than the maximum age of a list", func() bool {
 		return side(t, address, "/ready").status == 200 && time.Since(began) > 2*time.Second
 	})
 	assert.Equal(t, 1, side(t, address, "/ready").Usable)
@@ -111,7 +111,7 @@
 }
 
 // A health port that is in use is an error at startup: the sidecar must not run without it.
-func TestSidePortTaken(t *testing.T) {
+func TestHealthPortInUse(t *testing.T) {
 	w := newTestSidecar(t)
 	taken := httptest.NewServer(nil)
 	t.Cleanup(taken.Close)
--- a/cmd/hazelwheel/hostile_test.go
+++ b/cmd/hazelwheel/hostile_test.go
@@ -61,7 +61,7 @@
 }
 
 // Bytes that a server sends after a response become no response to any request, and 1xx responses before the final one are skipped.
-func TestMoreThanTheAnswer(t *testing.T) {
+func TestBytesAfterResponse(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n"
 	for name, text := range map[string]string{
 		"a second copy":  answer + "first" + answer + "first",
--- a/cmd/hazelwheel/hosts_test.go
+++ b/cmd/hazelwheel/hosts_test.go
@@ -53,7 +53,7 @@
 }
 
 // A watch whose first object arrives byte by byte is never silent and never complete; it is reopened all the same.
-func TestWatchThatDrips(t *testing.T) {
+func TestWatchFirstObjectByteByByte(t *testing.T) {
 	w := newTestSidecar(t)
 	w.discovery.answers <- func(d watch) {
 		d.write("{")
@@ -190,7 +190,7 @@
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 	}
 	assert.Equal(t, before, leaves.requestCount())
-	w.eventually("its idle links are closed", func() bool { _, opened, closed := leaves.counts(); return opened == closed })
+	w.eventually("idle connections are closed", func() bool { _, opened, closed := leaves.counts(); return opened == closed })
 }
 
 // Probes use the path and report fields that are configured, and unknown fields in the replies are ignored.
@@ -207,7 +207,7 @@
 			w.settings["report"] = map[string]any{"how": how, "fields": []string{"busy_reqs", "pending"}}
 			w.start()
 			assert.Equal(t, path, <-paths)
-			w.eventually("a probe in vain", func() bool { return w.countOfOutcome("probe_ends", "timed_out") > 0 })
+			w.eventually("a failed probe", func() bool { return w.countOfOutcome("probe_ends", "timed_out") > 0 })
 			assert.Positive(t, w.countOfOutcome("probe_ends", "ok"))
 			assert.Zero(t, w.counter("panics"))
 		})
@@ -224,7 +224,7 @@
 	w := newTestSidecar(t, full, slow)
 	w.setLimit("probes", true)
 	w.start()
-	w.eventually("an end of each kind", func() bool {
+	w.eventually("a connection end of each kind", func() bool {
 		return w.countOfOutcome("probe_ends", "rejected") > 0 && w.countOfOutcome("probe_ends", "timed_out") > 0
 	})
 	assert.Zero(t, w.countOfOutcome("probe_ends", "host_error"))
@@ -240,12 +240,12 @@
 	w := newTestSidecar(t, s)
 	w.setLimit("probes", true)
 	w.start()
-	w.eventually("its answer", func() bool { return w.countOfOutcome("probe_ends", "ok") > 0 })
+	w.eventually("a successful probe", func() bool { return w.countOfOutcome("probe_ends", "ok") > 0 })
 	assert.Zero(t, w.countOfOutcome("probe_ends", "reset"))
 }
 
 // A probe with an unreadable response shows that its server is alive, and nothing of its load.
-func TestSpoiltProbes(t *testing.T) {
+func TestUnreadableProbeReplies(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", breaks("\x00\x01noise")))
 	w.setLimit("probes", true)
 	w.settings["report"] = map[string]any{"how": "on_probe", "fields": []string{"pending"}}
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -190,7 +190,7 @@
 
 // Three of five members watch discovery and relay its changes to all. An owner is killed while discovery publishes changes: the members
 // go on with the other two, none goes without news for longer than a watch may be silent, and there are three watches again.
-func TestOwnerListOutlivesItsOwners(t *testing.T) {
+func TestOwnerListSurvivesOwnerDeath(t *testing.T) {
 	c, stop := newListeners(t)
 	owners := c.fed("before", c.all...)
 	for range 3 {
@@ -204,7 +204,7 @@
 	// Danger: where the machine starves all members but one, that one owns all three roles, and hears no relayed lists but has its own
 	// watch.
 	oldest := 0.0
-	c.poll("there is a third", func() bool {
+	c.poll("there is a third watch", func() bool {
 		for _, m := range left {
 			if l := m.lists(); l.UpdatesSent == 0 {
 				oldest = max(oldest, l.AgeSeconds)
@@ -228,10 +228,10 @@
 
 // Discovery fails and recovers: all members know at once that there is no news and serve from the list that they hold, and afterwards
 // three watch again.
-func TestOwnerListDiscoveryGoes(t *testing.T) {
+func TestOwnerListDiscoveryFailure(t *testing.T) {
 	c, stop := newListeners(t)
 	c.registry.fail(true)
-	c.poll("nobody is fed", func() bool {
+	c.poll("no member has news", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.lists().Relayed })
 	})
 	index := c.registry.publish(c.server.endpoint(), false)
@@ -243,21 +243,21 @@
 
 // Two owners get different contents for one version: a member that hears both requests the complete list from discovery, and no list of
 // a lower version is used again.
-func TestOwnerListWordsDisagree(t *testing.T) {
+func TestOwnerListConflictingContents(t *testing.T) {
 	c, stop := newListeners(t)
 	_, before := c.registry.state()
 	split := c.registry.publish(c.server.endpoint(), true)
 	c.know(split, c.all...)
 	// Danger: where the owner of one list had just lost its lease, as on an overloaded machine, nobody hears the other.
 	again := time.Now().Add(3 * time.Second)
-	c.poll("somebody has heard of both", func() bool {
+	c.poll("a member has received both lists", func() bool {
 		if time.Now().After(again) {
 			c.registry.publish(c.server.endpoint(), true)
 			again = time.Now().Add(3 * time.Second)
 		}
 		return slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.lists().Mismatches > 0 })
 	})
-	c.poll("discovery is asked", func() bool { _, calls := c.registry.state(); return calls > before })
+	c.poll("discovery is queried", func() bool { _, calls := c.registry.state(); return calls > before })
 	c.know(c.registry.publish(c.server.endpoint(), false), c.all...)
 	stop()
 }
@@ -269,7 +269,7 @@
 	c.jobs = []string{"drill"}
 	c.start().ready(c.all...)
 	owner := func(some ...*fleetMember) (found *fleetMember) {
-		c.poll("one owns the drills", func() bool {
+		c.poll("a sidecar owns the drills", func() bool {
 			for _, m := range some {
 				s, _ := m.owners()
 				if slices.ContainsFunc(s.Roles, func(j coordination.RoleStatus) bool { return j.Role == "drill" && j.HeldToken != 0 }) {
@@ -293,7 +293,7 @@
 	require.Zero(t, code, out)
 	began := time.Now()
 	drills := func(m *fleetMember) []coordination.FaultStatus { s, _ := m.owners(); return s.Faults }
-	c.poll("it runs at all", func() bool {
+	c.poll("the drill runs at all sidecars", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool {
 			d := drills(m)
 			return len(d) != 1 || d[0].RemainingSeconds == 0 || !d[0].Announced
@@ -303,11 +303,11 @@
 	id := drills(given)[0].ID
 	first.kill()
 	c.ready(first.start())
-	c.poll("who comes late has what is left", func() bool { d := drills(first); return len(d) == 1 && d[0].RemainingSeconds > 0 })
+	c.poll("the restarted sidecar runs the rest of the drill", func() bool { d := drills(first); return len(d) == 1 && d[0].RemainingSeconds > 0 })
 	late := drills(first)[0]
 	assert.LessOrEqual(t, late.RemainingSeconds, 6-time.Since(began).Seconds()+1, "it is the rest")
 	owner(c.all...)
-	c.poll("it has ended at all", func() bool {
+	c.poll("the drill has ended at all sidecars", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool { d := drills(m); return len(d) != 1 || d[0].RemainingSeconds > 0 })
 	})
 	t.Logf("it has ended at all after %v", time.Since(began))
--- a/cmd/hazelwheel/ops_test.go
+++ b/cmd/hazelwheel/ops_test.go
@@ -65,7 +65,7 @@
 }
 
 // An invalid command gets a one-line reason, and idle connections to the admin endpoint cost others nothing.
-func TestDoorCalls(t *testing.T) {
+func TestAdminCommands(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, ""))).withAdminEndpoint().start()
 	w.eventually("health", func() bool { return strings.HasPrefix(w.callAdmin("HEALTH"), "OK") })
 	var silent []net.Conn
@@ -114,7 +114,7 @@
 }
 
 // The metrics count what crossed the wire, by class, and /counters agrees with them.
-func TestFigures(t *testing.T) {
+func TestMetrics(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s, newServer(t, "s-00000002", says(200, ""))).withAdminEndpoint().start()
 	w.eventually("figures", func() bool { return strings.HasSuffix(w.callAdmin("DUMP"), "\nEND\n") })
@@ -201,7 +201,7 @@
 	require.Contains(t, w.callAdmin("OFFLINE s-00000001"), "OK")
 	assert.Equal(t, 503, w.ask("write", "", "", "Request-Timeout", "300m").status, "all are out: nothing has run")
 	require.Contains(t, w.callAdmin("ONLINE s-00000002"), "OK")
-	w.eventually("the one that is back is used", func() bool { return w.ask("read", "", "").body == "2" })
+	w.eventually("the server is used again", func() bool { return w.ask("read", "", "").body == "2" })
 	only("2")
 }
 
@@ -253,14 +253,14 @@
 	open := w.askAside("read", "", "")
 	w.awaitFigure("pending", 1)
 	w.signal(syscall.SIGTERM)
-	w.eventually("a process that ends does not join", func() bool { return w.callAdmin("JOIN") == "ERR this process has been told to end\n" })
+	w.eventually("a process that shuts down does not end its drain", func() bool { return w.callAdmin("JOIN") == "ERR this process has been told to end\n" })
 	w.eventually("no health", func() bool { return strings.HasPrefix(w.callAdmin("HEALTH"), "ERR") })
 	close(release)
 	<-open
 }
 
 // An admin address that can't be used leads to one line and exit status 2.
-func TestDoorFaults(t *testing.T) {
+func TestAdminAddressErrors(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -92,7 +92,7 @@
 // effects.
 func (c *testFleet) owner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
-	c.poll("one owns the job", func() bool {
+	c.poll("a sidecar owns the role", func() bool {
 		owner, token = nil, 0
 		for _, m := range some {
 			if j := m.job(); j.HeldToken > above {
@@ -191,7 +191,7 @@
 // The owner is stopped between its check of the lease and its send, for longer than the lease. Another sidecar is granted the role and
 // acts; the old owner resumes: every receiver rejects its effect, and it no longer owns the role. The hook of the test build stops it at
 // exactly that instant, so each trial reproduces the race.
-func TestOwnerStandsStill(t *testing.T) {
+func TestOwnerStoppedAfterLeaseCheck(t *testing.T) {
 	c := newOwners(t, 5, 3)
 	for _, m := range c.all {
 		m.env = []string{"STAND_STILL_AT=" + filepath.Join(m.tmp, "stand")}
@@ -213,7 +213,7 @@
 		owner.frozen.Store(true)
 		require.NoError(t, os.WriteFile(filepath.Join(owner.tmp, "stand"), nil, 0o600))
 		still := false
-		c.poll("it stands still, or owns the job no more", func() bool {
+		c.poll("the owner has stopped, or no longer owns the role", func() bool {
 			if still = owner.stopped(); still {
 				return true
 			}
@@ -225,14 +225,14 @@
 			continue
 		}
 		later := uint64(0)
-		c.poll("another acts", func() bool {
+		c.poll("another sidecar owns the role", func() bool {
 			later = others[0].job().MaxToken
 			return later > token && !slices.ContainsFunc(others[1:], func(m *fleetMember) bool { return m.job().MaxToken < later })
 		})
 		owner.log.forget()
 		owner.resume()
-		c.poll("it knows", func() bool { j := owner.job(); return j.HeldToken != token && j.MaxToken >= later })
-		c.poll("it says so", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
+		c.poll("the old owner knows that it lost the role", func() bool { j := owner.job(); return j.HeldToken != token && j.MaxToken >= later })
+		c.poll("the log reports it", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
 		c.owner(later-1, c.all...)
 		if refused(others...) > before {
 			hits++
@@ -251,7 +251,7 @@
 
 // The owner is cut off in one direction, in the other, from the electors only, and from all but the electors. Whoever owns the role, its
 // effects are accepted in the order of their tokens, and once the partition heals all agree.
-func TestOwnerIsCut(t *testing.T) {
+func TestOwnerPartition(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for name, cut := range map[string]func(c *testFleet, owner *fleetMember, electors, others []string) []processcluster.Direction{
 		"its words are lost": func(c *testFleet, owner *fleetMember, _, _ []string) []processcluster.Direction {
@@ -277,7 +277,7 @@
 			ways := cut(c, owner, electors, others)
 			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			_, later := c.took(name, token, c.without(owner)...)
-			c.poll("the old one has ended its job", func() bool { return owner.job().HeldToken != token })
+			c.poll("the old owner has given up the role", func() bool { return owner.job().HeldToken != token })
 			c.board.SetFault(processcluster.LinkFault{}, ways...)
 			c.owner(later-1, c.all...)
 			stop()
@@ -297,7 +297,7 @@
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
 		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
-		c.poll("its reports go on", func() bool {
+		c.poll("the owner's reports go on", func() bool {
 			r, j := others[0].report(), others[0].job()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
@@ -310,7 +310,7 @@
 }
 
 // The network holds back what the owner has sent until another sidecar has owned the role for a while, and then delivers it.
-func TestOwnerWhoseBytesAreHeld(t *testing.T) {
+func TestOwnerDelayedEffects(t *testing.T) {
 	c := newOwners(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
 	judge := c.board.OnFrame
@@ -324,11 +324,11 @@
 	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
 	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
 	_, later := c.took("held", token, c.without(owner)...)
-	c.poll("the old one has ended its job", func() bool {
+	c.poll("the old owner has given up the role", func() bool {
 		j, told := owner.toldOf("report")
 		return told && j.HeldToken == 0
 	})
-	c.poll("the new one acts", func() bool {
+	c.poll("the new owner acts", func() bool {
 		r := c.without(owner)[0].report()
 		return r.Token >= later && r.Round >= 2
 	})
@@ -369,7 +369,7 @@
 	assert.GreaterOrEqual(t, e.Token, later)
 	after := victim.job()
 	assert.Greater(t, after.Rejected, before.Rejected)
-	c.poll("it says so", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
+	c.poll("the log reports it", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
 	stop()
 }
 
@@ -432,7 +432,7 @@
 				m.kill()
 			}
 		}
-		c.poll("nobody acts any more", func() bool {
+		c.poll("no sidecar acts as owner", func() bool {
 			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.job().HeldToken != 0 })
 		})
 		time.Sleep(4 * time.Second) // the duration of the fault itself: the lease of a member that is cut off expires, too
@@ -534,13 +534,13 @@
 	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 	require.NoError(t, err)
 	assert.Contains(t, text, "OK")
-	c.poll("it says that it does not vote", func() bool {
+	c.poll("the elector reports that it does not vote", func() bool {
 		s, ok := full.owners()
 		return ok && s.Local.PersistFailed && !s.Local.IsLeader
 	})
 	c.took("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
-	c.poll("it votes again", func() bool {
+	c.poll("the elector votes again", func() bool {
 		s, ok := full.owners()
 		return ok && !s.Local.PersistFailed
 	})
@@ -565,7 +565,7 @@
 		m.signal(syscall.SIGTERM)
 		if mine {
 			others := c.without(m)
-			c.poll("another owns the job", func() bool {
+			c.poll("another sidecar owns the role", func() bool {
 				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.job().HeldToken > token })
 			})
 			gap := time.Since(at)
@@ -595,7 +595,7 @@
 		m.signal(syscall.SIGTERM)
 		<-m.ended
 		rest := slices.DeleteFunc(slices.Clone(able), func(m *fleetMember) bool { return m.gone.Load() })
-		c.pollFor(90*time.Second, "those that have gone are no electors", func() bool {
+		c.pollFor(90*time.Second, "members that have gone are no longer electors", func() bool {
 			s, ok := left[0].owners()
 			return ok && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" })
 		})
@@ -631,7 +631,7 @@
 			}
 		}
 		rounds, all := 0, false
-		c.poll("reports come", func() bool {
+		c.poll("reports arrive", func() bool {
 			r := c.all[4].report()
 			if r.Round != last.Round || r.Token != last.Token {
 				last, all = r, r.Answered == 5
@@ -658,7 +658,7 @@
 	owner, token := c.owner(0, c.all...)
 	still := c.without(owner)[0]
 	still.freeze()
-	c.poll("who does not answer is named", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
+	c.poll("the report names the sidecar that does not reply", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
 	still.resume()
 	var next *fleetMember
 	for n, before := 0, token-1; next == nil; n++ { // A lease may expire on an overloaded machine: that grant does not follow a step-down.
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -155,7 +155,7 @@
 			}
 		}()
 	}
-	w.eventually("clients ask", func() bool { return w.counter("malformed") == 0 && w.counter("descriptors") > 1 })
+	w.eventually("clients send requests", func() bool { return w.counter("malformed") == 0 && w.counter("descriptors") > 1 })
 	w.signal(syscall.SIGTERM)
 	said := time.Now()
 	ended := make(chan error, 1)
@@ -184,7 +184,7 @@
 	require.NoError(t, err)
 	defer c.Close()
 	late := w.askAside("write", "", "", "Request-Timeout", "1500m")
-	w.eventually("a request is out", func() bool { return w.counter("open") == 1 })
+	w.eventually("a request is in flight", func() bool { return w.counter("open") == 1 })
 	w.signal(syscall.SIGTERM)
 	assert.Equal(t, 504, (<-late).status)
 	require.NoError(t, w.cmd.Wait())
--- a/cmd/hazelwheel/quota_test.go
+++ b/cmd/hazelwheel/quota_test.go
@@ -101,7 +101,7 @@
 }
 
 // Usage is restored after a restart, an unreadable file is set aside, and the program serves in each case.
-func TestQuotasLiveThroughARestart(t *testing.T) {
+func TestQuotasSurviveRestart(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "answer"))
 	dir := filepath.Join(t.TempDir(), "state")
 	w, _ := withQuotas(t, quotaGroups, `, "dir": "`+dir+`", "snapshot_s": 1`, s)
--- a/cmd/hazelwheel/reload_test.go
+++ b/cmd/hazelwheel/reload_test.go
@@ -74,7 +74,7 @@
 	}
 	<-w.discovery.calls
 	w.signal(syscall.SIGTERM)
-	w.eventually("ending", func() bool { return w.ask("read", "", "").last })
+	w.eventually("the program is shutting down", func() bool { return w.ask("read", "", "").last })
 	w.discovery = newDiscovery(t)
 	w.writeConfig()
 	w.signal(syscall.SIGHUP)
--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -160,7 +160,7 @@
 }
 
 // Commands at one process's admin endpoint also apply to the other process, and a drain by command is handed over.
-func TestReplacementHeedsBothDoors(t *testing.T) {
+func TestReplacementAdminCommandsReachBoth(t *testing.T) {
 	first, second := newServer(t, "s-00000001", says(200, "1")), newServer(t, "s-00000002", says(200, "2"))
 	w := newTestSidecar(t, first, second)
 	p := newPlatform(w)
@@ -210,7 +210,7 @@
 	for range 20 {
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 	}
-	w.eventually("alone again", func() bool { return strings.HasSuffix(strings.TrimSpace(old.log.String()), "processes=1") })
+	w.eventually("the old process is alone again", func() bool { return strings.HasSuffix(strings.TrimSpace(old.log.String()), "processes=1") })
 	old.retire()
 	for name, text := range map[string]string{"torn": "hazelwheel-handover 1 5 00000000\n{}", "foreign": "something else"} {
 		require.NoError(t, os.WriteFile(saved, []byte(text), 0o600))
@@ -222,7 +222,7 @@
 }
 
 // A passed descriptor that can't accept connections leads to one line and exit status 2.
-func TestPassedFaults(t *testing.T) {
+func TestPassedDescriptorErrors(t *testing.T) {
 	w := newTestSidecar(t)
 	p := newPlatform(w)
 	file, err := os.Open(w.writeConfig())
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -41,7 +41,7 @@
 	for name, want := range map[string]float64{"requests": 6, "served": 6, "executions": 6, "open": 0, "panics": 0} {
 		assert.Equal(t, want, w.counter(name), name)
 	}
-	w.eventually("an idle server link that has settled is used again", func() bool {
+	w.eventually("an idle connection to a server is used again", func() bool {
 		_, before, _ := s.counts()
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 		_, opened, _ := s.counts()
@@ -155,10 +155,10 @@
 	c, err := net.Dial("tcp", w.listen)
 	require.NoError(t, err)
 	io.WriteString(c, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	c.Close()
 	w.eventually("abandoned", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
-	w.eventually("the execution is called off", func() bool { _, _, closed := s.counts(); return closed == 1 })
+	w.eventually("the attempt is aborted", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	assert.EqualValues(t, 1, w.countOfOutcome("execution_ends", "cancelled"))
 }
 
@@ -205,7 +205,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, want, resp.StatusCode)
 	}
-	w.eventually("no link leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
+	w.eventually("no connection leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
 	assert.Zero(t, w.counter("panics"))
 }
 
@@ -243,7 +243,7 @@
 	})
 	_, err := fmt.Fprintf(kept, ask, 2)
 	require.NoError(t, err)
-	w.eventually("it asks", func() bool { return w.counter("open") == 1 })
+	w.eventually("the client has a request in flight", func() bool { return w.counter("open") == 1 })
 	began, silent := time.Now(), []net.Conn{}
 	for range 100 {
 		if c, err := net.Dial("tcp", w.listen); err == nil {
@@ -302,7 +302,7 @@
 	})
 	w := newTestSidecar(t, s).start()
 	first := w.askAside("write", "", "", "Request-Id", "a")
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	assert.Equal(t, 409, w.ask("write", "", "", "Request-Id", "a").status)
 	close(release)
 	assert.Equal(t, "first", (<-first).body)
@@ -398,7 +398,7 @@
 		hold()
 	}
 	// A connection with an incomplete request is closed in favor of one with a request; the idle connection is closed in time.
-	w.eventually("a newcomer is served", func() bool {
+	w.eventually("a new client is served", func() bool {
 		status, _, _ := w.writeRaw(ask + "\r\n")
 		return status == 200
 	})
@@ -432,7 +432,7 @@
 	assert.LessOrEqual(t, w.counter("descriptors"), 40.0)
 }
 
-func TestEnd(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s).start()
 	_, resting, reader := w.writeRaw("GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
@@ -442,11 +442,11 @@
 		io.WriteString(rw, "late")
 	})
 	late := w.askAside("write", "", "")
-	w.eventually("the execution", func() bool { return s.requestCount() == 2 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 2 })
 	w.signal(syscall.SIGTERM)
 	// An idle connection still serves a request that arrives soon after SIGTERM; the response closes the connection.
 	s.set(says(200, ""))
-	w.eventually("ending", func() bool { return w.ask("read", "", "").last })
+	w.eventually("the program is shutting down", func() bool { return w.ask("read", "", "").last })
 	io.WriteString(resting, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\n\r\n")
 	r, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -53,7 +53,7 @@
 
 // One more sidecar moves the server subsets of the others by one or two servers each, and every server is used by at least two sidecars.
 // If sidecars knew only their own rank, each of the 20 would use a different half of the servers.
-func TestShareOneMore(t *testing.T) {
+func TestShareAddedSidecar(t *testing.T) {
 	const standing, boxes, each = 20, 40, 120
 	c := newTestFleet(t, standing+1)
 	c.replica = standing
--- a/cmd/hazelwheel/shutdown_test.go
+++ b/cmd/hazelwheel/shutdown_test.go
@@ -18,7 +18,7 @@
 )
 
 // A request during which SIGTERM arrives, at any point, gets its complete response, is sent once and answered once, and its connection
-// then closes in order. TestEnd covers a request that waits for its response, and one on an idle connection.
+// then closes in order. TestShutdown covers a request that waits for its response, and one on an idle connection.
 func TestShutdownMeetsRequest(t *testing.T) {
 	const half = 100 << 10
 	large := strings.Repeat("a", half) + strings.Repeat("b", half)
@@ -72,7 +72,7 @@
 			case c.late:
 				w.eventually("the dial", func() bool { return s.isIn(t, synSent) })
 			case c.unlisted:
-				w.eventually("it is taken", func() bool { return w.counter("open") == 1 })
+				w.eventually("the request is open", func() bool { return w.counter("open") == 1 })
 			case c.before == 0:
 				w.eventually("the attempt", func() bool { return len(s.of(id)) == 1 })
 			}
@@ -196,7 +196,7 @@
 			}
 		})
 	}
-	w.eventually("clients ask", func() bool { return len(s.got()) > 5*clients })
+	w.eventually("clients send requests", func() bool { return len(s.got()) > 5*clients })
 	w.signal(syscall.SIGTERM)
 	took := w.awaitExit(time.Now())
 	all.Wait()
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -157,7 +157,7 @@
 	w.eventually("the log", func() bool {
 		return strings.Contains(w.log.String(), "connections at the Thrift port are closed that speak no framed Thrift")
 	})
-	w.eventually("no link leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
+	w.eventually("no connection leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
 	assert.Zero(t, w.counter("panics"))
 }
 
@@ -275,13 +275,13 @@
 	w.start()
 	c := w.dialThrift()
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "write", 1, "a", "", ""))
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	s.status = "DRAINING"
 	close(drains)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
 	close(release)
 	assert.Equal(t, "1 write drained", said(t, c))
-	w.eventually("its link is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
+	w.eventually("the connection is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "write", 2, "b", "", ""))
 	assert.Equal(t, "2 write other", said(t, c))
 	assert.Equal(t, 1, s.requestCount())
@@ -301,7 +301,7 @@
 		ahead = append(ahead, frame(thrift.Binary, thrift.Call, "write", int32(i), fmt.Sprint("i", i), "", strings.Repeat("z", 1000))...)
 	}
 	_, _ = c.Write(ahead)
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	w.signal(syscall.SIGTERM)
 	w.awaitLog("msg=ending", 1)
 	close(release)
@@ -324,9 +324,9 @@
 		assert.Equal(t, "2 read =y", said(t, c))
 		_, _ = c.Write(frame(enc, thrift.Oneway, "writeAside", 3, "", "", "z"))
 		c.Close()
-		w.eventually("it arrives", func() bool { return s.requestCount() == 3*(i+1) })
+		w.eventually("the request arrives", func() bool { return s.requestCount() == 3*(i+1) })
 	}
-	w.eventually("all are over", func() bool { return w.counter("open") == 0 })
+	w.eventually("all requests have ended", func() bool { return w.counter("open") == 0 })
 	assert.Equal(t, 9.0, w.counter("served"))
 	assert.Equal(t, 6.0, w.countOfOutcome("execution_ends", "cancelled"), "how the servers fared is not known")
 	assert.Zero(t, w.counter("abandoned"))
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -290,7 +290,7 @@
 // owner waits until one of the members owns the role, and returns it.
 func (y *maintenanceFleet) owner(some ...*fleetMember) (owner *fleetMember) {
 	y.Helper()
-	y.poll("one settles the order", func() bool {
+	y.poll("a sidecar coordinates the plans", func() bool {
 		owner = nil
 		for _, m := range some {
 			if j := m.jobOf("works"); j.HeldToken != 0 {
@@ -326,7 +326,7 @@
 	w.client.Timeout = 3 * patience
 	w.askAside(class, "/hold", "", header...)
 	var found *machine
-	y.poll("a box holds a request", func() bool {
+	y.poll("a server holds a request", func() bool {
 		for _, b := range y.boxes {
 			b.mu.Lock()
 			for _, v := range b.came {
@@ -450,7 +450,7 @@
 
 // A sidecar is cut off from its peers, but not from the servers, while a server is drained. It is named as the blocker and waited for,
 // and the server is not handed over; when the sidecar is back, the plan goes on.
-func TestWorkWaitsForWhoIsCutOff(t *testing.T) {
+func TestWorkWaitsForPartitionedSidecar(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
 	owner := y.owner(y.all...)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -21,7 +21,7 @@
 
 // A sidecar is killed permanently while a server is drained: it is named as the blocker, and counts as gone after the time that the plan
 // states.
-func TestWorkWithoutWhoIsGone(t *testing.T) {
+func TestWorkSidecarKilled(t *testing.T) {
 	y := newMaintenanceFleet(t, 4, 3, 3).open()
 	y.mechanic("anna", nil)
 	dead := y.without(y.owner(y.all...), y.all[0], y.all[1], y.all[2])
@@ -80,7 +80,7 @@
 
 // One request takes half a minute to answer, and another was given up on while its server still processes it: the server is not handed
 // over before they have ended, or can't go on any more.
-func TestWorkRequestIsOut(t *testing.T) {
+func TestWorkRequestInFlight(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name     string
@@ -116,7 +116,7 @@
 
 // The load grows while servers are out, or a site is lost: servers that no agent works on are reinstated, no more are drained, and once
 // the trouble is over the plan goes on.
-func TestWorkFleetIsInTrouble(t *testing.T) {
+func TestWorkOverloadAndSiteLoss(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name, waits string
@@ -154,9 +154,9 @@
 			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
 			began := time.Now()
-			y.poll("both are given back", func() bool { return y.counts()[maintenance.Pending] == 4 })
+			y.poll("both servers are reinstated", func() bool { return y.counts()[maintenance.Pending] == 4 })
 			t.Log("given back after", time.Since(began))
-			y.poll("it says why", func() bool {
+			y.poll("the status gives the reason", func() bool {
 				s := y.newest()
 				return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 					return strings.Contains(w.Reason, k.waits) || strings.Contains(w.Reason, "is seen how")
@@ -174,7 +174,7 @@
 
 // An operator reinstates a server at one sidecar while a plan has it out: that sidecar uses it, and it is not handed over until the
 // operator bans it there. It stays banned there when the plan has ended, until the operator reinstates it.
-func TestWorkAndHands(t *testing.T) {
+func TestWorkManualReinstatement(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
 	b, hand := y.hold(y.all[0], "write"), y.all[2]
@@ -187,7 +187,7 @@
 	y.waits(b, "has something out there", "m00")
 	said("ONLINE")
 	before := b.requestCount()
-	y.poll("it is used there", func() bool { return b.requestCount() > before })
+	y.poll("the server is used there", func() bool { return b.requestCount() > before })
 	b.release()
 	y.waits(b, "in use there by hand", hand.name)
 	s, _ := hand.works()
@@ -206,17 +206,17 @@
 		return n
 	}
 	n, asked := ours(), hand.asked.Load()
-	y.poll("it serves elsewhere", func() bool { return hand.asked.Load() > asked+100 })
+	y.poll("the sidecar uses other servers", func() bool { return hand.asked.Load() > asked+100 })
 	assert.Equal(t, n, ours(), "it is out there by hand")
 	said("ONLINE")
-	y.poll("it is used there again", func() bool { return ours() > n })
+	y.poll("the server is used there again", func() bool { return ours() > n })
 	y.serving()
 }
 
 // The same plan is submitted at both sides of a network partition. The side with a majority accepts it, and waits; the other replies
 // that the outcome is unknown. Once the partition heals, the second side learns of the first one's plan, which is carried out once. A
 // repeated command is done once.
-func TestWorkOnBothSidesOfACut(t *testing.T) {
+func TestWorkPlanDuringPartition(t *testing.T) {
 	y := newMaintenanceFleet(t, 5, 5, 3).open()
 	y.mechanic("anna", nil)
 	y.owner(y.all...)
@@ -231,13 +231,13 @@
 	out, code := y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known whether it was done")
-	y.poll("who is not heard is named", func() bool {
+	y.poll("the silent sidecar is named", func() bool {
 		s, _ := left[0].works()
 		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.SetFault(processcluster.LinkFault{}, ways...)
-	y.poll("the other side knows", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
+	y.poll("the other side knows the plan", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "is of plan 1 (yard), which has not ended")
@@ -259,12 +259,12 @@
 	b := y.hold(y.all[0], "write")
 	others := slices.DeleteFunc(slices.Clone(y.boxes), func(o *machine) bool { return o == b })
 	y.plan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
-	y.pollFor(6*patience, "boxes are leaving, ready and taken", func() bool {
+	y.pollFor(6*patience, "servers are draining, drained and in maintenance", func() bool {
 		count := y.counts()
 		return count[maintenance.Draining] > 0 && count[maintenance.Drained] > 0 && count[maintenance.InMaintenance] == 1
 	})
 	y.work(y.all[2], "abort")
-	y.poll("what nobody works on is given back", func() bool { return y.counts()[maintenance.Skipped] == 4 })
+	y.poll("servers that no agent works on are reinstated", func() bool { return y.counts()[maintenance.Skipped] == 4 })
 	s := y.newest()
 	assert.False(t, s.Plans[0].Ended)
 	assert.Len(t, s.Cordoned, 1)
@@ -282,7 +282,7 @@
 
 // An agent dies while it has a server, and continues with it after its restart; another agent gets nothing meanwhile. An agent that is
 // too slow loses its server, and its report comes too late. Old tokens and second reports are rejected.
-func TestWorkMechanics(t *testing.T) {
+func TestWorkAgents(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	owner := y.owner(y.all...)
 	slow := func(m *maintenanceagent.Agent) {
@@ -294,7 +294,7 @@
 	first := y.comes(y.boxes[0], maintenance.InMaintenance)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
-	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
+	y.poll("the server is overdue", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
 	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
@@ -310,12 +310,12 @@
 	p := y.ended()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
-	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
+	y.poll("the agent's report came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
 	assert.Contains(t, bob.Records()[0].CompletionErrors[0], "is not worked on under")
 	stop()
 	lost := y.boxes[1].requestCount()
 	asked := owner.asked.Load()
-	y.poll("others serve", func() bool { return owner.asked.Load() > asked+100 })
+	y.poll("the others serve", func() bool { return owner.asked.Load() > asked+100 })
 	assert.Equal(t, lost, y.boxes[1].requestCount(), "what was lost stays out")
 	out, code := y.command("fleet", "work", "done", y.boxes[0].name, formatToken(first.Token-1), "--ops", owner.ops)
 	assert.Equal(t, 1, code)
@@ -323,7 +323,7 @@
 	out, code = y.command("fleet", "work", "failed", y.boxes[0].name, formatToken(first.Token), "--ops", owner.ops)
 	assert.Equal(t, 1, code, out)
 	y.work(owner, "skip", y.boxes[1].name)
-	y.poll("it is given back", func() bool { return y.boxes[1].requestCount() > lost })
+	y.poll("the server is reinstated", func() bool { return y.boxes[1].requestCount() > lost })
 
 	// Forced while a request is in flight: the status records the sidecar that had it.
 	b := y.hold(owner, "write")
@@ -340,7 +340,7 @@
 
 // Discovery changes a server that is out: it is removed, listed at another address, or listed as draining. It stays out, and returns in
 // its time.
-func TestWorkDiscoveryMoves(t *testing.T) {
+func TestWorkDiscoveryChanges(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for name, change := range map[string]func(e *endpoint, other endpoint){
 		"dropped":         func(e *endpoint, _ endpoint) { e.Status = "DELETED" },
@@ -370,13 +370,13 @@
 				return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return lists(m) == before[m] })
 			})
 			asked := y.all[0].asked.Load()
-			y.poll("they serve by it", func() bool { return y.all[0].asked.Load() > asked+100 })
+			y.poll("the sidecars go on serving", func() bool { return y.all[0].asked.Load() > asked+100 })
 			assert.Zero(t, moved.requestCount(), "it is out wherever it is listed")
 			close(over)
 			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 			y.registry.publish(b.entry(), false)
 			was := b.requestCount()
-			y.poll("it serves again", func() bool { return b.requestCount() > was })
+			y.poll("the sidecar serves again", func() bool { return b.requestCount() > was })
 			y.serving()
 		})
 	}
@@ -403,7 +403,7 @@
 	}
 	y.ready(y.all[4:]...)
 	y.agree(y.all...)
-	y.poll("it goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
+	y.poll("the plan goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
 	for i, m := range y.all[4:] {
 		if i%2 == 0 {
 			m.term()
@@ -411,7 +411,7 @@
 			m.kill()
 		}
 	}
-	y.poll("it goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
+	y.poll("the plan goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
 	dies()
 	var last *machine
 	y.poll("the last one is ready", func() bool {
@@ -430,7 +430,7 @@
 	left := y.all[2:4]
 	// Danger: an admin endpoint that does not reply in time shows nothing. An owner whose lease is still valid may hand the server over
 	// meanwhile, which is agreed once the majority is back.
-	y.poll("nobody settles anything", func() bool {
+	y.poll("no sidecar coordinates the plans", func() bool {
 		return !slices.ContainsFunc(left, func(m *fleetMember) bool {
 			j, told := m.toldOf("works")
 			return !told || j.HeldToken != 0
@@ -447,7 +447,7 @@
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 	}
-	y.poll("it serves", func() bool { return last.requestCount() > before })
+	y.poll("the sidecar serves", func() bool { return last.requestCount() > before })
 	ends()
 	for _, m := range y.all[:2] {
 		m.start()
@@ -459,7 +459,7 @@
 
 // While a server is in maintenance, a process takes over from a sidecar with its socket. Then all are killed at once and restart, as
 // after a power failure: servers that are out stay out, and the plan goes on.
-func TestWorkAllBeginAgain(t *testing.T) {
+func TestWorkFullRestart(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3)
 	m := y.all[2]
 	l, err := net.Listen("tcp", m.listen)
@@ -492,7 +492,7 @@
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own admin endpoint
 	m.start()
-	y.poll("the new process has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+	y.poll("the new process has the server out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	<-ended
 	y.agree(y.all...)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -98,7 +98,7 @@
 
 // The coordinator is killed at a step, and the next one is stopped at the same step until a third one has handed over another server;
 // then it resumes. Each server is worked on once, and the plan ends.
-func TestWorkCoordinatorFalls(t *testing.T) {
+func TestWorkCoordinatorFails(t *testing.T) {
 	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name string
@@ -146,7 +146,7 @@
 					if k.at == maintenance.Pending && i > 0 {
 						done, at, times = 0, maintenance.WarmingUp, 1 // the first server must be done before
 					}
-					y.poll("a box is at that stage", func() bool {
+					y.poll("a server is at that stage", func() bool {
 						count := y.counts()
 						return over() || count[maintenance.Done] >= done && count[at] > 0
 					})
@@ -188,7 +188,7 @@
 					old = owner
 				}
 			}
-			y.pollFor(6*patience, "a box is handed over", func() bool {
+			y.pollFor(6*patience, "a server is handed over", func() bool {
 				all := y.records()
 				if over() && !all[len(all)-1].StartedAt.After(from) {
 					give() // no server was left
@@ -201,7 +201,7 @@
 			for _, b := range p.Servers {
 				assert.Equal(t, maintenance.Done, b.Stage, b.Name)
 			}
-			y.poll("the old one knows", func() bool {
+			y.poll("the old owner knows", func() bool {
 				s, ok := old.works()
 				j, told := old.toldOf("works")
 				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
