--- a/cmd/hazelwheel/advice_test.go
+++ b/cmd/hazelwheel/advice_test.go
@@ -26,5 +26,5 @@
 	reload(2)
 	w.awaitLog("code=HW077", 2)
 	assert.Equal(t, 1, strings.Count(w.log.String(), "code=HW044"))
-	assert.NotContains(t, w.log.String(), "HW013", "notes are for config check")
+	assert.NotContains(t, w.log.String(), "HW013", "only config check prints notes")
 }
--- a/cmd/hazelwheel/backend_test.go
+++ b/cmd/hazelwheel/backend_test.go
@@ -93,7 +93,7 @@
 					assert.Equal(t, "sound", a.body)
 				} else {
 					assert.Contains(t, []int{502, 503}, a.status)
-					assert.True(t, class == "read" || a.status == 502, "it may have run")
+					assert.True(t, class == "read" || a.status == 502, "the request may have run")
 				}
 				assert.Len(t, s.of(id), attempts)
 			})
@@ -163,7 +163,7 @@
 			require.NoError(t, err)
 			assert.Equal(t, map[int]int{1: 502, 2: 200}[attempts], a.status)
 			if assert.Len(t, s.of(id), attempts) {
-				assert.Zero(t, s.of(id)[0].connection, "it was the one that rested")
+				assert.Zero(t, s.of(id)[0].connection, "the attempt was sent on the idle connection")
 			}
 		})
 	}
@@ -184,7 +184,7 @@
 				sends(head)(c, a)
 				_ = c.SetWriteDeadline(time.Now().Add(2 * time.Second)) // by then nobody reads any more
 				_, err := c.Write(make([]byte, size))
-				assert.Error(t, err, "it is not read to its end")
+				assert.Error(t, err, "the response is not read to its end")
 				reset(c)
 				close(stuck)
 				return false
@@ -195,7 +195,7 @@
 			<-stuck
 			within(500*time.Millisecond, func() bool { return w.counter("open") == 0 })
 			a, err := conn.answer()
-			assert.Error(t, err, "%d bytes of %d seem whole", len(a.body), size)
+			assert.Error(t, err, "%d bytes of %d look like a complete response", len(a.body), size)
 			w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 			assert.Zero(t, w.counter("served"))
 		})
--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -88,7 +88,7 @@
 	assert.Contains(t, first, `"k":"start"`)
 	w.load(1600)
 	dump := w.dump()
-	assert.NotContains(t, dump, `"k":"start"`, "the ring has dropped its start")
+	assert.NotContains(t, dump, `"k":"start"`, "the ring buffer has dropped its oldest records")
 	assert.Regexp(t, `\{"t":\d{13},"k":"dec","id":"[0-9a-f]{16}","class":"(read|write|alert)","to":"s-(0000000\d|5be2a07c)"`, dump)
 	stats := w.counters()["capture"].(map[string]any)
 	assert.Greater(t, stats["segments"], 4.0)
--- a/cmd/hazelwheel/config_test.go
+++ b/cmd/hazelwheel/config_test.go
@@ -70,7 +70,7 @@
 		code, said := run(t, append([]string{"config"}, words(c.args)...)...)
 		assert.Equal(t, c.code, code, "%s: %s", c.args, said)
 		assert.Contains(t, said, c.want, c.args)
-		assert.NotContains(t, said, "\x1b", "no terminal, no colour")
+		assert.NotContains(t, said, "\x1b", "no color without a terminal")
 	}
 }
 
@@ -253,7 +253,7 @@
 	for _, m := range shown {
 		assert.Contains(t, said, m[1])
 	}
-	assert.Equal(t, len(shown)+1, strings.Count(said, "\n"), "all of them, and the line that counts")
+	assert.Equal(t, len(shown)+1, strings.Count(said, "\n"), "all findings, and the line that counts them")
 }
 
 // At a terminal, config new asks for what no flag gives, and asks again until the answer is valid.
@@ -268,7 +268,7 @@
 	cmd.Stdin = strings.NewReader("n3\n\n127.0.0.1:8500\nzarqa\n1\n3\n3\n3s\n40\n\n\n\nraise-alert\n")
 	out, err := cmd.CombinedOutput()
 	require.NoError(t, err, string(out))
-	assert.Contains(t, string(out), `Write "3ms" or "3s"`, "3 has no unit, and is asked for again")
+	assert.Contains(t, string(out), `Write "3ms" or "3s"`, "3 has no unit, so the question is repeated")
 	f := appconfig.Open(app, nil)
 	require.Empty(t, f.Faults)
 	assert.Equal(t, []any{"n3", "127.0.0.1:3000", "zarqa", 1, 3, "3s", 40}, []any{f.App.Name, f.App.Listen, f.App.Home, f.App.Index, f.App.Replicas,
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -350,7 +350,7 @@
 	case err := <-over:
 		require.NoError(w, err)
 	case <-time.After(patience):
-		require.Fail(w, "it does not end")
+		require.Fail(w, "the program does not exit")
 	}
 	return time.Since(since)
 }
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -162,7 +162,7 @@
 					}
 					assert.LessOrEqual(t, len(s.of(id)), 3)
 				}
-				assert.LessOrEqual(t, w.counter("overdue"), w.counter("stalls"), "the decisions answered, unless the program stood still")
+				assert.LessOrEqual(t, w.counter("overdue"), w.counter("stalls"), "the policy answered, unless the program was stopped")
 			})
 		}
 	}
@@ -247,7 +247,7 @@
 			var began time.Time
 			// Danger: on a busy machine the dial may be seen, and the program stopped, only after the deadline.
 			for held, tries := false, 0; !held; tries++ {
-				require.Less(t, tries, 5, "the program could not be held while it dials")
+				require.Less(t, tries, 5, "the program could not be stopped while it dials")
 				id, conn = newID(), w.dial(0)
 				conn.send(text("write", id, timeout, ""))
 				began = time.Now()
@@ -268,7 +268,7 @@
 			assert.NotEqual(t, 200, a.status)
 			w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 			w.ask("read", "", "") // by then everything that was written has arrived
-			assert.Empty(t, s.of(id), "no attempt begins after the deadline")
+			assert.Empty(t, s.of(id), "no attempt starts after the deadline")
 		})
 	}
 }
--- a/cmd/hazelwheel/drill_test.go
+++ b/cmd/hazelwheel/drill_test.go
@@ -63,7 +63,7 @@
 	for range 20 {
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 	}
-	assert.Zero(t, w.faultHits(), "a drill runs when it is started")
+	assert.Zero(t, w.faultHits(), "a drill runs only once it is started")
 	code, text := w.controlFault("lag1", drillSecret+"\n")
 	require.Zero(t, code, text)
 
@@ -96,7 +96,7 @@
 	assert.EqualValues(t, slow, w.faultHits())
 	assert.NotContains(t, log, "secret\\twith")
 	for range 5 {
-		assert.Equal(t, 200, w.ask("write", "", "").status, "other classes are left alone")
+		assert.Equal(t, 200, w.ask("write", "", "").status, "other classes are not affected")
 	}
 	assert.EqualValues(t, slow, w.faultHits())
 }
@@ -184,7 +184,7 @@
 	w.signal(syscall.SIGTERM)
 	assert.Equal(t, 200, (<-last).status)
 	require.NoError(t, w.cmd.Wait())
-	assert.Equal(t, 2, s.requestCount(), "what was abandoned was never sent")
+	assert.Equal(t, 2, s.requestCount(), "the abandoned request was never sent")
 }
 
 // A read that is delayed beyond its objective is slow, not rejected: it must not be treated as a client's later retry, for which the
@@ -211,7 +211,7 @@
 		code, text := run(t, command, "--config", w.writeConfig(), "--features", path)
 		assert.Equal(t, 2, code)
 		assert.True(t, strings.HasSuffix("\n"+text, "\nhazelwheel: features: drills[0].shares: unknown field\n"), text)
-		assert.Equal(t, command == "check", strings.Contains(text, "HW011"), "serve says what it ends by, check all that it finds")
+		assert.Equal(t, command == "check", strings.Contains(text, "HW011"), "serve prints only the error that ends it, check prints all findings")
 	}
 	path = w.writeFile("features.json", `{"drills":[{"name":"a","class":"read"}],"rewrites.forwarded":true,"health.port":9000,"capture":{}}`)
 	code, text := run(t, "check", "--config", w.writeConfig(), "--features", path)
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -71,7 +71,7 @@
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("after a short cut one again after %v", c.agree(c.all...))
 	s, _ := c.all[0].seen()
-	assert.Len(t, s.Members, 7, "nobody is another than before")
+	assert.Len(t, s.Members, 7, "no member has changed its identity")
 	stop()
 }
 
@@ -174,9 +174,9 @@
 			assert.Equal(t, before.ID, after.ID)
 			for _, m := range c.all {
 				s, _ := m.seen()
-				assert.Len(t, s.Members, 5, "nobody is another than before")
+				assert.Len(t, s.Members, 5, "no member has changed its identity")
 			}
-			if deaths := c.deaths(still); assert.Zero(t, deaths, "it doubts itself before others") && stall > 4*time.Second {
+			if deaths := c.deaths(still); assert.Zero(t, deaths, "it suspects itself before others") && stall > 4*time.Second {
 				assert.NotZero(t, after.View.Refutations+after.View.Stalls)
 			}
 			stop()
@@ -205,7 +205,7 @@
 		ids[m.id()] = true
 	}
 	assert.Len(t, ids, 4)
-	assert.True(t, ids[was], "one of the two keeps it")
+	assert.True(t, ids[was], "one of the two keeps the identity")
 	c.poll("a sidecar reports it", func() bool {
 		return strings.Contains(c.all[2].log.String()+twin.log.String(), "goes on under another identity")
 	})
@@ -245,7 +245,7 @@
 	c.ready(c.all...)
 	t.Logf("all again after %v", c.agree(c.all...))
 	for _, m := range c.all {
-		assert.True(t, ids[m.id()], "it is who it was")
+		assert.True(t, ids[m.id()], "it keeps its identity")
 	}
 	stop()
 
@@ -261,7 +261,7 @@
 			return s.ID != ""
 		})
 		assert.Equal(t, 1, s.Live)
-		assert.Equal(t, 3, s.Count, "alone it goes by its settings")
+		assert.Equal(t, 3, s.Count, "a member that is alone uses its settings")
 	}
 	lonely.all[2].gone.Store(true)
 	lonely.ready(lonely.all[2].start())
@@ -523,13 +523,13 @@
 	t.Logf("at most %d kB resident", peak)
 	assert.Less(t, peak, 200<<10)
 	for _, text := range []string{"is of another fleet", "not spoken here"} {
-		assert.Equal(t, 1, strings.Count(victim.log.String(), text), "told once")
+		assert.Equal(t, 1, strings.Count(victim.log.String(), text), "logged once")
 	}
 	for _, m := range c.all {
 		s, ok := m.seen()
 		require.True(t, ok)
 		for _, other := range c.all {
-			assert.Equal(t, "alive", states(s)[other.name], "those that live are not forgotten for those that do not")
+			assert.Equal(t, "alive", states(s)[other.name], "live members are not evicted for dead ones")
 		}
 	}
 	stop()
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -86,7 +86,7 @@
 	}
 	all.Wait()
 	held := memoryMB(t, w.cmd.Process.Pid)
-	assert.Less(t, held, memoryMost, "all of them are 384 MB")
+	assert.Less(t, held, memoryMost, "all messages together are 384 MB")
 	t.Logf("%.0f MB resident at most", held)
 	for name, want := range map[string]float64{"requests": 12, "served": 12, "executions": 12, "written": 12, "open": 0, "panics": 0} {
 		assert.Equal(t, want, w.counter(name), name)
@@ -119,7 +119,7 @@
 	for range 100 {
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 	}
-	assert.EqualValues(t, 1, w.counter("open"), "it is open until its last byte")
+	assert.EqualValues(t, 1, w.counter("open"), "the request is open until the last byte of its response")
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	n, err := io.Copy(io.Discard, r.Body)
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -48,7 +48,7 @@
 				assert.Equal(t, 200, a.status)
 				assert.Len(t, s.of(next), 1)
 				w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
-				assert.Len(t, s.of(id), c.attempts, "no attempt for a client that has gone")
+				assert.Len(t, s.of(id), c.attempts, "no attempt for a client that has disconnected")
 				assert.EqualValues(t, 1, w.counter("abandoned"))
 			})
 		}
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -82,7 +82,7 @@
 	r, err := outside.Get("http://" + w.listen + "/ready")
 	require.NoError(t, err)
 	r.Body.Close()
-	assert.Equal(t, 200, r.StatusCode, "the platform's own is as it was")
+	assert.Equal(t, 200, r.StatusCode, "the platform's own check is unchanged")
 }
 
 // Requests in flight and the shutdown are reported while they last.
--- a/cmd/hazelwheel/hosts_test.go
+++ b/cmd/hazelwheel/hosts_test.go
@@ -31,7 +31,7 @@
 	}
 	assert.EqualValues(t, 3, w.counter("list_failed"))
 	assert.EqualValues(t, 1, w.counter("lists"))
-	assert.Equal(t, "2", w.ask("read", "", "").body, "the server that the whole list no longer has is gone")
+	assert.Equal(t, "2", w.ask("read", "", "").body, "a server that is missing from the complete list is removed")
 	assert.Zero(t, first.requestCount())
 }
 
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -305,7 +305,7 @@
 	c.ready(first.start())
 	c.poll("the restarted sidecar runs the rest of the drill", func() bool { d := drills(first); return len(d) == 1 && d[0].RemainingSeconds > 0 })
 	late := drills(first)[0]
-	assert.LessOrEqual(t, late.RemainingSeconds, 6-time.Since(began).Seconds()+1, "it is the rest")
+	assert.LessOrEqual(t, late.RemainingSeconds, 6-time.Since(began).Seconds()+1, "only the remaining time")
 	owner(c.all...)
 	c.poll("the drill has ended at all sidecars", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool { d := drills(m); return len(d) != 1 || d[0].RemainingSeconds > 0 })
--- a/cmd/hazelwheel/ops_test.go
+++ b/cmd/hazelwheel/ops_test.go
@@ -121,7 +121,7 @@
 	dump := w.callAdmin("DUMP")
 	for _, class := range []string{"read", "alert", "write"} {
 		for _, how := range []string{"completed", "rejected", "failed"} {
-			assert.Contains(t, dump, fmt.Sprintf("gw_%s{lane=%q} 0\n", how, class), "from the start on")
+			assert.Contains(t, dump, fmt.Sprintf("gw_%s{lane=%q} 0\n", how, class), "present from the start")
 		}
 	}
 	assert.Equal(t, 2, w.figure("members"))
@@ -199,7 +199,7 @@
 	only("1")
 	w.awaitFigure("members_unavailable", 1)
 	require.Contains(t, w.callAdmin("OFFLINE s-00000001"), "OK")
-	assert.Equal(t, 503, w.ask("write", "", "", "Request-Timeout", "300m").status, "all are out: nothing has run")
+	assert.Equal(t, 503, w.ask("write", "", "", "Request-Timeout", "300m").status, "all servers are banned: nothing has run")
 	require.Contains(t, w.callAdmin("ONLINE s-00000002"), "OK")
 	w.eventually("the server is used again", func() bool { return w.ask("read", "", "").body == "2" })
 	only("2")
@@ -241,9 +241,9 @@
 	require.Equal(t, "OK draining\n", w.callAdmin("LEAVE"))
 	p := w.ask("read", "", "")
 	assert.Equal(t, 200, p.status)
-	assert.True(t, p.last, "each answer is the last on its link")
+	assert.True(t, p.last, "each response closes its connection")
 	_, err := bufio.NewReader(idle).ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "an idle link is ended")
+	assert.ErrorIs(t, err, io.EOF, "an idle connection is closed")
 	assert.Contains(t, w.callAdmin("HEALTH"), "OK")
 	require.Equal(t, "OK serving\n", w.callAdmin("JOIN"))
 	assert.Equal(t, 200, ready())
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		wrong, seen, refused, old := c.effects.Results()
-		assert.Empty(t, wrong, "nobody passes an old owner's effect on")
+		assert.Empty(t, wrong, "no member relays an old owner's effect")
 		assert.NotZero(t, seen)
 		t.Logf("%d effects on the wire, %d under a token that was not the greatest any more, %d refusals", seen, old, refused)
 	})
@@ -305,7 +305,7 @@
 		c.board.SetFault(processcluster.LinkFault{}, ways...)
 		c.owner(token-1, c.all...)
 	}
-	assert.True(t, held, "its reports go on")
+	assert.True(t, held, "the owner's reports go on")
 	stop()
 }
 
@@ -445,7 +445,7 @@
 		}
 		c.ready(away...)
 		if slices.ContainsFunc(away, func(m *fleetMember) bool { return m.job().HeldToken == token }) {
-			assert.Fail(t, "a lease has outlived a majority", how)
+			assert.Fail(t, "a lease is valid without a majority", how)
 		}
 		c.took("a majority was "+how, token, c.all...)
 	}
@@ -644,7 +644,7 @@
 			return served >= total && all || rounds >= 4
 		})
 	}
-	assert.Equal(t, uint64(total), served, "all that was served is in reports, once")
+	assert.Equal(t, uint64(total), served, "the reports count each served request once")
 	out, code := c.command("fleet", "report", "--ops", c.all[3].ops)
 	assert.Zero(t, code, out)
 	assert.Regexp(t, `\d of 5 sidecars`, out)
@@ -662,7 +662,7 @@
 	still.resume()
 	var next *fleetMember
 	for n, before := 0, token-1; next == nil; n++ { // A lease may expire on an overloaded machine: that grant does not follow a step-down.
-		require.Less(t, n, 5, "leases end again and again")
+		require.Less(t, n, 5, "leases keep expiring")
 		owner, token = c.owner(before, c.all...) // the owner may have led the electors, and its lease expired meanwhile
 		out, code = c.command("fleet", "step-down", "--ops", c.without(owner)[1].ops, "report")
 		assert.Zero(t, code, out)
@@ -676,5 +676,5 @@
 	_, err := callOnce(next.ops, "LEAVE\n")
 	require.NoError(t, err)
 	after, _ := c.took("drained", token, c.all...)
-	assert.NotEqual(t, next, after, "who is drained works for no others")
+	assert.NotEqual(t, next, after, "a draining sidecar owns no role")
 }
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -201,7 +201,7 @@
 	select {
 	case <-m.ended:
 	case <-time.After(patience):
-		require.Fail(m.c, m.name+" does not end")
+		require.Fail(m.c, m.name+" does not exit")
 	}
 }
 
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -164,7 +164,7 @@
 	case err := <-ended:
 		assert.NoError(t, err)
 	case <-time.After(patience):
-		t.Fatal("it does not end")
+		t.Fatal("the program does not exit")
 	}
 	assert.Less(t, time.Since(said), 10*time.Second)
 	all := tally{}
@@ -283,6 +283,6 @@
 		}
 	}
 	assert.NoError(t, w.cmd.Wait())
-	assert.Equal(t, served, s.requestCount(), "all that it took, each once")
+	assert.Equal(t, served, s.requestCount(), "each accepted request, once")
 	assert.Greater(t, served, 8)
 }
--- a/cmd/hazelwheel/quota_test.go
+++ b/cmd/hazelwheel/quota_test.go
@@ -45,10 +45,10 @@
 	require.NoError(t, err)
 	assert.Positive(t, after)
 	assert.Contains(t, r.body, "ministry.batch")
-	assert.False(t, r.last, "the link stays")
+	assert.False(t, r.last, "the connection stays open")
 	got := s.requestCount()
-	assert.Equal(t, 429, w.ask("read", "", "", "Organisation", "nobody-"+strings.Repeat("x", 200)).status, "an unknown name is of the default group")
-	assert.Equal(t, got, s.requestCount(), "a refused request goes nowhere")
+	assert.Equal(t, 429, w.ask("read", "", "", "Organisation", "nobody-"+strings.Repeat("x", 200)).status, "an unknown name belongs to the default group")
+	assert.Equal(t, got, s.requestCount(), "a rejected request reaches no server")
 	assert.Equal(t, 200, w.ask("write", "", "x").status, "its class has another group")
 	for range 8 {
 		assert.Equal(t, 200, w.ask("read", "", "", "Organisation", "city").status, "and the city has its own")
@@ -119,7 +119,7 @@
 	require.NoError(t, w.cmd.Process.Kill()) // killed, so it can't save at shutdown
 	_ = w.cmd.Wait()
 	w.start()
-	assert.Zero(t, use(), "a crash gives nobody a second helping")
+	assert.Zero(t, use(), "a crash does not refill a quota")
 	w.signal(syscall.SIGTERM)
 	_ = w.cmd.Wait()
 
@@ -131,7 +131,7 @@
 	w.start()
 	w.awaitLog("the snapshot can't be used", 1)
 	assert.FileExists(t, file+".set-aside")
-	assert.Greater(t, use(), 7, "all begin anew")
+	assert.Greater(t, use(), 7, "all groups start from scratch")
 }
 
 func TestQuotasAreReadAgain(t *testing.T) {
--- a/cmd/hazelwheel/reload_test.go
+++ b/cmd/hazelwheel/reload_test.go
@@ -30,12 +30,12 @@
 	w.discovery = newDiscovery(t)
 	w.writeConfig()
 	w.signal(syscall.SIGHUP)
-	assert.Equal(t, "/v1/endpoints?follow=1", <-w.discovery.calls, "versions of the old one mean nothing to it")
-	assert.Equal(t, "1", w.ask("read", "", "").body, "the list is kept until it has answered")
+	assert.Equal(t, "/v1/endpoints?follow=1", <-w.discovery.calls, "the new discovery does not know the old one's versions")
+	assert.Equal(t, "1", w.ask("read", "", "").body, "the list is kept until the new discovery has answered")
 	w.discovery.answers <- list(line(t, 2, true, second))
 	w.eventually("the new list", func() bool { return w.counter("lists") == 2 })
 	assert.Equal(t, "2", w.ask("read", "", "").body)
-	assert.Len(t, old.calls, 1, "the old discovery is left alone")
+	assert.Len(t, old.calls, 1, "the old discovery gets no more calls")
 	assert.Zero(t, w.counter("list_failed"))
 	assert.EqualValues(t, 1, w.counter("reloads"))
 }
@@ -61,7 +61,7 @@
 	w.settings["classes"] = w.settings["classes"].([]map[string]any)[:1]
 	w.writeConfig()
 	reload("reloads", "field=settings", 1)
-	assert.EqualValues(t, 1, w.counter("watches"), "the same discovery is watched on")
+	assert.EqualValues(t, 1, w.counter("watches"), "the same discovery is still watched")
 }
 
 // After several signals in a row the last file is in effect, and a signal during the drain does not keep the program from ending.
--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -84,7 +84,7 @@
 	case err := <-q.end:
 		require.NoError(q, err)
 	case <-time.After(patience):
-		require.Fail(q, "a process does not end")
+		require.Fail(q, "a process does not exit")
 	}
 }
 
@@ -144,7 +144,7 @@
 		next := p.begin()
 		w.eventually("it goes on", func() bool { return strings.Contains(next.log.String(), "going on from another process's state") })
 		old.retire()
-		assert.Equal(t, "1", w.ask("read", "", "").body, "the ban holds")
+		assert.Equal(t, "1", w.ask("read", "", "").body, "the ban stays in effect")
 		old = next
 	}
 	close(stop)
@@ -154,7 +154,7 @@
 	}
 	clients.Wait()
 	assert.Greater(t, total, 100)
-	assert.Equal(t, before, second.requestCount(), "nothing new to the one that is out")
+	assert.Equal(t, before, second.requestCount(), "no new requests to the banned server")
 	require.Contains(t, old.call("ONLINE s-00000002"), "OK")
 	w.eventually("back in use", func() bool { return w.ask("read", "", "").body == "2" })
 }
--- a/cmd/hazelwheel/rewrite_test.go
+++ b/cmd/hazelwheel/rewrite_test.go
@@ -85,7 +85,7 @@
 	}
 	assert.Equal(t, "GET /read/7 HTTP/1.1\nHost: station\nRequest-Id: read-1\nX-Keep: 2\n"+
 		"Forwarded: for=_gate, for=127.0.0.1;proto=http\nX-Station: seven\n\n", head(heads))
-	assert.Contains(t, ask("write"), "X-Debug: 1", "a rule of another class")
+	assert.Contains(t, ask("write"), "X-Debug: 1", "the rule is for another class")
 	assert.Contains(t, head(heads), "x-station-debug: 1")
 
 	w.discovery.answers <- list(fmt.Sprintf(`{"index":9,"snapshot":true,"endpoints":[{"name":"s-00000002","address":%q,"zone":"a","status":"SERVING","weight":1}]}`+"\n", failing))
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -118,11 +118,11 @@
 	assert.Equal(t, 504, p.status)
 	assert.Greater(t, p.took, 1900*time.Millisecond)
 	assert.Less(t, p.took, 4*time.Second)
-	assert.Zero(t, w.counter("overdue"), "the decisions answered, not the net below them")
+	assert.Zero(t, w.counter("overdue"), "the policy answered, not the fallback timeout")
 	assert.EqualValues(t, 1, w.countOfOutcome("execution_ends", "timed_out"))
 	w.eventually("the given-up link is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	s.set(says(200, "own"))
-	assert.Equal(t, "own", w.ask("write", "", "").body, "the late answer meets no other request")
+	assert.Equal(t, "own", w.ask("write", "", "").body, "the late response is not used for another request")
 }
 
 // Nothing is queued for long: a request that can't be served is rejected at once, with a Retry-After.
@@ -253,7 +253,7 @@
 	}
 	close(release)
 	answer, err := http.ReadResponse(r, nil)
-	require.NoError(t, err, "the link that asks is not the one that is closed")
+	require.NoError(t, err, "the connection with requests must not be closed")
 	assert.Equal(t, 200, answer.StatusCode)
 	for _, c := range silent {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
@@ -280,15 +280,15 @@
 		require.NoError(t, err)
 		assert.Equal(t, 200, answer.StatusCode)
 		if answer.Close {
-			assert.Greater(t, w.counter("served"), 15.0, "a few may stay")
+			assert.Greater(t, w.counter("served"), 15.0, "a few connections may stay open")
 			_, _, r := w.writeRaw(ask + ask)
 			answer, err = http.ReadResponse(r, nil)
-			require.NoError(t, err, "what came behind a request is not dropped")
+			require.NoError(t, err, "a pipelined request must not be dropped")
 			assert.True(t, answer.Close)
 			return
 		}
 	}
-	t.Error("all stay")
+	t.Error("all connections stay open")
 }
 
 // A request with the id of an open one gets an error; the first one goes on.
@@ -306,7 +306,7 @@
 	assert.Equal(t, 409, w.ask("write", "", "", "Request-Id", "a").status)
 	close(release)
 	assert.Equal(t, "first", (<-first).body)
-	assert.Equal(t, 200, w.ask("write", "", "", "Request-Id", "a").status, "an id is free again after the answer")
+	assert.Equal(t, 200, w.ask("write", "", "", "Request-Id", "a").status, "an id can be used again after the response")
 	assert.Equal(t, 2, s.requestCount())
 }
 
@@ -375,11 +375,11 @@
 		if err := unix.SetNonblock(c, true); assert.NoError(t, err) {
 			defer func() {
 				n, err := unix.Read(c, make([]byte, 10))
-				assert.True(t, n <= 0 || err != nil, "nothing is written to a server that drains")
+				assert.True(t, n <= 0 || err != nil, "nothing is written to a draining server")
 			}()
 		}
 	}
-	assert.Equal(t, 503, (<-answer).status, "nothing has run, so trying again is harmless")
+	assert.Equal(t, 503, (<-answer).status, "nothing has run, so a retry is safe")
 }
 
 func TestDescriptorsAreBounded(t *testing.T) {
@@ -454,7 +454,7 @@
 	close(release)
 	p := <-late
 	assert.Equal(t, "late", p.body)
-	require.NoError(t, w.cmd.Wait(), "ends by itself and well")
+	require.NoError(t, w.cmd.Wait(), "exits by itself with status 0")
 	assert.Contains(t, w.out.String(), `"execution_ends":`)
 
 	// The address can be bound again at once, though connections of the first process linger in TIME_WAIT.
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -129,9 +129,9 @@
 		}
 	}
 	t.Logf("%d sidecars held %d boxes each; one more moved %d of %d", standing, held/standing, moved, held)
-	require.Less(t, held, standing*boxes*3/4, "a sidecar holds a part of the boxes")
+	require.Less(t, held, standing*boxes*3/4, "a sidecar uses a part of the servers")
 	assert.Less(t, moved, 3*standing)
-	require.Len(t, by, boxes, "every box is used")
+	require.Len(t, by, boxes, "every server is used")
 	for box, n := range by {
 		assert.GreaterOrEqual(t, n, 2, "%s is held by one", box)
 	}
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -113,7 +113,7 @@
 			conn.send(all[20:])
 			return func() {
 				a, err := conn.answer()
-				require.NoError(w, err, "it has come whole and is owed an answer")
+				require.NoError(w, err, "the complete request must be answered")
 				assert.GreaterOrEqual(w, a.status, 500)
 			}
 		}},
@@ -124,7 +124,7 @@
 			term()
 			return func() {
 				_, err := conn.answer()
-				assert.Error(w, err, "it is not whole, and seen to be")
+				assert.Error(w, err, "the response is recognizable as incomplete")
 			}
 		}},
 	} {
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -151,7 +151,7 @@
 		_, _ = c.Write(frame(enc, thrift.Call, "read", 3, "", "", "x"))
 		_, err = c.Read(make([]byte, 1))
 		assert.False(t, err == nil || strings.Contains(err.Error(), "timeout"))
-		assert.Less(t, time.Since(began), 2*time.Second, "before a request that does not arrive would be given up")
+		assert.Less(t, time.Since(began), 2*time.Second, "before an incomplete request would time out")
 	}
 	w.awaitLog("connections at the HTTP port are closed that speak Thrift", 1)
 	w.eventually("the log", func() bool {
@@ -328,7 +328,7 @@
 	}
 	w.eventually("all requests have ended", func() bool { return w.counter("open") == 0 })
 	assert.Equal(t, 9.0, w.counter("served"))
-	assert.Equal(t, 6.0, w.countOfOutcome("execution_ends", "cancelled"), "how the servers fared is not known")
+	assert.Equal(t, 6.0, w.countOfOutcome("execution_ends", "cancelled"), "the outcome at the servers is unknown")
 	assert.Zero(t, w.counter("abandoned"))
 }
 
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -373,7 +373,7 @@
 				continue
 			}
 			if (open || late) && !forced {
-				assert.Fail(y, "a box in use is worked on", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Server, r.Agent, formatToken(r.Token),
+				assert.Fail(y, "a server in use is in maintenance", "%s by %s under %s: a request came %v after the work began, and was out until %v", r.Server, r.Agent, formatToken(r.Token),
 					v.from.Sub(r.StartedAt), v.to.Sub(r.StartedAt))
 				break
 			}
@@ -402,7 +402,7 @@
 				out[o.Server] = true
 			}
 		}
-		assert.LessOrEqual(y, len(out), cmp.Or(most, 1), "%v are out or cold at once", out)
+		assert.LessOrEqual(y, len(out), cmp.Or(most, 1), "%v are out or warming up at once", out)
 	}
 	if y.past > 0 {
 		y.Logf("%d requests of a sidecar that stood still for longer than it takes to count as gone came to boxes that were worked on", y.past)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -73,7 +73,7 @@
 		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	}
 	s := y.newest()
-	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "they have all been back before the work had ended")
+	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "all sidecars were back before the maintenance ended")
 	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 	y.serving()
 }
@@ -207,7 +207,7 @@
 	}
 	n, asked := ours(), hand.asked.Load()
 	y.poll("the sidecar uses other servers", func() bool { return hand.asked.Load() > asked+100 })
-	assert.Equal(t, n, ours(), "it is out there by hand")
+	assert.Equal(t, n, ours(), "the operator has banned it there")
 	said("ONLINE")
 	y.poll("the server is used there again", func() bool { return ours() > n })
 	y.serving()
@@ -293,7 +293,7 @@
 	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
 	first := y.comes(y.boxes[0], maintenance.InMaintenance)
 	dies()
-	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
+	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has the server")
 	y.poll("the server is overdue", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
 	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
@@ -302,7 +302,7 @@
 	assert.Zero(t, anna.RejectedGrants())
 	for _, r := range y.records() {
 		assert.Equal(t, first.Token, r.Token)
-		assert.Empty(t, r.CompletionErrors, "done is done, however often it is said")
+		assert.Empty(t, r.CompletionErrors, "repeating \"done\" has no effect")
 	}
 
 	bob, stop := y.mechanic("bob", slow)
@@ -316,7 +316,7 @@
 	lost := y.boxes[1].requestCount()
 	asked := owner.asked.Load()
 	y.poll("the others serve", func() bool { return owner.asked.Load() > asked+100 })
-	assert.Equal(t, lost, y.boxes[1].requestCount(), "what was lost stays out")
+	assert.Equal(t, lost, y.boxes[1].requestCount(), "a lost server stays out")
 	out, code := y.command("fleet", "work", "done", y.boxes[0].name, formatToken(first.Token-1), "--ops", owner.ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "nobody works on "+y.boxes[0].name)
@@ -371,7 +371,7 @@
 			})
 			asked := y.all[0].asked.Load()
 			y.poll("the sidecars go on serving", func() bool { return y.all[0].asked.Load() > asked+100 })
-			assert.Zero(t, moved.requestCount(), "it is out wherever it is listed")
+			assert.Zero(t, moved.requestCount(), "the server is out at whichever address it is listed")
 			close(over)
 			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
 			y.registry.publish(b.entry(), false)
@@ -440,7 +440,7 @@
 	out, code := y.command("fleet", "work", "resume", "--ops", left[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known")
-	assert.Empty(t, bob.Records(), "nothing is handed over")
+	assert.Empty(t, bob.Records(), "no server is handed over")
 	before := last.requestCount()
 	for _, m := range left {
 		text, err := callOnce(m.ops, "ONLINE "+last.name+"\n")
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -210,7 +210,7 @@
 			for _, r := range y.records() {
 				tokens[r.Token] = true
 			}
-			assert.Len(t, tokens, 3*len(y.plans), "each box once for each plan")
+			assert.Len(t, tokens, 3*len(y.plans), "each server once per plan")
 			y.serving()
 		})
 	}
