--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -34,7 +34,7 @@
 func (c *testFleet) deaths(all ...*fleetMember) (n uint64) {
 	c.Helper()
 	for _, m := range all {
-		s, ok := m.seen()
+		s, ok := m.status()
 		require.True(c, ok)
 		n += s.View.Deaths
 	}
@@ -42,7 +42,7 @@
 }
 
 func (m *fleetMember) id() string {
-	s, _ := m.seen()
+	s, _ := m.status()
 	return s.ID
 }
 
@@ -52,25 +52,25 @@
 	c := newTestFleet(t, 7).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	left, right := c.all[:4], c.all[4:]
 	ways := processcluster.Directions(names(left), names(right), false)
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	t.Logf("the sides part after %v", max(c.view(left, left), c.view(right, right)))
-	c.placed(left...)
-	c.placed(right...)
+	t.Logf("the sides part after %v", max(c.awaitView(left, left), c.awaitView(right, right)))
+	c.awaitRanks(left...)
+	c.awaitRanks(right...)
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("one again after %v", c.agree(c.all...))
-	c.placed(c.all...)
+	t.Logf("one again after %v", c.awaitAgreement(c.all...))
+	c.awaitRanks(c.all...)
 
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	c.poll("a member is suspected", func() bool {
-		s, _ := left[0].seen()
+		s, _ := left[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("after a short cut one again after %v", c.agree(c.all...))
-	s, _ := c.all[0].seen()
+	t.Logf("after a short cut one again after %v", c.awaitAgreement(c.all...))
+	s, _ := c.all[0].status()
 	assert.Len(t, s.Members, 7, "no member has changed its identity")
 	stop()
 }
@@ -81,15 +81,15 @@
 	c := newTestFleet(t, 5).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	ways := processcluster.Directions(names(c.all), names(c.all), false)
 	c.board.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
 	c.poll("a member is suspected", func() bool {
-		s, _ := c.all[0].seen()
+		s, _ := c.all[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("agree after %v", c.agree(c.all...))
+	t.Logf("agree after %v", c.awaitAgreement(c.all...))
 	stop()
 }
 
@@ -101,7 +101,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := newTestFleet(t, 7).start()
 			c.ready(c.all...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			stop := c.serveAll()
 			mute, watchers := c.watched(deaf)
 			ways := processcluster.Directions([]string{mute.name}, names(watchers[:deaf]), true)
@@ -109,14 +109,14 @@
 			// It is accused, refutes that, and is accused again after a while: by then it could have been declared dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
-				s, _ := mute.seen()
+				s, _ := mute.status()
 				refutations = s.View.Refutations
 				return refutations >= 2
 			}, func() string {
 				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
 			c.board.SetFault(processcluster.LinkFault{}, ways...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			assert.Zero(t, c.deaths(c.all...))
 			stop()
 		})
@@ -130,7 +130,7 @@
 	c.poll(fmt.Sprintf("one is watched by %d", atLeast), func() bool {
 		of := map[string][]*fleetMember{}
 		for _, m := range c.all {
-			s, ok := m.seen()
+			s, ok := m.status()
 			if !ok {
 				return false
 			}
@@ -158,22 +158,22 @@
 		t.Run(stall.String(), func(t *testing.T) {
 			c := newTestFleet(t, 5).start()
 			c.ready(c.all...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			stop, still, others := c.serveAll(), c.all[2], c.all[:2]
 			others = append(slices.Clone(others), c.all[3:]...)
-			before, _ := still.seen()
+			before, _ := still.status()
 			began := time.Now()
 			still.freeze()
 			if stall > 4*time.Second {
-				t.Logf("held for dead after %v", c.view(others, others))
+				t.Logf("held for dead after %v", c.awaitView(others, others))
 			}
 			time.Sleep(stall - time.Since(began)) // the duration of the fault itself; its effects are polled for
 			still.resume()
-			t.Logf("back after %v", c.agree(c.all...))
-			after, _ := still.seen()
+			t.Logf("back after %v", c.awaitAgreement(c.all...))
+			after, _ := still.status()
 			assert.Equal(t, before.ID, after.ID)
 			for _, m := range c.all {
-				s, _ := m.seen()
+				s, _ := m.status()
 				assert.Len(t, s.Members, 5, "no member has changed its identity")
 			}
 			if deaths := c.deaths(still); assert.Zero(t, deaths, "it suspects itself before others") && stall > 4*time.Second {
@@ -189,7 +189,7 @@
 func TestFleetCopiedState(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	was := c.all[2].id()
 	twin := c.add()
 	raw, err := os.ReadFile(filepath.Join(c.all[2].dir, "peer"))
@@ -199,7 +199,7 @@
 	twin.gone.Store(true)
 	twin.start()
 	c.ready(twin)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	ids := map[string]bool{}
 	for _, m := range c.all {
 		ids[m.id()] = true
@@ -214,7 +214,7 @@
 		id := m.id()
 		m.kill()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.Equal(t, id, m.id())
 	}
 	stop()
@@ -228,7 +228,7 @@
 		m.join = []string{freeAddress(t), freeAddress(t), c.all[0].advertise}
 	}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop := c.serveAll()
 	ids := map[string]bool{}
 	for _, m := range c.all {
@@ -243,7 +243,7 @@
 		m.start()
 	}
 	c.ready(c.all...)
-	t.Logf("all again after %v", c.agree(c.all...))
+	t.Logf("all again after %v", c.awaitAgreement(c.all...))
 	for _, m := range c.all {
 		assert.True(t, ids[m.id()], "it keeps its identity")
 	}
@@ -257,7 +257,7 @@
 		lonely.ready(m.start())
 		var s coordination.Status
 		lonely.poll("the sidecar has started", func() bool { // it serves before its identity is on disk
-			s, _ = m.seen()
+			s, _ = m.status()
 			return s.ID != ""
 		})
 		assert.Equal(t, 1, s.Live)
@@ -265,8 +265,8 @@
 	}
 	lonely.all[2].gone.Store(true)
 	lonely.ready(lonely.all[2].start())
-	t.Logf("met after %v", lonely.agree(lonely.all...))
-	lonely.placed(lonely.all...)
+	t.Logf("met after %v", lonely.awaitAgreement(lonely.all...))
+	lonely.awaitRanks(lonely.all...)
 }
 
 // If the state on disk is lost, truncated, of a later version or not writable, the process serves under a new identity. With its state
@@ -274,7 +274,7 @@
 func TestFleetState(t *testing.T) {
 	c := newTestFleet(t, 4).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop, m := c.serveAll(), c.all[3]
 	file := filepath.Join(m.dir, "peer")
 	for _, k := range []struct {
@@ -302,9 +302,9 @@
 		m.log.forget()
 		m.start()
 		c.ready(m)
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.Equal(t, k.same, id == m.id(), k.name)
-		s, _ := m.seen()
+		s, _ := m.status()
 		assert.True(t, s.IdentityStored, k.name)
 		c.poll(k.name, func() bool { return strings.Contains(m.log.String(), k.says) })
 		if k.says != "" {
@@ -317,8 +317,8 @@
 	m.dir = filepath.Join(file, "below a file") // nothing can be written below a file
 	m.start()
 	c.ready(m)
-	c.agree(c.all...)
-	s, _ := m.seen()
+	c.awaitAgreement(c.all...)
+	s, _ := m.status()
 	assert.False(t, s.IdentityStored)
 	c.poll("the log reports it", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
@@ -327,8 +327,8 @@
 	m.dir, m.full = t.TempDir(), true
 	m.start()
 	c.ready(m)
-	c.agree(c.all...)
-	s, _ = m.seen()
+	c.awaitAgreement(c.all...)
+	s, _ = m.status()
 	assert.False(t, s.IdentityStored)
 	stop()
 }
@@ -344,14 +344,14 @@
 		m.start()
 	}
 	c.ready(c.all[:5]...)
-	c.agree(c.all[:5]...)
-	c.placed(c.all[:5]...)
+	c.awaitAgreement(c.all[:5]...)
+	c.awaitRanks(c.all[:5]...)
 	for _, m := range c.all[5:] {
 		m.start()
 	}
 	c.ready(c.all...)
-	t.Logf("thirty agree after %v", c.agree(c.all...))
-	c.placed(c.all...)
+	t.Logf("thirty agree after %v", c.awaitAgreement(c.all...))
+	c.awaitRanks(c.all...)
 	for i, m := range c.all[3:] {
 		if m.gone.Store(true); i%2 == 0 {
 			m.signal(syscall.SIGTERM)
@@ -359,9 +359,9 @@
 			m.signal(syscall.SIGKILL)
 		}
 	}
-	t.Logf("three agree after %v", c.agree(c.all[:3]...))
-	c.placed(c.all[:3]...)
-	s, _ := c.all[0].seen()
+	t.Logf("three agree after %v", c.awaitAgreement(c.all[:3]...))
+	c.awaitRanks(c.all[:3]...)
+	s, _ := c.all[0].status()
 	assert.Equal(t, "left", states(s)["m03"])
 	assert.Equal(t, "dead", states(s)["m04"])
 	stop()
@@ -375,8 +375,8 @@
 		m.capture = true
 	}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
-	c.placed(c.all...)
+	c.awaitAgreement(c.all...)
+	c.awaitRanks(c.all...)
 	m := c.all[0]
 	w := &testSidecar{T: t, listen: m.listen}
 	w.client.Timeout = patience
@@ -403,7 +403,7 @@
 	l.Close()
 	m.env = []string{"TMPDIR=" + m.tmp, "GW_PASSED_SOCKET=4"}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	id := m.id()
 	over, most := make(chan struct{}), make(chan int)
 	go func() {
@@ -414,7 +414,7 @@
 				most <- n
 				return
 			case <-time.After(5 * time.Millisecond):
-				if s, ok := c.all[0].seen(); ok {
+				if s, ok := c.all[0].status(); ok {
 					n = max(n, s.Live, s.Count)
 				}
 			}
@@ -425,7 +425,7 @@
 		m.ops = freeAddress(t) // each process has its own admin endpoint
 		m.start()
 		c.poll("the new process acts for the sidecar", func() bool {
-			s, ok := m.seen()
+			s, ok := m.status()
 			return ok && s.ID == id && len(alive(s)) == 4 && s.Links.Links >= 3
 		})
 		c.poll("the old process is quiet", func() bool {
@@ -434,7 +434,7 @@
 		})
 		require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 		<-ended
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		c.poll("peers reach the new one", func() bool { return strings.Contains(m.log.String(), "peers can come\"") })
 		m.log.forget()
 	}
@@ -447,7 +447,7 @@
 func TestFleetMaliciousPeer(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop, victim := c.serveAll(), c.all[0]
 	hello := func(fleetName string) []byte {
 		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "liar", Address: "127.0.0.1:1"}
@@ -499,7 +499,7 @@
 		"members before a hello": {records(3, 1)},
 	} {
 		speak(texts...)
-		_, ok := victim.seen()
+		_, ok := victim.status()
 		require.True(t, ok, name)
 	}
 	var million [][]byte
@@ -507,7 +507,7 @@
 		million = append(million, records(100, uint64(i)))
 	}
 	speak(append([][]byte{hello("yard")}, million...)...)
-	s, _ := victim.seen()
+	s, _ := victim.status()
 	t.Logf("known after a million lies: %d; links %+v", len(s.Members), s.Links)
 	assert.Less(t, len(s.Members), 4000)
 	// The last connection exceeds the rate limit if it sends fast enough. On a busy machine it is closed before that, as an unneeded
@@ -526,7 +526,7 @@
 		assert.Equal(t, 1, strings.Count(victim.log.String(), text), "logged once")
 	}
 	for _, m := range c.all {
-		s, ok := m.seen()
+		s, ok := m.status()
 		require.True(t, ok)
 		for _, other := range c.all {
 			assert.Equal(t, "alive", states(s)[other.name], "live members are not evicted for dead ones")
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -136,24 +136,24 @@
 
 // newListeners returns sidecars that can take the list role, and that serve.
 func newListeners(t *testing.T) (c *testFleet, stop func()) {
-	c = newOwners(t, 5, 5)
+	c = newRoleFleet(t, 5, 5)
 	c.jobs, c.registry = []string{"list"}, newDiscoveryRegistry(t)
 	c.registry.publish(c.server.endpoint(), false)
 	c.start().ready(c.all...)
-	c.fed("at the start", c.all...)
+	c.awaitRelayedLists("at the start", c.all...)
 	return c, c.serveAll()
 }
 
-func (m *fleetMember) lists() (l coordination.ListStats) {
-	if s, ok := m.owners(); ok && s.Lists != nil {
+func (m *fleetMember) listStats() (l coordination.ListStats) {
+	if s, ok := m.leaseStatus(); ok && s.Lists != nil {
 		l = *s.Lists
 	}
 	return l
 }
 
-// fed waits until three of the members own the parts of the list role and have the only watches, and all members use the list that these
-// relay.
-func (c *testFleet) fed(what string, some ...*fleetMember) (owners []*fleetMember) {
+// awaitRelayedLists waits until three of the members own the parts of the list role and have the only watches, and all members use the
+// list that these relay.
+func (c *testFleet) awaitRelayedLists(what string, some ...*fleetMember) (owners []*fleetMember) {
 	c.Helper()
 	began := time.Now()
 	c.poll("three watch "+what, func() bool {
@@ -162,7 +162,7 @@
 		}
 		owners = nil
 		for _, m := range some {
-			s, ok := m.owners()
+			s, ok := m.leaseStatus()
 			if !ok || s.Lists == nil {
 				return false
 			}
@@ -178,12 +178,12 @@
 	return owners
 }
 
-// know waits until all of the members hold a version, and returns the longest time that one of them took.
-func (c *testFleet) know(index uint64, some ...*fleetMember) time.Duration {
+// awaitVersion waits until all of the members hold a version, and returns the longest time that one of them took.
+func (c *testFleet) awaitVersion(index uint64, some ...*fleetMember) time.Duration {
 	c.Helper()
 	began := time.Now()
 	c.poll(fmt.Sprintf("all hold version %d", index), func() bool {
-		return !slices.ContainsFunc(some, func(m *fleetMember) bool { return m.lists().Index < index })
+		return !slices.ContainsFunc(some, func(m *fleetMember) bool { return m.listStats().Index < index })
 	})
 	return time.Since(began)
 }
@@ -192,34 +192,34 @@
 // go on with the other two, none goes without news for longer than a watch may be silent, and there are three watches again.
 func TestOwnerListSurvivesOwnerDeath(t *testing.T) {
 	c, stop := newListeners(t)
-	owners := c.fed("before", c.all...)
+	owners := c.awaitRelayedLists("before", c.all...)
 	for range 3 {
-		t.Logf("a version is everywhere after %v", c.know(c.registry.publish(c.server.endpoint(), false), c.all...))
+		t.Logf("a version is everywhere after %v", c.awaitVersion(c.registry.publish(c.server.endpoint(), false), c.all...))
 	}
 	owners[0].kill()
 	left := c.without(owners[0])
 	for range 3 {
-		t.Logf("a version is everywhere after %v", c.know(c.registry.publish(c.server.endpoint(), false), left...))
+		t.Logf("a version is everywhere after %v", c.awaitVersion(c.registry.publish(c.server.endpoint(), false), left...))
 	}
 	// Danger: where the machine starves all members but one, that one owns all three roles, and hears no relayed lists but has its own
 	// watch.
 	oldest := 0.0
 	c.poll("there is a third watch", func() bool {
 		for _, m := range left {
-			if l := m.lists(); l.UpdatesSent == 0 {
+			if l := m.listStats(); l.UpdatesSent == 0 {
 				oldest = max(oldest, l.AgeSeconds)
 			}
 		}
 		watches, _ := c.registry.state()
 		return watches == 3
 	})
-	c.fed("after the kill", left...)
-	c.know(c.registry.publish(c.server.endpoint(), false), left...)
+	c.awaitRelayedLists("after the kill", left...)
+	c.awaitVersion(c.registry.publish(c.server.endpoint(), false), left...)
 	for _, m := range left {
-		if l := m.lists(); l.UpdatesSent == 0 {
+		if l := m.listStats(); l.UpdatesSent == 0 {
 			assert.Zero(t, l.Stale, m.name)
 		}
-		assert.Zero(t, m.lists().Mismatches, m.name)
+		assert.Zero(t, m.listStats().Mismatches, m.name)
 	}
 	assert.Less(t, oldest, 5.0)
 	t.Logf("news was %.1f s old at most", oldest)
@@ -232,12 +232,12 @@
 	c, stop := newListeners(t)
 	c.registry.fail(true)
 	c.poll("no member has news", func() bool {
-		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.lists().Relayed })
+		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.listStats().Relayed })
 	})
 	index := c.registry.publish(c.server.endpoint(), false)
 	c.registry.fail(false)
-	t.Logf("back: the version is everywhere after %v", c.know(index, c.all...))
-	c.fed("when it is back", c.all...)
+	t.Logf("back: the version is everywhere after %v", c.awaitVersion(index, c.all...))
+	c.awaitRelayedLists("when it is back", c.all...)
 	stop()
 }
 
@@ -247,7 +247,7 @@
 	c, stop := newListeners(t)
 	_, before := c.registry.state()
 	split := c.registry.publish(c.server.endpoint(), true)
-	c.know(split, c.all...)
+	c.awaitVersion(split, c.all...)
 	// Danger: where the owner of one list had just lost its lease, as on an overloaded machine, nobody hears the other.
 	again := time.Now().Add(3 * time.Second)
 	c.poll("a member has received both lists", func() bool {
@@ -255,23 +255,23 @@
 			c.registry.publish(c.server.endpoint(), true)
 			again = time.Now().Add(3 * time.Second)
 		}
-		return slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.lists().Mismatches > 0 })
+		return slices.ContainsFunc(c.all, func(m *fleetMember) bool { return m.listStats().Mismatches > 0 })
 	})
 	c.poll("discovery is queried", func() bool { _, calls := c.registry.state(); return calls > before })
-	c.know(c.registry.publish(c.server.endpoint(), false), c.all...)
+	c.awaitVersion(c.registry.publish(c.server.endpoint(), false), c.all...)
 	stop()
 }
 
 // A drill that is started at one sidecar runs once at each, and ends once. Its owner is killed meanwhile, and after its restart runs the
 // rest of the drill.
 func TestOwnerDrill(t *testing.T) {
-	c := newOwners(t, 5, 5)
+	c := newRoleFleet(t, 5, 5)
 	c.jobs = []string{"drill"}
 	c.start().ready(c.all...)
 	owner := func(some ...*fleetMember) (found *fleetMember) {
 		c.poll("a sidecar owns the drills", func() bool {
 			for _, m := range some {
-				s, _ := m.owners()
+				s, _ := m.leaseStatus()
 				if slices.ContainsFunc(s.Roles, func(j coordination.RoleStatus) bool { return j.Role == "drill" && j.HeldToken != 0 }) {
 					found = m
 				}
@@ -292,7 +292,7 @@
 	out, code := start(drillSecret)
 	require.Zero(t, code, out)
 	began := time.Now()
-	drills := func(m *fleetMember) []coordination.FaultStatus { s, _ := m.owners(); return s.Faults }
+	drills := func(m *fleetMember) []coordination.FaultStatus { s, _ := m.leaseStatus(); return s.Faults }
 	c.poll("the drill runs at all sidecars", func() bool {
 		return !slices.ContainsFunc(c.all, func(m *fleetMember) bool {
 			d := drills(m)
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -29,9 +29,9 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// standBetween makes the program stop itself (SIGSTOP) between the check of a lease and the action that the lease covers, once, as soon
+// stopAfterLeaseCheck makes the program stop itself (SIGSTOP) between the check of a lease and the action that the lease covers, once, as soon
 // as a file exists. Only the test build has this hook; the program itself has none.
-func standBetween(file string) {
+func stopAfterLeaseCheck(file string) {
 	if file == "" {
 		return
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// newOwners returns sidecars of which the first so many are electors and all can take the role.
-func newOwners(t *testing.T, n, electors int) *testFleet {
+// newRoleFleet returns sidecars of which the first so many are electors and all can take the role.
+func newRoleFleet(t *testing.T, n, electors int) *testFleet {
 	c := newTestFleet(t, n)
 	for _, m := range c.all[:electors] {
 		c.electors = append(c.electors, m.advertise)
@@ -68,8 +68,8 @@
 	return c
 }
 
-// owners queries the sidecar's admin endpoint for the owners of the roles; false if it does not reply.
-func (m *fleetMember) owners() (s coordination.LeaseStatus, ok bool) {
+// leaseStatus queries the sidecar's admin endpoint for the owners of the roles; false if it does not reply.
+func (m *fleetMember) leaseStatus() (s coordination.LeaseStatus, ok bool) {
 	if m.frozen.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -77,8 +77,8 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// job returns what a sidecar knows of the role "report".
-func (m *fleetMember) job() coordination.RoleStatus { return m.jobOf("report") }
+// reportRole returns what a sidecar knows of the role "report".
+func (m *fleetMember) reportRole() coordination.RoleStatus { return m.role("report") }
 
 // report returns the last report that a sidecar knows.
 func (m *fleetMember) report() (r coordination.Report) {
@@ -88,14 +88,14 @@
 	return r
 }
 
-// owner waits until one of the members owns the role under a greater token than above, and all of them know it and have accepted its
+// awaitOwner waits until one of the members owns the role under a greater token than above, and all of them know it and have accepted its
 // effects.
-func (c *testFleet) owner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
+func (c *testFleet) awaitOwner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
 	c.poll("a sidecar owns the role", func() bool {
 		owner, token = nil, 0
 		for _, m := range some {
-			if j := m.job(); j.HeldToken > above {
+			if j := m.reportRole(); j.HeldToken > above {
 				owner, token = m, j.HeldToken
 			}
 		}
@@ -103,7 +103,7 @@
 			return false
 		}
 		for _, m := range some {
-			j := m.job()
+			j := m.reportRole()
 			if !slices.IsSorted(j.AcceptedTokens) {
 				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
@@ -116,11 +116,11 @@
 	return owner, token
 }
 
-// took waits for the next owner, and logs how long the role was without one.
-func (c *testFleet) took(what string, above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
+// awaitNextOwner waits for the next owner, and logs how long the role was without one.
+func (c *testFleet) awaitNextOwner(what string, above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
 	began := time.Now()
-	owner, token = c.owner(above, some...)
+	owner, token = c.awaitOwner(above, some...)
 	c.Logf("%s: another owns the job and all know after %v", what, time.Since(began).Round(10*time.Millisecond))
 	return owner, token
 }
@@ -147,7 +147,7 @@
 	c.poll("one leads", func() bool {
 		leader = nil
 		for _, m := range some {
-			if s, ok := m.owners(); ok && s.Local.IsLeader {
+			if s, ok := m.leaseStatus(); ok && s.Local.IsLeader {
 				leader = m
 			}
 		}
@@ -159,17 +159,17 @@
 // With the electors and one owner of the role running, the owner is killed, and another sidecar owns the role under a greater token.
 // Then the leader and the owner are killed at once, and again as soon as there is another leader.
 func TestOwnerIsKilled(t *testing.T) {
-	c := newOwners(t, 7, 7).start() // a majority survives all of this
+	c := newRoleFleet(t, 7, 7).start() // a majority survives all of this
 	c.ready(c.all...)
 	stop := c.serveAll()
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	owner.kill()
-	_, token = c.took("killed", token, c.without(owner)...)
+	_, token = c.awaitNextOwner("killed", token, c.without(owner)...)
 	owner.start()
 	c.ready(owner)
-	c.owner(token-1, c.all...)
+	c.awaitOwner(token-1, c.all...)
 
-	owner, token = c.owner(0, c.all...)
+	owner, token = c.awaitOwner(0, c.all...)
 	first := c.leader(c.all...)
 	for _, m := range []*fleetMember{first, owner} {
 		if !m.gone.Load() {
@@ -178,13 +178,13 @@
 	}
 	second := c.leader(c.without(first, owner)...)
 	second.kill()
-	_, token = c.took("owner, leader and the next leader killed", token, c.without(first, owner, second)...)
+	_, token = c.awaitNextOwner("owner, leader and the next leader killed", token, c.without(first, owner, second)...)
 	for _, m := range []*fleetMember{first, owner, second} {
 		if m.gone.Load() {
 			c.ready(m.start())
 		}
 	}
-	c.owner(token-1, c.all...)
+	c.awaitOwner(token-1, c.all...)
 	stop()
 }
 
@@ -192,7 +192,7 @@
 // acts; the old owner resumes: every receiver rejects its effect, and it no longer owns the role. The hook of the test build stops it at
 // exactly that instant, so each trial reproduces the race.
 func TestOwnerStoppedAfterLeaseCheck(t *testing.T) {
-	c := newOwners(t, 5, 3)
+	c := newRoleFleet(t, 5, 3)
 	for _, m := range c.all {
 		m.env = []string{"STAND_STILL_AT=" + filepath.Join(m.tmp, "stand")}
 	}
@@ -200,14 +200,14 @@
 	stop := c.serveAll()
 	refused := func(some ...*fleetMember) (n uint64) {
 		for _, m := range some {
-			n += m.job().Rejected
+			n += m.reportRole().Rejected
 		}
 		return n
 	}
 	// A sidecar that nobody has heard for four seconds has no connections left when it resumes, so its effect reaches nobody: no hit.
 	hits, rounds := 0, 0
 	for ; hits < 2 && rounds < 12; rounds++ {
-		owner, token := c.owner(0, c.all...)
+		owner, token := c.awaitOwner(0, c.all...)
 		others := c.without(owner)
 		before := refused(others...)
 		owner.frozen.Store(true)
@@ -217,7 +217,7 @@
 			if still = owner.stopped(); still {
 				return true
 			}
-			return others[0].job().Token > token
+			return others[0].reportRole().Token > token
 		})
 		if !still { // a busy machine: the role has moved before its owner had anything to send
 			_ = os.Remove(filepath.Join(owner.tmp, "stand")) // the owner may have found the file meanwhile
@@ -226,14 +226,14 @@
 		}
 		later := uint64(0)
 		c.poll("another sidecar owns the role", func() bool {
-			later = others[0].job().MaxToken
-			return later > token && !slices.ContainsFunc(others[1:], func(m *fleetMember) bool { return m.job().MaxToken < later })
+			later = others[0].reportRole().MaxToken
+			return later > token && !slices.ContainsFunc(others[1:], func(m *fleetMember) bool { return m.reportRole().MaxToken < later })
 		})
 		owner.log.forget()
 		owner.resume()
-		c.poll("the old owner knows that it lost the role", func() bool { j := owner.job(); return j.HeldToken != token && j.MaxToken >= later })
+		c.poll("the old owner knows that it lost the role", func() bool { j := owner.reportRole(); return j.HeldToken != token && j.MaxToken >= later })
 		c.poll("the log reports it", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
-		c.owner(later-1, c.all...)
+		c.awaitOwner(later-1, c.all...)
 		if refused(others...) > before {
 			hits++
 		}
@@ -268,18 +268,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newOwners(t, 6, 3).start()
+			c := newRoleFleet(t, 6, 3).start()
 			c.ready(c.all...)
 			stop := c.serveAll()
-			owner, token := c.owner(0, c.all...)
+			owner, token := c.awaitOwner(0, c.all...)
 			others := names(slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner }))
 			electors := names(slices.DeleteFunc(slices.Clone(c.all[:3]), func(m *fleetMember) bool { return m == owner }))
 			ways := cut(c, owner, electors, others)
 			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-			_, later := c.took(name, token, c.without(owner)...)
-			c.poll("the old owner has given up the role", func() bool { return owner.job().HeldToken != token })
+			_, later := c.awaitNextOwner(name, token, c.without(owner)...)
+			c.poll("the old owner has given up the role", func() bool { return owner.reportRole().HeldToken != token })
 			c.board.SetFault(processcluster.LinkFault{}, ways...)
-			c.owner(later-1, c.all...)
+			c.awaitOwner(later-1, c.all...)
 			stop()
 		})
 	}
@@ -287,23 +287,23 @@
 
 // The owner is cut off from all but the electors: it stays the owner, and its effects reach all members through them.
 func TestOwnerIsCutOffFromReceivers(t *testing.T) {
-	c := newOwners(t, 6, 3).start()
+	c := newRoleFleet(t, 6, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	held := false
 	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may expire for other reasons
-		owner, token := c.owner(0, c.all...)
+		owner, token := c.awaitOwner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner })
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
 		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
 		c.poll("the owner's reports go on", func() bool {
-			r, j := others[0].report(), others[0].job()
+			r, j := others[0].report(), others[0].reportRole()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
 		})
 		c.board.SetFault(processcluster.LinkFault{}, ways...)
-		c.owner(token-1, c.all...)
+		c.awaitOwner(token-1, c.all...)
 	}
 	assert.True(t, held, "the owner's reports go on")
 	stop()
@@ -311,7 +311,7 @@
 
 // The network holds back what the owner has sent until another sidecar has owned the role for a while, and then delivers it.
 func TestOwnerDelayedEffects(t *testing.T) {
-	c := newOwners(t, 5, 3)
+	c := newRoleFleet(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
 	judge := c.board.OnFrame
 	c.board.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
@@ -320,12 +320,12 @@
 	}
 	c.start().ready(c.all...)
 	stop := c.serveAll()
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
 	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
-	_, later := c.took("held", token, c.without(owner)...)
+	_, later := c.awaitNextOwner("held", token, c.without(owner)...)
 	c.poll("the old owner has given up the role", func() bool {
-		j, told := owner.toldOf("report")
+		j, told := owner.queryRole("report")
 		return told && j.HeldToken == 0
 	})
 	c.poll("the new owner acts", func() bool {
@@ -333,16 +333,16 @@
 		return r.Token >= later && r.Round >= 2
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	c.owner(later-1, c.all...)
-	c.agree(c.all...)
+	c.awaitOwner(later-1, c.all...)
+	c.awaitAgreement(c.all...)
 
 	// Connections that receive nothing for four seconds are closed, and the held bytes are lost with them. So what is held from its
 	// first byte on is a connection that is established late, and that delivers what the old owner sent at the time. The owner's process
 	// has ended by then: otherwise the victim might keep its existing connection to it and close this one.
 	owner.kill()
-	c.agree(c.without(owner)...)
+	c.awaitAgreement(c.without(owner)...)
 	victim := c.without(owner)[0]
-	before := victim.job()
+	before := victim.reportRole()
 	conn, err := net.Dial("tcp", victim.peers)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -367,7 +367,7 @@
 	}
 	assert.Equal(t, frames.KindRejected, e.Kind)
 	assert.GreaterOrEqual(t, e.Token, later)
-	after := victim.job()
+	after := victim.reportRole()
 	assert.Greater(t, after.Rejected, before.Rejected)
 	c.poll("the log reports it", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
 	stop()
@@ -413,11 +413,11 @@
 // A majority of the electors is frozen: nothing is granted, the lease expires, and all sidecars go on serving. Then that majority is
 // killed, with the same result. Each time it comes back, and the role is owned again.
 func TestOwnerWithoutAMajority(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	for _, how := range []string{"frozen", "killed", "all killed"} {
-		_, token := c.owner(0, c.all...)
+		_, token := c.awaitOwner(0, c.all...)
 		leader := c.leader(c.all[:3]...)
 		away := []*fleetMember{leader}
 		for _, m := range c.all[:3] {
@@ -433,7 +433,7 @@
 			}
 		}
 		c.poll("no sidecar acts as owner", func() bool {
-			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.job().HeldToken != 0 })
+			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.reportRole().HeldToken != 0 })
 		})
 		time.Sleep(4 * time.Second) // the duration of the fault itself: the lease of a member that is cut off expires, too
 		for _, m := range away {
@@ -444,10 +444,10 @@
 			}
 		}
 		c.ready(away...)
-		if slices.ContainsFunc(away, func(m *fleetMember) bool { return m.job().HeldToken == token }) {
+		if slices.ContainsFunc(away, func(m *fleetMember) bool { return m.reportRole().HeldToken == token }) {
 			assert.Fail(t, "a lease is valid without a majority", how)
 		}
-		c.took("a majority was "+how, token, c.all...)
+		c.awaitNextOwner("a majority was "+how, token, c.all...)
 	}
 	stop()
 }
@@ -455,10 +455,10 @@
 // An elector comes back without its state, with a truncated one, or with an old copy: each time it has a new identity, and the role
 // stays available. An elector whose disk is full does not vote, says so, and serves.
 func TestOwnerElectorState(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.owner(0, c.all...)
+	c.awaitOwner(0, c.all...)
 	var old []byte
 	// comeBack kills an elector, changes its file after grants were written that old does not have, and restarts it.
 	comeBack := func(m *fleetMember, name, says string, same bool, spoil func(file string, raw []byte)) {
@@ -466,11 +466,11 @@
 		var err error
 		old, err = os.ReadFile(file)
 		require.NoError(t, err)
-		_, token := c.owner(0, c.all...)
+		_, token := c.awaitOwner(0, c.all...)
 		text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
-		c.owner(token, c.all...)
+		c.awaitOwner(token, c.all...)
 		c.poll("the grant is on its disk", func() bool { // a majority may grant before this elector has written it
 			raw, err := os.ReadFile(file)
 			return err == nil && !bytes.Equal(old, raw)
@@ -483,15 +483,15 @@
 		spoil(file, raw)
 		m.log.forget()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		if same {
 			assert.Equal(t, id, m.id(), name)
 		} else {
 			c.poll(name, func() bool { now := m.id(); return now != "" && now != id })
 		}
 		c.poll(name, func() bool { return strings.Contains(m.log.String(), says) })
-		c.agree(c.all...)
-		c.owner(0, c.all...)
+		c.awaitAgreement(c.all...)
+		c.awaitOwner(0, c.all...)
 	}
 	m := c.all[2]
 	file := filepath.Join(m.dir, "peer")
@@ -501,7 +501,7 @@
 
 	// Two of three electors are left, and a new one takes the place of the former identity.
 	c.poll("an elector is replaced", func() bool {
-		s, _ := c.all[0].owners()
+		s, _ := c.all[0].leaseStatus()
 		return len(s.Voters) == 3 && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" || e.ID == was })
 	})
 	for _, k := range []struct {
@@ -519,9 +519,9 @@
 		m.kill()
 		k.spoil()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.NotEqual(t, id, m.id(), k.name)
-		c.owner(0, c.all...)
+		c.awaitOwner(0, c.all...)
 	}
 
 	// The leader's disk is full: another elector leads, and the former leader says why.
@@ -530,18 +530,18 @@
 		require.NoError(t, unix.Prlimit(full.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: to, Max: unix.RLIM_INFINITY}, nil))
 	}
 	limit(0)
-	_, token := c.owner(0, c.all...)
+	_, token := c.awaitOwner(0, c.all...)
 	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 	require.NoError(t, err)
 	assert.Contains(t, text, "OK")
 	c.poll("the elector reports that it does not vote", func() bool {
-		s, ok := full.owners()
+		s, ok := full.leaseStatus()
 		return ok && s.Local.PersistFailed && !s.Local.IsLeader
 	})
-	c.took("the leader's disk is full", token, c.all...)
+	c.awaitNextOwner("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
 	c.poll("the elector votes again", func() bool {
-		s, ok := full.owners()
+		s, ok := full.leaseStatus()
 		return ok && !s.Local.PersistFailed
 	})
 	comeBack(c.all[1], "a disk that was set back as a whole", "goes on under another identity", false, func(file string, raw []byte) {
@@ -554,19 +554,19 @@
 
 // All sidecars are restarted one after another. Each time that this ends the owner, the role moves to another without a noticeable gap.
 func TestOwnerRollingRestart(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	_, token := c.owner(0, c.all...)
+	_, token := c.awaitOwner(0, c.all...)
 	for _, m := range c.all {
-		mine := m.job().HeldToken != 0
+		mine := m.reportRole().HeldToken != 0
 		m.gone.Store(true)
 		at := time.Now()
 		m.signal(syscall.SIGTERM)
 		if mine {
 			others := c.without(m)
 			c.poll("another sidecar owns the role", func() bool {
-				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.job().HeldToken > token })
+				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.reportRole().HeldToken > token })
 			})
 			gap := time.Since(at)
 			t.Logf("%s gave the job up: another had it after %v", m.name, gap.Round(time.Millisecond))
@@ -574,8 +574,8 @@
 		}
 		<-m.ended
 		c.ready(m.start())
-		c.agree(c.all...)
-		_, token = c.owner(token-1, c.all...)
+		c.awaitAgreement(c.all...)
+		_, token = c.awaitOwner(token-1, c.all...)
 	}
 	stop()
 }
@@ -583,12 +583,12 @@
 // A fleet of nine shrinks to three: electors that have gone are replaced by remaining members, and the role stays available. Two members
 // that are not electors don't know roles, like an earlier version: they ignore what is sent to all.
 func TestOwnerFleetShrinks(t *testing.T) {
-	c := newOwners(t, 9, 5)
+	c := newRoleFleet(t, 9, 5)
 	c.all[7].plain, c.all[8].plain = true, true
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	able := c.without(c.all[7:]...)
-	_, token := c.owner(0, able...)
+	_, token := c.awaitOwner(0, able...)
 	left := c.all[4:7] // one elector, and two members that are none
 	for _, m := range c.all[:4] {
 		m.gone.Store(true)
@@ -596,25 +596,25 @@
 		<-m.ended
 		rest := slices.DeleteFunc(slices.Clone(able), func(m *fleetMember) bool { return m.gone.Load() })
 		c.pollFor(90*time.Second, "members that have gone are no longer electors", func() bool {
-			s, ok := left[0].owners()
+			s, ok := left[0].leaseStatus()
 			return ok && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" })
 		})
-		_, token = c.owner(token-1, rest...)
+		_, token = c.awaitOwner(token-1, rest...)
 	}
-	s, _ := left[0].owners()
+	s, _ := left[0].leaseStatus()
 	assert.Len(t, s.Voters, 3)
-	owner, token := c.owner(0, left...)
+	owner, token := c.awaitOwner(0, left...)
 	owner.kill()
-	c.took("killed, of three", token, slices.DeleteFunc(slices.Clone(left), func(m *fleetMember) bool { return m == owner })...)
+	c.awaitNextOwner("killed, of three", token, slices.DeleteFunc(slices.Clone(left), func(m *fleetMember) bool { return m == owner })...)
 	stop()
 }
 
 // The report sums the requests of all sidecars by class and names those that did not reply; every sidecar knows it.
 func TestOwnerReports(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
-	c.owner(0, c.all...)
+	c.awaitAgreement(c.all...)
+	c.awaitOwner(0, c.all...)
 	w := func(m *fleetMember) *testSidecar {
 		w := &testSidecar{T: t, listen: m.listen}
 		w.client.Timeout = patience
@@ -655,7 +655,7 @@
 	assert.Zero(t, code, out)
 	assert.Equal(t, 3, strings.Count(out, "alive"))
 
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	still := c.without(owner)[0]
 	still.freeze()
 	c.poll("the report names the sidecar that does not reply", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
@@ -663,10 +663,10 @@
 	var next *fleetMember
 	for n, before := 0, token-1; next == nil; n++ { // A lease may expire on an overloaded machine: that grant does not follow a step-down.
 		require.Less(t, n, 5, "leases keep expiring")
-		owner, token = c.owner(before, c.all...) // the owner may have led the electors, and its lease expired meanwhile
+		owner, token = c.awaitOwner(before, c.all...) // the owner may have led the electors, and its lease expired meanwhile
 		out, code = c.command("fleet", "step-down", "--ops", c.without(owner)[1].ops, "report")
 		assert.Zero(t, code, out)
-		m, after := c.took("asked to step down", token, c.all...)
+		m, after := c.awaitNextOwner("asked to step down", token, c.all...)
 		if after == token+1 {
 			assert.NotEqual(t, owner, m)
 			next = m
@@ -675,6 +675,6 @@
 	}
 	_, err := callOnce(next.ops, "LEAVE\n")
 	require.NoError(t, err)
-	after, _ := c.took("drained", token, c.all...)
+	after, _ := c.awaitNextOwner("drained", token, c.all...)
 	assert.NotEqual(t, next, after, "a draining sidecar owns no role")
 }
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// seen queries the sidecar's admin endpoint for the members; false if it does not reply.
-func (m *fleetMember) seen() (s coordination.Status, ok bool) {
+// status queries the sidecar's admin endpoint for the members; false if it does not reply.
+func (m *fleetMember) status() (s coordination.Status, ok bool) {
 	if m.frozen.Load() {
 		return s, false
 	}
@@ -283,14 +283,14 @@
 	return names
 }
 
-// agree waits until each of the members considers exactly these live and ranks are dense; it returns how long that took.
-func (c *testFleet) agree(all ...*fleetMember) time.Duration {
+// awaitAgreement waits until each of the members considers exactly these live and ranks are dense; it returns how long that took.
+func (c *testFleet) awaitAgreement(all ...*fleetMember) time.Duration {
 	c.Helper()
-	return c.view(all, all)
+	return c.awaitView(all, all)
 }
 
-// view waits until some members consider exactly others live.
-func (c *testFleet) view(some, others []*fleetMember) time.Duration {
+// awaitView waits until some members consider exactly others live.
+func (c *testFleet) awaitView(some, others []*fleetMember) time.Duration {
 	c.Helper()
 	began := time.Now()
 	var want []string
@@ -302,7 +302,7 @@
 	for end := time.Now().Add(3 * patience); ; time.Sleep(20 * time.Millisecond) {
 		done := true
 		for _, m := range some {
-			s, ok := m.seen()
+			s, ok := m.status()
 			unsure := slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State == "suspected" })
 			if got := alive(s); !ok || unsure || !slices.Equal(got, want) {
 				done, last = false, fmt.Sprintf("%s holds %v alive, wanted %v", m.name, states(s), want)
@@ -316,13 +316,13 @@
 	}
 }
 
-// placed waits until the ranks in use are 0 to n-1, each once, and the count is n.
-func (c *testFleet) placed(all ...*fleetMember) {
+// awaitRanks waits until the ranks in use are 0 to n-1, each once, and the count is n.
+func (c *testFleet) awaitRanks(all ...*fleetMember) {
 	c.Helper()
 	c.poll("ranks are dense", func() bool {
 		ranks := make([]int, len(all))
 		for _, m := range all {
-			s, ok := m.seen()
+			s, ok := m.status()
 			if !ok || s.Count != len(all) || s.Rank >= len(all) {
 				return false
 			}
@@ -421,16 +421,16 @@
 	c := newTestFleet(t, 2).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	t.Logf("they know each other after %v", c.agree(c.all...))
-	c.placed(c.all...)
+	t.Logf("they know each other after %v", c.awaitAgreement(c.all...))
+	c.awaitRanks(c.all...)
 	c.all[1].kill()
-	t.Logf("dead after %v", c.agree(c.all[0]))
-	s, _ := c.all[0].seen()
+	t.Logf("dead after %v", c.awaitAgreement(c.all[0]))
+	s, _ := c.all[0].status()
 	assert.Equal(t, "dead", states(s)["m01"])
 	c.all[1].start()
 	c.ready(c.all...)
-	t.Logf("back after %v", c.agree(c.all...))
-	s, _ = c.all[0].seen()
+	t.Logf("back after %v", c.awaitAgreement(c.all...))
+	s, _ = c.all[0].status()
 	assert.Len(t, s.Members, 2, "with its state it is the same sidecar")
 	stop()
 }
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -83,8 +83,8 @@
 		m.start()
 	}
 	c.ready(some...)
-	c.agree(some...)
-	c.placed(some...)
+	c.awaitAgreement(some...)
+	c.awaitRanks(some...)
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	t.Cleanup(func() {
@@ -112,8 +112,8 @@
 	before := u.fresh(c, some, each)
 	newcomer.start()
 	c.ready(newcomer)
-	c.agree(c.all...)
-	c.placed(c.all...)
+	c.awaitAgreement(c.all...)
+	c.awaitRanks(c.all...)
 	after := u.fresh(c, c.all, each)
 	moved, held := 0, 0
 	by := map[string]int{}
--- a/cmd/hazelwheel/testsidecar_test.go
+++ b/cmd/hazelwheel/testsidecar_test.go
@@ -29,13 +29,13 @@
 // The tests run this test binary again as the program, and act as its client, its servers and its discovery service.
 func TestMain(m *testing.M) {
 	if os.Getenv("RUN_HAZELWHEEL") != "" {
-		standBetween(os.Getenv("STAND_STILL_AT"))
+		stopAfterLeaseCheck(os.Getenv("STAND_STILL_AT"))
 		stopAtStep(os.Getenv("STOP_AT_STEP"))
 		main()
 		return
 	}
 	flag.Parse()
-	playAtMost(testsAtOnce)
+	limitParallelTests(testsAtOnce)
 	os.Exit(m.Run())
 }
 
@@ -43,8 +43,8 @@
 // each, and all depend on real time; with more at once they starve each other.
 const testsAtOnce = 6
 
-// playAtMost lowers the number of tests that run in parallel.
-func playAtMost(most int) {
+// limitParallelTests lowers the number of tests that run in parallel.
+func limitParallelTests(most int) {
 	atOnce := flag.Lookup("test.parallel")
 	if n, err := strconv.Atoi(atOnce.Value.String()); err != nil || n > most {
 		if err := atOnce.Value.Set(strconv.Itoa(most)); err != nil {
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -93,7 +93,7 @@
 
 // newMaintenanceFleet returns a number of sidecars, some of them electors, and servers at sites a, b and c in turn.
 func newMaintenanceFleet(t *testing.T, sidecars, electors, boxes int) *maintenanceFleet {
-	y := &maintenanceFleet{testFleet: newOwners(t, sidecars, electors), times: map[string]int{}}
+	y := &maintenanceFleet{testFleet: newRoleFleet(t, sidecars, electors), times: map[string]int{}}
 	y.jobs, y.registry = []string{"works"}, newDiscoveryRegistry(t)
 	y.testFleet.settings = func(s map[string]any) {
 		s["dcs"] = []string{"a", "b", "c"}
@@ -122,7 +122,7 @@
 // open starts all sidecars, and clients that send requests.
 func (y *maintenanceFleet) open() *maintenanceFleet {
 	y.start().ready(y.all...)
-	y.agree(y.all...)
+	y.awaitAgreement(y.all...)
 	y.asked()
 	return y
 }
@@ -177,16 +177,16 @@
 	return out
 }
 
-// plan writes a plan's file and submits it to a sidecar. Lines replace the default settings of the plans in these tests.
-func (y *maintenanceFleet) plan(m *fleetMember, lines string, of ...*machine) {
+// submitPlan writes a plan's file and submits it to a sidecar. Lines replace the default settings of the plans in these tests.
+func (y *maintenanceFleet) submitPlan(m *fleetMember, lines string, of ...*machine) {
 	y.Helper()
-	file := y.file(lines, of...)
-	y.given(file, of...)
+	file := y.writePlan(lines, of...)
+	y.recordPlan(file, of...)
 	y.work(m, "plan", file)
 }
 
-// given records a plan for checkRules.
-func (y *maintenanceFleet) given(file string, of ...*machine) {
+// recordPlan records a plan for checkRules.
+func (y *maintenanceFleet) recordPlan(file string, of ...*machine) {
 	y.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(y, err)
@@ -198,7 +198,7 @@
 	}
 }
 
-func (y *maintenanceFleet) file(lines string, of ...*machine) string {
+func (y *maintenanceFleet) writePlan(lines string, of ...*machine) string {
 	y.Helper()
 	var names []string
 	for _, b := range of {
@@ -216,8 +216,8 @@
 	return path
 }
 
-// works returns the status of the plans from a sidecar's admin endpoint.
-func (m *fleetMember) works() (s coordination.MaintenanceStatus, ok bool) {
+// maintenanceStatus returns the status of the plans from a sidecar's admin endpoint.
+func (m *fleetMember) maintenanceStatus() (s coordination.MaintenanceStatus, ok bool) {
 	if m.frozen.Load() || m.gone.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -225,10 +225,10 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// newest returns the status of the latest version that any sidecar has.
-func (y *maintenanceFleet) newest() (newest coordination.MaintenanceStatus) {
+// newestStatus returns the status of the latest version that any sidecar has.
+func (y *maintenanceFleet) newestStatus() (newest coordination.MaintenanceStatus) {
 	for _, m := range y.all {
-		if s, ok := m.works(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeSeconds < newest.AgeSeconds) {
+		if s, ok := m.maintenanceStatus(); ok && (s.Version > newest.Version || s.Version == newest.Version && s.AgeSeconds < newest.AgeSeconds) {
 			newest = s
 		}
 	}
@@ -247,19 +247,19 @@
 	return found
 }
 
-// comes waits until a server has reached a stage in the newest status.
-func (y *maintenanceFleet) comes(b *machine, to ...maintenance.Stage) (found maintenance.Server) {
+// awaitStage waits until a server has reached a stage in the newest status.
+func (y *maintenanceFleet) awaitStage(b *machine, to ...maintenance.Stage) (found maintenance.Server) {
 	y.Helper()
 	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
-		s := y.newest()
+		s := y.newestStatus()
 		found = stage(&s, b)
 		return slices.Contains(to, found.Stage)
 	})
 	return found
 }
 
-// waits waits until a blocker of a server, with a reason and a member's name (empty: any), is reported.
-func (y *maintenanceFleet) waits(b *machine, why, who string) {
+// awaitBlocker waits until a blocker of a server, with a reason and a member's name (empty: any), is reported.
+func (y *maintenanceFleet) awaitBlocker(b *machine, why, who string) {
 	y.Helper()
 	last := ""
 	defer func() {
@@ -268,7 +268,7 @@
 		}
 	}()
 	y.poll(fmt.Sprintf("%s waits for %q of %s", b.name, why, who), func() bool {
-		s := y.newest()
+		s := y.newestStatus()
 		last = fmt.Sprint(s.Blockers)
 		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 			return w.Server == b.name && strings.Contains(w.Reason, why) && (who == "" || slices.Contains(w.Members, who))
@@ -276,24 +276,24 @@
 	})
 }
 
-// ended waits until no plan is in progress, and returns the last one.
-func (y *maintenanceFleet) ended() maintenance.Plan {
+// awaitEnd waits until no plan is in progress, and returns the last one.
+func (y *maintenanceFleet) awaitEnd() maintenance.Plan {
 	y.Helper()
 	var s coordination.MaintenanceStatus
 	y.pollFor(6*patience, "all plans have ended", func() bool {
-		s = y.newest()
+		s = y.newestStatus()
 		return len(s.Plans) > 0 && !slices.ContainsFunc(s.Plans, func(p maintenance.Plan) bool { return !p.Ended })
 	})
 	return s.Plans[len(s.Plans)-1]
 }
 
-// owner waits until one of the members owns the role, and returns it.
-func (y *maintenanceFleet) owner(some ...*fleetMember) (owner *fleetMember) {
+// awaitCoordinator waits until one of the members owns the role, and returns it.
+func (y *maintenanceFleet) awaitCoordinator(some ...*fleetMember) (owner *fleetMember) {
 	y.Helper()
 	y.poll("a sidecar coordinates the plans", func() bool {
 		owner = nil
 		for _, m := range some {
-			if j := m.jobOf("works"); j.HeldToken != 0 {
+			if j := m.role("works"); j.HeldToken != 0 {
 				owner = m
 			}
 		}
@@ -302,15 +302,15 @@
 	return owner
 }
 
-// jobOf returns what a sidecar knows of a role, or the zero value if it does not reply.
-func (m *fleetMember) jobOf(name string) coordination.RoleStatus {
-	j, _ := m.toldOf(name)
+// role returns what a sidecar knows of a role, or the zero value if it does not reply.
+func (m *fleetMember) role(name string) coordination.RoleStatus {
+	j, _ := m.queryRole(name)
 	return j
 }
 
-// toldOf is like jobOf, and reports whether the sidecar replied: without a reply the role's owner is unknown.
-func (m *fleetMember) toldOf(name string) (j coordination.RoleStatus, told bool) {
-	s, told := m.owners()
+// queryRole is like role, and reports whether the sidecar replied: without a reply the role's owner is unknown.
+func (m *fleetMember) queryRole(name string) (j coordination.RoleStatus, told bool) {
+	s, told := m.leaseStatus()
 	for _, k := range s.Roles {
 		if k.Role == name {
 			j = k
@@ -453,20 +453,20 @@
 func TestWorkWaitsForPartitionedSidecar(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
-	owner := y.owner(y.all...)
+	owner := y.awaitCoordinator(y.all...)
 	cut := y.without(owner)[0]
 	b := y.hold(cut, "write")
-	y.plan(owner, "", b)
-	y.waits(b, "has something out there", cut.name)
+	y.submitPlan(owner, "", b)
+	y.awaitBlocker(b, "has something out there", cut.name)
 	ways := processcluster.Directions([]string{cut.name}, names(y.without(cut)), false)
 	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	b.release()
-	y.waits(b, "not heard to have stopped sending there", cut.name)
-	y.view([]*fleetMember{owner}, y.without(cut)) // it is declared dead, and waited for all the same
-	assert.Equal(t, maintenance.Draining, y.comes(b, maintenance.Draining).Stage)
+	y.awaitBlocker(b, "not heard to have stopped sending there", cut.name)
+	y.awaitView([]*fleetMember{owner}, y.without(cut)) // it is declared dead, and waited for all the same
+	assert.Equal(t, maintenance.Draining, y.awaitStage(b, maintenance.Draining).Stage)
 	assert.Empty(t, y.records())
 	y.board.SetFault(processcluster.LinkFault{}, ways...)
-	p := y.ended()
+	p := y.awaitEnd()
 	assert.Equal(t, maintenance.Done, p.Servers[0].Stage)
 	assert.Len(t, y.records(), 1)
 	y.serving()
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -24,18 +24,18 @@
 func TestWorkSidecarKilled(t *testing.T) {
 	y := newMaintenanceFleet(t, 4, 3, 3).open()
 	y.mechanic("anna", nil)
-	dead := y.without(y.owner(y.all...), y.all[0], y.all[1], y.all[2])
+	dead := y.without(y.awaitCoordinator(y.all...), y.all[0], y.all[1], y.all[2])
 	if len(dead) == 0 {
 		dead = y.all[3:] // then this one owns the role as well
 	}
 	b := y.hold(y.all[0], "write")
-	y.plan(y.all[0], `gone = "6s"`, b)
-	y.waits(b, "has something out there", "m00")
+	y.submitPlan(y.all[0], `gone = "6s"`, b)
+	y.awaitBlocker(b, "has something out there", "m00")
 	dead[0].kill()
 	b.release()
-	y.waits(b, "not heard to have stopped sending there", dead[0].name)
+	y.awaitBlocker(b, "not heard to have stopped sending there", dead[0].name)
 	assert.Empty(t, y.records())
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
 
@@ -49,8 +49,8 @@
 	before := y.all[5]
 	before.kill()
 	b := y.boxes[1]
-	y.plan(y.all[0], `gone = "1s"`, b)
-	y.comes(b, maintenance.InMaintenance)
+	y.submitPlan(y.all[0], `gone = "1s"`, b)
+	y.awaitStage(b, maintenance.InMaintenance)
 	for _, m := range y.all[3:] {
 		if m != before {
 			m.kill()
@@ -70,11 +70,11 @@
 		return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+50 })
 	})
 	for _, m := range y.all {
-		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+		y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	}
-	s := y.newest()
+	s := y.newestStatus()
 	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "all sidecars were back before the maintenance ended")
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
 
@@ -99,16 +99,16 @@
 			y.open()
 			y.mechanic("anna", nil)
 			b := y.hold(y.all[1], "write", "Request-Timeout", k.patience)
-			y.plan(y.all[0], "", b)
-			y.waits(b, "has something out there", "m01")
+			y.submitPlan(y.all[0], "", b)
+			y.awaitBlocker(b, "has something out there", "m01")
 			y.pollFor(3*patience, "it is waited for", func() bool {
-				s := y.newest()
+				s := y.newestStatus()
 				require.NotEqual(t, maintenance.Drained, stage(&s, b).Stage)
 				return len(s.Plans) > 0 && s.Plans[0].AgeSeconds > k.heldS
 			})
 			assert.Empty(t, y.records())
 			b.release()
-			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+			assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 			y.serving()
 		})
 	}
@@ -149,22 +149,22 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 6).open()
-			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // servers of sites a and b
+			y.submitPlan(y.awaitCoordinator(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // servers of sites a and b
 			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
-			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeSeconds > 15 })
+			y.poll("some time has passed", func() bool { s := y.newestStatus(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
 			began := time.Now()
 			y.poll("both servers are reinstated", func() bool { return y.counts()[maintenance.Pending] == 4 })
 			t.Log("given back after", time.Since(began))
 			y.poll("the status gives the reason", func() bool {
-				s := y.newest()
+				s := y.newestStatus()
 				return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 					return strings.Contains(w.Reason, k.waits) || strings.Contains(w.Reason, "is seen how")
 				})
 			})
 			ends()
 			y.mechanic("anna", nil)
-			p := y.ended()
+			p := y.awaitEnd()
 			assert.False(t, slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage != maintenance.Done }), "%+v", p.Servers)
 			assert.Len(t, y.records(), 4)
 			y.serving()
@@ -183,18 +183,18 @@
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 	}
-	y.plan(y.all[1], "", b)
-	y.waits(b, "has something out there", "m00")
+	y.submitPlan(y.all[1], "", b)
+	y.awaitBlocker(b, "has something out there", "m00")
 	said("ONLINE")
 	before := b.requestCount()
 	y.poll("the server is used there", func() bool { return b.requestCount() > before })
 	b.release()
-	y.waits(b, "in use there by hand", hand.name)
-	s, _ := hand.works()
+	y.awaitBlocker(b, "in use there by hand", hand.name)
+	s, _ := hand.maintenanceStatus()
 	assert.Equal(t, []string{b.name}, s.Reinstated)
 	assert.Empty(t, y.records())
 	said("OFFLINE")
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	ours := func() (n int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -219,30 +219,30 @@
 func TestWorkPlanDuringPartition(t *testing.T) {
 	y := newMaintenanceFleet(t, 5, 5, 3).open()
 	y.mechanic("anna", nil)
-	y.owner(y.all...)
+	y.awaitCoordinator(y.all...)
 	left, right := y.all[:3], y.all[3:]
 	ways := processcluster.Directions(names(left), names(right), false)
 	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	y.view(left, left)
-	y.owner(left...)
-	file := y.file(`cold = "4s"`, y.boxes...)
-	y.given(file, y.boxes...)
+	y.awaitView(left, left)
+	y.awaitCoordinator(left...)
+	file := y.writePlan(`cold = "4s"`, y.boxes...)
+	y.recordPlan(file, y.boxes...)
 	y.work(left[0], "plan", file, "--nonce", "7")
 	out, code := y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known whether it was done")
 	y.poll("the silent sidecar is named", func() bool {
-		s, _ := left[0].works()
+		s, _ := left[0].maintenanceStatus()
 		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.SetFault(processcluster.LinkFault{}, ways...)
-	y.poll("the other side knows the plan", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
+	y.poll("the other side knows the plan", func() bool { s, ok := right[0].maintenanceStatus(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "is of plan 1 (yard), which has not ended")
 	assert.Contains(t, y.work(right[0], "plan", file, "--nonce", "7"), "plan 1")
-	p := y.ended()
+	p := y.awaitEnd()
 	assert.Equal(t, uint64(1), p.Number)
 	assert.Len(t, y.records(), 3)
 	y.serving()
@@ -258,18 +258,18 @@
 	})
 	b := y.hold(y.all[0], "write")
 	others := slices.DeleteFunc(slices.Clone(y.boxes), func(o *machine) bool { return o == b })
-	y.plan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
+	y.submitPlan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
 	y.pollFor(6*patience, "servers are draining, drained and in maintenance", func() bool {
 		count := y.counts()
 		return count[maintenance.Draining] > 0 && count[maintenance.Drained] > 0 && count[maintenance.InMaintenance] == 1
 	})
 	y.work(y.all[2], "abort")
 	y.poll("servers that no agent works on are reinstated", func() bool { return y.counts()[maintenance.Skipped] == 4 })
-	s := y.newest()
+	s := y.newestStatus()
 	assert.False(t, s.Plans[0].Ended)
 	assert.Len(t, s.Cordoned, 1)
 	close(long)
-	p := y.ended()
+	p := y.awaitEnd()
 	for _, k := range p.Servers {
 		if k.Stage != maintenance.Done {
 			assert.Equal(t, "the plan was aborted by an operator", k.Reason)
@@ -284,20 +284,20 @@
 // too slow loses its server, and its report comes too late. Old tokens and second reports are rejected.
 func TestWorkAgents(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
-	owner := y.owner(y.all...)
+	owner := y.awaitCoordinator(y.all...)
 	slow := func(m *maintenanceagent.Agent) {
 		m.WorkDuration = func(string) time.Duration { return 4 * time.Second }
 		m.CompletesTwice = true
 	}
 	anna, dies := y.mechanic("anna", slow)
-	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
-	first := y.comes(y.boxes[0], maintenance.InMaintenance)
+	y.submitPlan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
+	first := y.awaitStage(y.boxes[0], maintenance.InMaintenance)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has the server")
-	y.poll("the server is overdue", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
-	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
+	y.poll("the server is overdue", func() bool { s := y.newestStatus(); return stage(&s, y.boxes[0]).Overdue })
+	assert.Equal(t, maintenance.InMaintenance, y.awaitStage(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	again()
 	assert.Zero(t, anna.RejectedGrants())
 	for _, r := range y.records() {
@@ -306,8 +306,8 @@
 	}
 
 	bob, stop := y.mechanic("bob", slow)
-	y.plan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
-	p := y.ended()
+	y.submitPlan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
+	p := y.awaitEnd()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
 	y.poll("the agent's report came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
@@ -327,11 +327,11 @@
 
 	// Forced while a request is in flight: the status records the sidecar that had it.
 	b := y.hold(owner, "write")
-	y.plan(owner, "name = \"third\"", b)
-	y.waits(b, "has something out there", owner.name)
+	y.submitPlan(owner, "name = \"third\"", b)
+	y.awaitBlocker(b, "has something out there", owner.name)
 	y.mechanic("carl", nil)
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
-	last := y.ended().Servers[0]
+	last := y.awaitEnd().Servers[0]
 	assert.Equal(t, []string{owner.name}, last.ForcedPast)
 	assert.Equal(t, maintenance.Done, last.Stage)
 	b.release()
@@ -356,8 +356,8 @@
 			b := y.boxes[0]
 			moved := &machine{server: newServer(t, b.name, nil), site: b.site}
 			moved.set(moved.ServeHTTP)
-			y.plan(y.all[0], "", b)
-			y.comes(b, maintenance.InMaintenance)
+			y.submitPlan(y.all[0], "", b)
+			y.awaitStage(b, maintenance.InMaintenance)
 			e := b.entry()
 			change(&e, moved.entry())
 			lists := func(m *fleetMember) float64 { return (&testSidecar{T: t, listen: m.listen}).counter("lists") }
@@ -373,7 +373,7 @@
 			y.poll("the sidecars go on serving", func() bool { return y.all[0].asked.Load() > asked+100 })
 			assert.Zero(t, moved.requestCount(), "the server is out at whichever address it is listed")
 			close(over)
-			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+			assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 			y.registry.publish(b.entry(), false)
 			was := b.requestCount()
 			y.poll("the sidecar serves again", func() bool { return b.requestCount() > was })
@@ -393,16 +393,16 @@
 		m.start()
 	}
 	y.ready(y.all[:4]...)
-	y.agree(y.all[:4]...)
+	y.awaitAgreement(y.all[:4]...)
 	y.asked()
 	anna, dies := y.mechanic("anna", nil)
-	y.plan(y.all[0], `gone = "2s"`, y.boxes...)
-	y.comes(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
+	y.submitPlan(y.all[0], `gone = "2s"`, y.boxes...)
+	y.awaitStage(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
 	for _, m := range y.all[4:] {
 		m.start()
 	}
 	y.ready(y.all[4:]...)
-	y.agree(y.all...)
+	y.awaitAgreement(y.all...)
 	y.poll("the plan goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
 	for i, m := range y.all[4:] {
 		if i%2 == 0 {
@@ -415,7 +415,7 @@
 	dies()
 	var last *machine
 	y.poll("the last one is ready", func() bool {
-		s := y.newest()
+		s := y.newestStatus()
 		for _, b := range y.boxes {
 			if k := stage(&s, b); k.Stage == maintenance.Drained {
 				last = b
@@ -432,7 +432,7 @@
 	// meanwhile, which is agreed once the majority is back.
 	y.poll("no sidecar coordinates the plans", func() bool {
 		return !slices.ContainsFunc(left, func(m *fleetMember) bool {
-			j, told := m.toldOf("works")
+			j, told := m.queryRole("works")
 			return !told || j.HeldToken != 0
 		})
 	})
@@ -453,7 +453,7 @@
 		m.start()
 	}
 	y.ready(y.all[:2]...)
-	y.waits(last, "in use there by hand", left[0].name)
+	y.awaitBlocker(last, "in use there by hand", left[0].name)
 	y.serving()
 }
 
@@ -475,27 +475,27 @@
 		m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 	})
 	b := y.boxes[0]
-	y.plan(y.all[0], "", b)
+	y.submitPlan(y.all[0], "", b)
 	out := func() {
 		t.Helper()
 		asked := map[*fleetMember]int64{}
 		for _, m := range y.all {
-			y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+			y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 			asked[m] = m.asked.Load()
 		}
 		y.poll("all serve", func() bool {
 			return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+30 })
 		})
 	}
-	y.comes(b, maintenance.InMaintenance)
+	y.awaitStage(b, maintenance.InMaintenance)
 	out()
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own admin endpoint
 	m.start()
-	y.poll("the new process has the server out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+	y.poll("the new process has the server out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	<-ended
-	y.agree(y.all...)
+	y.awaitAgreement(y.all...)
 	out()
 	for _, m := range y.all {
 		m.gone.Store(true)
@@ -508,6 +508,6 @@
 	y.ready(y.all...)
 	out()
 	close(over)
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -60,8 +60,8 @@
 	require.NoError(m.c, os.Rename(file+"-new", file)) // renamed, since the program may read it at any time
 }
 
-// fell reports whether an armed sidecar has stopped or died.
-func (m *fleetMember) fell(kill bool) bool {
+// hasFallen reports whether an armed sidecar has stopped or died.
+func (m *fleetMember) hasFallen(kill bool) bool {
 	if !kill {
 		return m.stopped()
 	}
@@ -73,22 +73,22 @@
 	}
 }
 
-// falls arms the owner and waits until it has reached the step. Danger: on a busy machine the role may move meanwhile; then the owner is
-// disarmed and falls returns false.
-func (y *maintenanceFleet) falls(owner *fleetMember, step string, kill bool, times int) bool {
+// failAtStep arms the owner and waits until it has reached the step. Danger: on a busy machine the role may move meanwhile; then the owner is
+// disarmed and failAtStep returns false.
+func (y *maintenanceFleet) failAtStep(owner *fleetMember, step string, kill bool, times int) bool {
 	y.Helper()
 	owner.arm(step, kill, times)
 	moved := false
 	y.poll(owner.name+" comes to the step, or owns the job no more", func() bool {
-		if owner.fell(kill) {
+		if owner.hasFallen(kill) {
 			return true
 		}
-		s := y.newest()
-		moved = s.Plans[len(s.Plans)-1].Ended || slices.ContainsFunc(y.without(owner), func(m *fleetMember) bool { return m.jobOf("works").HeldToken != 0 })
+		s := y.newestStatus()
+		moved = s.Plans[len(s.Plans)-1].Ended || slices.ContainsFunc(y.without(owner), func(m *fleetMember) bool { return m.role("works").HeldToken != 0 })
 		return moved
 	})
 	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // the owner is reaching the step right now
-		y.poll(owner.name+" falls", func() bool { return owner.fell(kill) })
+		y.poll(owner.name+" falls", func() bool { return owner.hasFallen(kill) })
 		return true
 	}
 	owner.frozen.Store(false)
@@ -133,9 +133,9 @@
 				}
 			})
 			give := func() {
-				y.plan(y.owner(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.boxes[:3]...)
+				y.submitPlan(y.awaitCoordinator(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.boxes[:3]...)
 			}
-			over := func() bool { s := y.newest(); return s.Plans[len(s.Plans)-1].Ended }
+			over := func() bool { s := y.newestStatus(); return s.Plans[len(s.Plans)-1].Ended }
 			give()
 			var old *fleetMember
 			var token uint64 // under which old owned the role
@@ -154,8 +154,8 @@
 						give()
 						continue
 					}
-					owner := y.owner(y.all...)
-					from, token = time.Now(), owner.jobOf("works").Token
+					owner := y.awaitCoordinator(y.all...)
+					from, token = time.Now(), owner.role("works").Token
 					others := y.without(owner)
 					deaf := processcluster.Directions(names(y.without(others[0])), names(others[:1]), true)
 					switch {
@@ -168,18 +168,18 @@
 					case k.half:
 						y.board.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
 						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // the command may fail, as the owner may die first
-						fell = y.falls(owner, k.step, kill, times)
+						fell = y.failAtStep(owner, k.step, kill, times)
 						y.board.SetFault(processcluster.LinkFault{}, deaf...)
 					default:
-						fell = y.falls(owner, k.step, kill, times)
+						fell = y.failAtStep(owner, k.step, kill, times)
 					}
 					if fell {
 						away.Store(true)
-						next := y.owner(others...)
+						next := y.awaitCoordinator(others...)
 						t.Logf("%s fell with %v, %s goes on after %v", owner.name, y.counts(), next.name, time.Since(from).Round(10*time.Millisecond))
 					}
 					if k.half {
-						y.work(y.owner(y.without(owner)...), "resume")
+						y.work(y.awaitCoordinator(y.without(owner)...), "resume")
 					}
 					if fell && kill {
 						y.ready(owner.start())
@@ -197,13 +197,13 @@
 			})
 			y.stood = append(y.stood, stallPeriod{old, from, time.Now()})
 			old.resume()
-			p := y.ended()
+			p := y.awaitEnd()
 			for _, b := range p.Servers {
 				assert.Equal(t, maintenance.Done, b.Stage, b.Name)
 			}
 			y.poll("the old owner knows", func() bool {
-				s, ok := old.works()
-				j, told := old.toldOf("works")
+				s, ok := old.maintenanceStatus()
+				j, told := old.queryRole("works")
 				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
 			})
 			tokens := map[uint64]bool{}
@@ -219,7 +219,7 @@
 // counts returns how many servers of the last plan are at each stage.
 func (y *maintenanceFleet) counts() map[maintenance.Stage]int {
 	count := map[maintenance.Stage]int{}
-	if s := y.newest(); len(s.Plans) > 0 {
+	if s := y.newestStatus(); len(s.Plans) > 0 {
 		for _, b := range s.Plans[len(s.Plans)-1].Servers {
 			count[b.Stage]++
 		}
