--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -30,11 +30,11 @@
 	return n
 }
 
-// deaths returns how many deaths all of them have declared.
+// deaths returns how many deaths some members have declared in all.
 func (c *testFleet) deaths(all ...*fleetMember) (n uint64) {
 	c.Helper()
 	for _, m := range all {
-		s, ok := m.seen()
+		s, ok := m.status()
 		require.True(c, ok)
 		n += s.View.Deaths
 	}
@@ -42,93 +42,95 @@
 }
 
 func (m *fleetMember) id() string {
-	s, _ := m.seen()
+	s, _ := m.status()
 	return s.ID
 }
 
-// Seven are cut four to three: each side counts itself, and both serve; mended, they are one again. Then for a moment only.
-func TestFleetIsCut(t *testing.T) {
+// A network partition splits seven sidecars four to three: each side counts only itself, and both serve. After it heals they are one
+// fleet again. Then the same with a short partition.
+func TestFleetPartition(t *testing.T) {
 	c := newTestFleet(t, 7).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	left, right := c.all[:4], c.all[4:]
 	ways := processcluster.Directions(names(left), names(right), false)
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	t.Logf("the sides part after %v", max(c.view(left, left), c.view(right, right)))
-	c.placed(left...)
-	c.placed(right...)
+	t.Logf("the sides part after %v", max(c.awaitView(left, left), c.awaitView(right, right)))
+	c.awaitRanks(left...)
+	c.awaitRanks(right...)
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("one again after %v", c.agree(c.all...))
-	c.placed(c.all...)
+	t.Logf("one again after %v", c.awaitAgreement(c.all...))
+	c.awaitRanks(c.all...)
 
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	c.poll("somebody is suspected", func() bool {
-		s, _ := left[0].seen()
+	c.poll("a member is suspected", func() bool {
+		s, _ := left[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("after a short cut one again after %v", c.agree(c.all...))
-	s, _ := c.all[0].seen()
-	assert.Len(t, s.Members, 7, "nobody is another than before")
+	t.Logf("after a short cut one again after %v", c.awaitAgreement(c.all...))
+	s, _ := c.all[0].status()
+	assert.Len(t, s.Members, 7, "no member has changed its identity")
 	stop()
 }
 
-// All links go at ten bytes a second, less than beats take: somebody is suspected, all serve, and once it is over all agree.
+// All links are limited to ten bytes a second, less than heartbeats need: some members are suspected, all serve, and once the limit is
+// lifted all agree.
 func TestFleetOverSlowLinks(t *testing.T) {
 	c := newTestFleet(t, 5).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	ways := processcluster.Directions(names(c.all), names(c.all), false)
 	c.board.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
-	c.poll("somebody is suspected", func() bool {
-		s, _ := c.all[0].seen()
+	c.poll("a member is suspected", func() bool {
+		s, _ := c.all[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("agree after %v", c.agree(c.all...))
+	t.Logf("agree after %v", c.awaitAgreement(c.all...))
 	stop()
 }
 
-// Who can be reached by most is not called dead: neither one that one other does not hear, nor one that two do not. Those who do not hear
-// it are among its watchers: to anybody else its silence is nothing, since nothing is expected of it there.
-func TestFleetHearsThroughOthers(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// A member that most others can reach is not declared dead, whether one other can't hear it or two can't. The ones that can't hear it
+// are among its watchers: only watchers expect heartbeats of it, so its silence means nothing to others.
+func TestFleetPartialConnectivity(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, deaf := range map[string]int{"one way": 1, "two of seven": 2} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestFleet(t, 7).start()
 			c.ready(c.all...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			stop := c.serveAll()
 			mute, watchers := c.watched(deaf)
 			ways := processcluster.Directions([]string{mute.name}, names(watchers[:deaf]), true)
 			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-			// It is accused, says no, and is accused again after a while: by then it could have been called dead.
+			// It is accused, refutes that, and is accused again after a while: by then it could have been declared dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
-				s, _ := mute.seen()
+				s, _ := mute.status()
 				refutations = s.View.Refutations
 				return refutations >= 2
 			}, func() string {
 				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
 			c.board.SetFault(processcluster.LinkFault{}, ways...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			assert.Zero(t, c.deaths(c.all...))
 			stop()
 		})
 	}
 }
 
-// watched returns a member that so many others watch at least, and these. Who watches whom goes by identities, which are drawn at the
-// start: of seven a given two are no neighbours on any ring in a fifth of all cases.
+// watched returns a member that at least so many others watch, and these watchers. Who watches whom depends on the identities, which are
+// random: of seven members, two given ones are neighbors on no ring in a fifth of all cases.
 func (c *testFleet) watched(atLeast int) (by *fleetMember, watchers []*fleetMember) {
 	c.Helper()
 	c.poll(fmt.Sprintf("one is watched by %d", atLeast), func() bool {
 		of := map[string][]*fleetMember{}
 		for _, m := range c.all {
-			s, ok := m.seen()
+			s, ok := m.status()
 			if !ok {
 				return false
 			}
@@ -149,32 +151,32 @@
 	return by, watchers
 }
 
-// One that stands still for a while goes on with what it knew, and nobody else is called dead for it.
-func TestFleetWithOneThatStandsStill(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// A member that is stopped for a while resumes with its old state, and no other member is declared dead because of it.
+func TestFleetWithStoppedMember(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, stall := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(stall.String(), func(t *testing.T) {
 			c := newTestFleet(t, 5).start()
 			c.ready(c.all...)
-			c.agree(c.all...)
+			c.awaitAgreement(c.all...)
 			stop, still, others := c.serveAll(), c.all[2], c.all[:2]
 			others = append(slices.Clone(others), c.all[3:]...)
-			before, _ := still.seen()
+			before, _ := still.status()
 			began := time.Now()
 			still.freeze()
 			if stall > 4*time.Second {
-				t.Logf("held for dead after %v", c.view(others, others))
+				t.Logf("held for dead after %v", c.awaitView(others, others))
 			}
-			time.Sleep(stall - time.Since(began)) // the trouble itself; what follows from it is polled
+			time.Sleep(stall - time.Since(began)) // the duration of the fault itself; its effects are polled for
 			still.resume()
-			t.Logf("back after %v", c.agree(c.all...))
-			after, _ := still.seen()
+			t.Logf("back after %v", c.awaitAgreement(c.all...))
+			after, _ := still.status()
 			assert.Equal(t, before.ID, after.ID)
 			for _, m := range c.all {
-				s, _ := m.seen()
-				assert.Len(t, s.Members, 5, "nobody is another than before")
+				s, _ := m.status()
+				assert.Len(t, s.Members, 5, "no member has changed its identity")
 			}
-			if deaths := c.deaths(still); assert.Zero(t, deaths, "it doubts itself before others") && stall > 4*time.Second {
+			if deaths := c.deaths(still); assert.Zero(t, deaths, "it suspects itself before others") && stall > 4*time.Second {
 				assert.NotZero(t, after.View.Refutations+after.View.Stalls)
 			}
 			stop()
@@ -182,11 +184,12 @@
 	}
 }
 
-// A copied folder: two processes claim one identity. Both serve, the one that is not as far takes another, and both count.
-func TestFleetTellsACopyApart(t *testing.T) {
+// A state folder was copied, so two processes claim one identity. Both serve, the one whose state is older takes another identity, and
+// both are counted.
+func TestFleetCopiedState(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	was := c.all[2].id()
 	twin := c.add()
 	raw, err := os.ReadFile(filepath.Join(c.all[2].dir, "peer"))
@@ -196,36 +199,36 @@
 	twin.gone.Store(true)
 	twin.start()
 	c.ready(twin)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	ids := map[string]bool{}
 	for _, m := range c.all {
 		ids[m.id()] = true
 	}
 	assert.Len(t, ids, 4)
-	assert.True(t, ids[was], "one of the two keeps it")
-	c.poll("one says so", func() bool {
+	assert.True(t, ids[was], "one of the two keeps the identity")
+	c.poll("a sidecar reports it", func() bool {
 		return strings.Contains(c.all[2].log.String()+twin.log.String(), "goes on under another identity")
 	})
-	// What was drawn anew is kept: after a restart all are who they are.
+	// The new identity is stored: after a restart all members keep theirs.
 	for _, m := range []*fleetMember{c.all[2], twin} {
 		id := m.id()
 		m.kill()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.Equal(t, id, m.id())
 	}
 	stop()
 }
 
-// All are killed and begin again within a second; of the addresses to join by one alone lives. And some that find nobody
+// All members are killed and restart within a second, and only one of the addresses to join by is alive. Then members that find no peer
 // serve alone until they meet.
-func TestFleetBeginsAgain(t *testing.T) {
+func TestFleetRestart(t *testing.T) {
 	c := newTestFleet(t, 6)
-	for _, m := range c.all { // two of the three never live
+	for _, m := range c.all { // two of the three addresses to join by are never alive
 		m.join = []string{freeAddress(t), freeAddress(t), c.all[0].advertise}
 	}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop := c.serveAll()
 	ids := map[string]bool{}
 	for _, m := range c.all {
@@ -240,9 +243,9 @@
 		m.start()
 	}
 	c.ready(c.all...)
-	t.Logf("all again after %v", c.agree(c.all...))
+	t.Logf("all again after %v", c.awaitAgreement(c.all...))
 	for _, m := range c.all {
-		assert.True(t, ids[m.id()], "it is who it was")
+		assert.True(t, ids[m.id()], "it keeps its identity")
 	}
 	stop()
 
@@ -253,25 +256,25 @@
 	for _, m := range lonely.all[:2] {
 		lonely.ready(m.start())
 		var s coordination.Status
-		lonely.poll("it has begun", func() bool { // it serves before its identity is on disk
-			s, _ = m.seen()
+		lonely.poll("the sidecar has started", func() bool { // it serves before its identity is on disk
+			s, _ = m.status()
 			return s.ID != ""
 		})
 		assert.Equal(t, 1, s.Live)
-		assert.Equal(t, 3, s.Count, "alone it goes by its settings")
+		assert.Equal(t, 3, s.Count, "a member that is alone uses its settings")
 	}
 	lonely.all[2].gone.Store(true)
 	lonely.ready(lonely.all[2].start())
-	t.Logf("met after %v", lonely.agree(lonely.all...))
-	lonely.placed(lonely.all...)
+	t.Logf("met after %v", lonely.awaitAgreement(lonely.all...))
+	lonely.awaitRanks(lonely.all...)
 }
 
-// What is on disk is lost, torn, of a later version, or can't be written: the process serves and is a new one; with its state
-// it is the same.
+// If the state on disk is lost, truncated, of a later version or not writable, the process serves under a new identity. With its state
+// it keeps its identity.
 func TestFleetState(t *testing.T) {
 	c := newTestFleet(t, 4).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop, m := c.serveAll(), c.all[3]
 	file := filepath.Join(m.dir, "peer")
 	for _, k := range []struct {
@@ -299,9 +302,9 @@
 		m.log.forget()
 		m.start()
 		c.ready(m)
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.Equal(t, k.same, id == m.id(), k.name)
-		s, _ := m.seen()
+		s, _ := m.status()
 		assert.True(t, s.IdentityStored, k.name)
 		c.poll(k.name, func() bool { return strings.Contains(m.log.String(), k.says) })
 		if k.says != "" {
@@ -311,21 +314,21 @@
 		}
 	}
 	m.kill()
-	m.dir = filepath.Join(file, "below a file") // nothing can be written there
+	m.dir = filepath.Join(file, "below a file") // nothing can be written below a file
 	m.start()
 	c.ready(m)
-	c.agree(c.all...)
-	s, _ := m.seen()
+	c.awaitAgreement(c.all...)
+	s, _ := m.status()
 	assert.False(t, s.IdentityStored)
-	c.poll("it says so", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
+	c.poll("the log reports it", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
-	// A disk that is full: no byte of a file can be written.
+	// A full disk: no byte of a file can be written.
 	m.kill()
 	m.dir, m.full = t.TempDir(), true
 	m.start()
 	c.ready(m)
-	c.agree(c.all...)
-	s, _ = m.seen()
+	c.awaitAgreement(c.all...)
+	s, _ = m.status()
 	assert.False(t, s.IdentityStored)
 	stop()
 }
@@ -341,14 +344,14 @@
 		m.start()
 	}
 	c.ready(c.all[:5]...)
-	c.agree(c.all[:5]...)
-	c.placed(c.all[:5]...)
+	c.awaitAgreement(c.all[:5]...)
+	c.awaitRanks(c.all[:5]...)
 	for _, m := range c.all[5:] {
 		m.start()
 	}
 	c.ready(c.all...)
-	t.Logf("thirty agree after %v", c.agree(c.all...))
-	c.placed(c.all...)
+	t.Logf("thirty agree after %v", c.awaitAgreement(c.all...))
+	c.awaitRanks(c.all...)
 	for i, m := range c.all[3:] {
 		if m.gone.Store(true); i%2 == 0 {
 			m.signal(syscall.SIGTERM)
@@ -356,24 +359,24 @@
 			m.signal(syscall.SIGKILL)
 		}
 	}
-	t.Logf("three agree after %v", c.agree(c.all[:3]...))
-	c.placed(c.all[:3]...)
-	s, _ := c.all[0].seen()
+	t.Logf("three agree after %v", c.awaitAgreement(c.all[:3]...))
+	c.awaitRanks(c.all[:3]...)
+	s, _ := c.all[0].status()
 	assert.Equal(t, "left", states(s)["m03"])
 	assert.Equal(t, "dead", states(s)["m04"])
 	stop()
 }
 
-// What a capture holds of a sidecar whose place in its fleet changes replays without a difference.
+// The capture of a sidecar whose rank in its fleet changes replays without differences.
 func TestFleetInACapture(t *testing.T) {
 	c := newTestFleet(t, 4)
-	c.replica = 2 // the settings are wrong; what counts is who is there
+	c.replica = 2 // the configured number is wrong; the live members count
 	for _, m := range c.all {
 		m.capture = true
 	}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
-	c.placed(c.all...)
+	c.awaitAgreement(c.all...)
+	c.awaitRanks(c.all...)
 	m := c.all[0]
 	w := &testSidecar{T: t, listen: m.listen}
 	w.client.Timeout = patience
@@ -388,7 +391,7 @@
 	assert.Greater(t, compared(t, out), 20)
 }
 
-// A process takes the place of another with its socket: it keeps the identity, and never do the two count as two.
+// A process takes over from another with its socket: it keeps the identity, and the two are never counted as two members.
 func TestFleetReplacement(t *testing.T) {
 	c := newTestFleet(t, 4)
 	m := c.all[3]
@@ -400,7 +403,7 @@
 	l.Close()
 	m.env = []string{"TMPDIR=" + m.tmp, "GW_PASSED_SOCKET=4"}
 	c.start().ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	id := m.id()
 	over, most := make(chan struct{}), make(chan int)
 	go func() {
@@ -411,7 +414,7 @@
 				most <- n
 				return
 			case <-time.After(5 * time.Millisecond):
-				if s, ok := c.all[0].seen(); ok {
+				if s, ok := c.all[0].status(); ok {
 					n = max(n, s.Live, s.Count)
 				}
 			}
@@ -419,19 +422,19 @@
 	}()
 	for range 3 {
 		old, ended, door := m.cmd, m.ended, m.ops
-		m.ops = freeAddress(t) // each process has its own
+		m.ops = freeAddress(t) // each process has its own admin endpoint
 		m.start()
-		c.poll("it speaks for the sidecar", func() bool {
-			s, ok := m.seen()
+		c.poll("the new process acts for the sidecar", func() bool {
+			s, ok := m.status()
 			return ok && s.ID == id && len(alive(s)) == 4 && s.Links.Links >= 3
 		})
-		c.poll("the old one is quiet", func() bool {
+		c.poll("the old process is quiet", func() bool {
 			text, err := callOnce(door, "PEERS\n")
 			return err == nil && strings.Contains(text, `"quiet":true`)
 		})
 		require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 		<-ended
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		c.poll("peers reach the new one", func() bool { return strings.Contains(m.log.String(), "peers can come\"") })
 		m.log.forget()
 	}
@@ -440,11 +443,11 @@
 	assert.Equal(t, id, m.id())
 }
 
-// A peer says what it likes. It is told apart, the others go on, and nobody's memory grows without a bound.
-func TestFleetBearsALiar(t *testing.T) {
+// A malicious peer sends arbitrary messages. Its connection is closed, the other members go on, and nobody's memory grows without bound.
+func TestFleetMaliciousPeer(t *testing.T) {
 	c := newTestFleet(t, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
+	c.awaitAgreement(c.all...)
 	stop, victim := c.serveAll(), c.all[0]
 	hello := func(fleetName string) []byte {
 		self := swim.Record{ID: 7, Version: swim.Version{Incarnation: 1 << 32, BootID: 1}, Name: "liar", Address: "127.0.0.1:1"}
@@ -481,10 +484,10 @@
 		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
 		for _, text := range texts {
 			if _, err := conn.Write(text); err != nil {
-				return // it has been sent away
+				return // the sidecar has closed the connection
 			}
 		}
-		_, _ = io.Copy(io.Discard, conn) // until it is sent away; an error says so, too
+		_, _ = io.Copy(io.Discard, conn) // until the sidecar closes the connection, which an error shows too
 	}
 	for name, texts := range map[string][][]byte{
 		"a huge frame":           {hello("yard"), binary.BigEndian.AppendUint32(nil, 1<<31)},
@@ -496,7 +499,7 @@
 		"members before a hello": {records(3, 1)},
 	} {
 		speak(texts...)
-		_, ok := victim.seen()
+		_, ok := victim.status()
 		require.True(t, ok, name)
 	}
 	var million [][]byte
@@ -504,11 +507,11 @@
 		million = append(million, records(100, uint64(i)))
 	}
 	speak(append([][]byte{hello("yard")}, million...)...)
-	s, _ := victim.seen()
+	s, _ := victim.status()
 	t.Logf("known after a million lies: %d; links %+v", len(s.Members), s.Links)
 	assert.Less(t, len(s.Members), 4000)
-	// The last one says too much, if it says it fast enough; on a machine whose cores are taken its link goes before that, as one that
-	// nobody needs.
+	// The last connection exceeds the rate limit if it sends fast enough. On a busy machine it is closed before that, as an unneeded
+	// link.
 	assert.GreaterOrEqual(t, s.Links.ProtocolErrors, uint64(6))
 	assert.Less(t, s.Links.ReceivedBytes, uint64(4<<20))
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", victim.cmd.Process.Pid))
@@ -520,13 +523,13 @@
 	t.Logf("at most %d kB resident", peak)
 	assert.Less(t, peak, 200<<10)
 	for _, text := range []string{"is of another fleet", "not spoken here"} {
-		assert.Equal(t, 1, strings.Count(victim.log.String(), text), "told once")
+		assert.Equal(t, 1, strings.Count(victim.log.String(), text), "logged once")
 	}
 	for _, m := range c.all {
-		s, ok := m.seen()
+		s, ok := m.status()
 		require.True(t, ok)
 		for _, other := range c.all {
-			assert.Equal(t, "alive", states(s)[other.name], "those that live are not forgotten for those that do not")
+			assert.Equal(t, "alive", states(s)[other.name], "live members are not evicted for dead ones")
 		}
 	}
 	stop()
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -22,10 +22,11 @@
 
 const large = 32 << 20
 
-// sum is what a body is known by.
+// sum returns the SHA-256 hash by which bodies are compared.
 func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
-// newFlowServer is a server that does not hold what it gets: it answers with its length and hash, or with so many bytes.
+// newFlowServer returns a server that does not buffer bodies: it responds with the length and hash of the request's body, or with body,
+// framed as the query's way says.
 func newFlowServer(t *testing.T, body []byte) *server {
 	s := newServer(t, "s-00000001", nil)
 	s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +57,8 @@
 	return s
 }
 
-// Bodies and answers of 32 MB come whole, in every form, many at a time, in a process that could not hold two of them.
+// Requests and responses of 32 MB arrive intact, in every transfer encoding and many at a time, in a process whose memory could not hold
+// two of them.
 func TestLargeMessages(t *testing.T) {
 	body := bytes.Repeat([]byte("0123456789abcdef\n"), large/17)
 	w := newTestSidecar(t, newFlowServer(t, body))
@@ -84,14 +86,14 @@
 	}
 	all.Wait()
 	held := memoryMB(t, w.cmd.Process.Pid)
-	assert.Less(t, held, memoryMost, "all of them are 384 MB")
+	assert.Less(t, held, memoryMost, "all messages together are 384 MB")
 	t.Logf("%.0f MB resident at most", held)
 	for name, want := range map[string]float64{"requests": 12, "served": 12, "executions": 12, "written": 12, "open": 0, "panics": 0} {
 		assert.Equal(t, want, w.counter(name), name)
 	}
 }
 
-// memoryMB returns the most memory that a process has had resident.
+// memoryMB returns the peak resident memory of a process.
 func memoryMB(t *testing.T, pid int) float64 {
 	status, err := readStatus(pid)
 	require.NoError(t, err)
@@ -105,7 +107,7 @@
 	return kb / 1024
 }
 
-// A client that does not read holds up its own answer and nobody else's, and gets all of it once it reads.
+// A client that does not read delays only its own response, and gets all of it once it reads.
 func TestSlowReaderOfALargeAnswer(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), large)
 	w := newTestSidecar(t, newFlowServer(t, body)).start()
@@ -117,7 +119,7 @@
 	for range 100 {
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 	}
-	assert.EqualValues(t, 1, w.counter("open"), "it is open until its last byte")
+	assert.EqualValues(t, 1, w.counter("open"), "the request is open until the last byte of its response")
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	n, err := io.Copy(io.Discard, r.Body)
@@ -126,7 +128,7 @@
 	w.eventually("over", func() bool { return w.counter("open") == 0 && w.counter("served") == 101 })
 }
 
-// What breaks off after its begin is passed on can be told from a whole answer, counts as failed, and is not asked for again.
+// A response that breaks off after its start was passed on is recognizable as incomplete, counts as failed, and is not requested again.
 func TestLargeAnswerBreaksOff(t *testing.T) {
 	for _, head := range []string{"Content-Length: 1000000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nF4240\r\n"} {
 		t.Run(head[:7], func(t *testing.T) {
@@ -141,7 +143,7 @@
 	}
 }
 
-// A client that leaves in the middle of an answer costs the server's link and nothing more.
+// A client that disconnects in the middle of a response costs only the connection to the server.
 func TestClientLeavesALargeAnswer(t *testing.T) {
 	w := newTestSidecar(t, newFlowServer(t, bytes.Repeat([]byte("x"), large))).start()
 	c, err := net.Dial("tcp", w.listen)
@@ -154,8 +156,9 @@
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 }
 
-// A request whose body is no longer held is never sent a second time; before its last byte nothing has run, and it is refused.
-func TestHalfSentRequestIsNotSentAgain(t *testing.T) {
+// A request whose body is no longer buffered is never sent a second time. Before its last byte the server has run nothing, so the
+// request is rejected.
+func TestPartlySentRequestIsNotResent(t *testing.T) {
 	var heads, wholes atomic.Int32
 	broken := newServer(t, "s-00000001", nil)
 	broken.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -172,22 +175,22 @@
 		r := w.request(class, "", "")
 		r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, large))), large
 		p := w.send(r)
-		if p.err == nil { // else the answer was cut off by the client's own sending
+		if p.err == nil { // else the client's own sending cut off the response
 			assert.Equal(t, 503, p.status, class)
 		}
-		w.eventually("refused", func() bool { return w.counter("open") == 0 })
+		w.eventually("the request is rejected", func() bool { return w.counter("open") == 0 })
 		assert.EqualValues(t, 1, heads.Load(), class)
 	}
 	assert.EqualValues(t, 2, w.counter("throttled"))
 }
 
-// A body that is held whole goes to another server where the first has died on it.
-func TestHeldBodyIsSentAgain(t *testing.T) {
+// A body that is buffered completely is sent to another server where the first one failed while receiving it.
+func TestBufferedBodyIsResent(t *testing.T) {
 	s := newServer(t, "s-00000001", says(503, "", "Not-Started", "1"))
 	w := newTestSidecar(t, s).start()
 	body := strings.Repeat("x", 300_000)
 	asked := w.askAside("write", "", body)
-	w.eventually("turned away", func() bool { return s.requestCount() > 0 })
+	w.eventually("the first attempt", func() bool { return s.requestCount() > 0 })
 	s.set(says(200, "done"))
 	assert.Equal(t, "done", (<-asked).body)
 	for _, got := range s.requests {
@@ -195,7 +198,7 @@
 	}
 }
 
-// A body may take as long as it brings something; one that brings next to nothing is ended.
+// An upload may take any time while it makes progress; one that makes next to none is ended.
 func TestSlowUpload(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, "done"))
 	w := newTestSidecar(t, s).start()
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -23,7 +23,7 @@
 	Inflight int
 }
 
-// side asks at the side port.
+// side sends a request to the health port.
 func side(t *testing.T, address, path string) (c condition) {
 	r, err := outside.Get("http://" + address + path)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	return address
 }
 
-// Discovery that says nothing new but is there keeps the list young; once it has stopped, ready turns 503.
+// A watch without changes keeps the endpoint list fresh while discovery is reachable; once discovery has stopped, /ready turns to 503.
 func TestReadyFollowsDiscovery(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t)
@@ -66,7 +66,7 @@
 	}
 	w.eventually("ready", func() bool { return side(t, address, "/ready").status == 200 })
 	began := time.Now()
-	w.eventually("ready for longer than a list may be old", func() bool {
+	w.eventually("ready for longer than the maximum age of a list", func() bool {
 		return side(t, address, "/ready").status == 200 && time.Since(began) > 2*time.Second
 	})
 	assert.Equal(t, 1, side(t, address, "/ready").Usable)
@@ -82,10 +82,10 @@
 	r, err := outside.Get("http://" + w.listen + "/ready")
 	require.NoError(t, err)
 	r.Body.Close()
-	assert.Equal(t, 200, r.StatusCode, "the platform's own is as it was")
+	assert.Equal(t, 200, r.StatusCode, "the platform's own check is unchanged")
 }
 
-// What is out, and the end, are told while they last.
+// Requests in flight and the shutdown are reported while they last.
 func TestReadyCountsRequests(t *testing.T) {
 	var let atomic.Bool
 	s := newServer(t, "s-00000001", func(http.ResponseWriter, *http.Request) {
@@ -110,8 +110,8 @@
 	assert.NoError(t, w.cmd.Wait())
 }
 
-// A port that is taken is a fault to be told, not a sidecar without its side port.
-func TestSidePortTaken(t *testing.T) {
+// A health port that is in use is an error at startup: the sidecar must not run without it.
+func TestHealthPortInUse(t *testing.T) {
 	w := newTestSidecar(t)
 	taken := httptest.NewServer(nil)
 	t.Cleanup(taken.Close)
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -29,9 +29,9 @@
 	"hazelwheel/internal/peers/frames"
 )
 
-// standBetween has the program stand still between the check of a lease and what is done under it, once, as soon as there is a file.
-// This is the hook of the build for tests; the program itself has none.
-func standBetween(file string) {
+// stopAfterLeaseCheck makes the program stop itself (SIGSTOP) between the check of a lease and the action that the lease covers, once, as soon
+// as a file exists. Only the test build has this hook; the program itself has none.
+func stopAfterLeaseCheck(file string) {
 	if file == "" {
 		return
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// newOwners returns sidecars of which the first so many are electors and all can do the job.
-func newOwners(t *testing.T, n, electors int) *testFleet {
+// newRoleFleet returns sidecars of which the first so many are electors and all can take the role.
+func newRoleFleet(t *testing.T, n, electors int) *testFleet {
 	c := newTestFleet(t, n)
 	for _, m := range c.all[:electors] {
 		c.electors = append(c.electors, m.advertise)
@@ -61,15 +61,15 @@
 			}
 		}
 		wrong, seen, refused, old := c.effects.Results()
-		assert.Empty(t, wrong, "nobody passes an old owner's effect on")
+		assert.Empty(t, wrong, "no member relays an old owner's effect")
 		assert.NotZero(t, seen)
 		t.Logf("%d effects on the wire, %d under a token that was not the greatest any more, %d refusals", seen, old, refused)
 	})
 	return c
 }
 
-// owners asks the sidecar at its door who owns what; false: it does not say.
-func (m *fleetMember) owners() (s coordination.LeaseStatus, ok bool) {
+// leaseStatus queries the sidecar's admin endpoint for the owners of the roles; false if it does not reply.
+func (m *fleetMember) leaseStatus() (s coordination.LeaseStatus, ok bool) {
 	if m.frozen.Load() || m.cmd == nil {
 		return s, false
 	}
@@ -77,24 +77,25 @@
 	return s, err == nil && json.Unmarshal([]byte(text), &s) == nil
 }
 
-// job returns what a sidecar knows of the job "report".
-func (m *fleetMember) job() coordination.RoleStatus { return m.jobOf("report") }
+// reportRole returns what a sidecar knows of the role "report".
+func (m *fleetMember) reportRole() coordination.RoleStatus { return m.role("report") }
 
 // report returns the last report that a sidecar knows.
 func (m *fleetMember) report() (r coordination.Report) {
 	if text, err := callOnce(m.ops, "REPORT\n"); err == nil {
-		_ = json.Unmarshal([]byte(text), &r) // else it is empty
+		_ = json.Unmarshal([]byte(text), &r) // on an error it stays empty
 	}
 	return r
 }
 
-// owner waits until one of some owns the job under a token above another, and all of them know it and have taken its effects.
-func (c *testFleet) owner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
+// awaitOwner waits until one of the members owns the role under a greater token than above, and all of them know it and have accepted its
+// effects.
+func (c *testFleet) awaitOwner(above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
-	c.poll("one owns the job", func() bool {
+	c.poll("a sidecar owns the role", func() bool {
 		owner, token = nil, 0
 		for _, m := range some {
-			if j := m.job(); j.HeldToken > above {
+			if j := m.reportRole(); j.HeldToken > above {
 				owner, token = m, j.HeldToken
 			}
 		}
@@ -102,7 +103,7 @@
 			return false
 		}
 		for _, m := range some {
-			j := m.job()
+			j := m.reportRole()
 			if !slices.IsSorted(j.AcceptedTokens) {
 				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
@@ -115,16 +116,16 @@
 	return owner, token
 }
 
-// took waits for the next owner, and says after how long one held the job.
-func (c *testFleet) took(what string, above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
+// awaitNextOwner waits for the next owner, and logs how long the role was without one.
+func (c *testFleet) awaitNextOwner(what string, above uint64, some ...*fleetMember) (owner *fleetMember, token uint64) {
 	c.Helper()
 	began := time.Now()
-	owner, token = c.owner(above, some...)
+	owner, token = c.awaitOwner(above, some...)
 	c.Logf("%s: another owns the job and all know after %v", what, time.Since(began).Round(10*time.Millisecond))
 	return owner, token
 }
 
-// command runs the program for its output and exit code.
+// command runs the program and returns its output and exit status.
 func (c *testFleet) command(args ...string) (out string, code int) {
 	c.Helper()
 	cmd := program(args...)
@@ -135,18 +136,18 @@
 	return string(raw), cmd.ProcessState.ExitCode()
 }
 
-// without returns all but some.
+// without returns all members except some.
 func (c *testFleet) without(some ...*fleetMember) []*fleetMember {
 	return slices.DeleteFunc(slices.Clone(c.all), func(m *fleetMember) bool { return slices.Contains(some, m) })
 }
 
-// leader returns who leads the electors.
+// leader returns the leader of the electors.
 func (c *testFleet) leader(some ...*fleetMember) (leader *fleetMember) {
 	c.Helper()
 	c.poll("one leads", func() bool {
 		leader = nil
 		for _, m := range some {
-			if s, ok := m.owners(); ok && s.Local.IsLeader {
+			if s, ok := m.leaseStatus(); ok && s.Local.IsLeader {
 				leader = m
 			}
 		}
@@ -155,20 +156,20 @@
 	return leader
 }
 
-// Three elect, one owns the job; it is killed, and another one owns it under a greater token. Then the leader and the owner are
-// killed at once, and again as soon as there is another leader.
+// With the electors and one owner of the role running, the owner is killed, and another sidecar owns the role under a greater token.
+// Then the leader and the owner are killed at once, and again as soon as there is another leader.
 func TestOwnerIsKilled(t *testing.T) {
-	c := newOwners(t, 7, 7).start() // a majority outlives all of this
+	c := newRoleFleet(t, 7, 7).start() // a majority survives all of this
 	c.ready(c.all...)
 	stop := c.serveAll()
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	owner.kill()
-	_, token = c.took("killed", token, c.without(owner)...)
+	_, token = c.awaitNextOwner("killed", token, c.without(owner)...)
 	owner.start()
 	c.ready(owner)
-	c.owner(token-1, c.all...)
+	c.awaitOwner(token-1, c.all...)
 
-	owner, token = c.owner(0, c.all...)
+	owner, token = c.awaitOwner(0, c.all...)
 	first := c.leader(c.all...)
 	for _, m := range []*fleetMember{first, owner} {
 		if !m.gone.Load() {
@@ -177,21 +178,21 @@
 	}
 	second := c.leader(c.without(first, owner)...)
 	second.kill()
-	_, token = c.took("owner, leader and the next leader killed", token, c.without(first, owner, second)...)
+	_, token = c.awaitNextOwner("owner, leader and the next leader killed", token, c.without(first, owner, second)...)
 	for _, m := range []*fleetMember{first, owner, second} {
 		if m.gone.Load() {
 			c.ready(m.start())
 		}
 	}
-	c.owner(token-1, c.all...)
+	c.awaitOwner(token-1, c.all...)
 	stop()
 }
 
-// The owner stands still between its check of the lease and the send, for longer than the lease. Another is granted the job and
-// acts; the old one goes on: its effect is refused wherever it comes, and its job has ended. The hook of the build for tests
-// reaches the instant; each time is a hit.
-func TestOwnerStandsStill(t *testing.T) {
-	c := newOwners(t, 5, 3)
+// The owner is stopped between its check of the lease and its send, for longer than the lease. Another sidecar is granted the role and
+// acts; the old owner resumes: every receiver rejects its effect, and it no longer owns the role. The hook of the test build stops it at
+// exactly that instant, so each trial reproduces the race.
+func TestOwnerStoppedAfterLeaseCheck(t *testing.T) {
+	c := newRoleFleet(t, 5, 3)
 	for _, m := range c.all {
 		m.env = []string{"STAND_STILL_AT=" + filepath.Join(m.tmp, "stand")}
 	}
@@ -199,40 +200,40 @@
 	stop := c.serveAll()
 	refused := func(some ...*fleetMember) (n uint64) {
 		for _, m := range some {
-			n += m.job().Rejected
+			n += m.reportRole().Rejected
 		}
 		return n
 	}
-	// Who was heard by nobody for four seconds has no links any more when it goes on, and its effect goes nowhere: no hit.
+	// A sidecar that nobody has heard for four seconds has no connections left when it resumes, so its effect reaches nobody: no hit.
 	hits, rounds := 0, 0
 	for ; hits < 2 && rounds < 12; rounds++ {
-		owner, token := c.owner(0, c.all...)
+		owner, token := c.awaitOwner(0, c.all...)
 		others := c.without(owner)
 		before := refused(others...)
 		owner.frozen.Store(true)
 		require.NoError(t, os.WriteFile(filepath.Join(owner.tmp, "stand"), nil, 0o600))
 		still := false
-		c.poll("it stands still, or owns the job no more", func() bool {
+		c.poll("the owner has stopped, or no longer owns the role", func() bool {
 			if still = owner.stopped(); still {
 				return true
 			}
-			return others[0].job().Token > token
+			return others[0].reportRole().Token > token
 		})
-		if !still { // a busy machine: the job has moved before its owner had anything to say
-			_ = os.Remove(filepath.Join(owner.tmp, "stand")) // it may have been found meanwhile
+		if !still { // a busy machine: the role has moved before its owner had anything to send
+			_ = os.Remove(filepath.Join(owner.tmp, "stand")) // the owner may have found the file meanwhile
 			owner.resume()
 			continue
 		}
 		later := uint64(0)
-		c.poll("another acts", func() bool {
-			later = others[0].job().MaxToken
-			return later > token && !slices.ContainsFunc(others[1:], func(m *fleetMember) bool { return m.job().MaxToken < later })
+		c.poll("another sidecar owns the role", func() bool {
+			later = others[0].reportRole().MaxToken
+			return later > token && !slices.ContainsFunc(others[1:], func(m *fleetMember) bool { return m.reportRole().MaxToken < later })
 		})
 		owner.log.forget()
 		owner.resume()
-		c.poll("it knows", func() bool { j := owner.job(); return j.HeldToken != token && j.MaxToken >= later })
-		c.poll("it says so", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
-		c.owner(later-1, c.all...)
+		c.poll("the old owner knows that it lost the role", func() bool { j := owner.reportRole(); return j.HeldToken != token && j.MaxToken >= later })
+		c.poll("the log reports it", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
+		c.awaitOwner(later-1, c.all...)
 		if refused(others...) > before {
 			hits++
 		}
@@ -242,16 +243,16 @@
 	stop()
 }
 
-// stopped reports whether the system says that the process stands still.
+// stopped reports whether the kernel shows the process as stopped.
 func (m *fleetMember) stopped() bool {
 	raw, err := os.ReadFile("/proc/" + strconv.Itoa(m.cmd.Process.Pid) + "/stat")
 	return err == nil && strings.HasPrefix(string(raw[strings.LastIndexByte(string(raw), ')')+1:]), " T")
 }
 
-// The owner is cut off one way and the other, from the electors alone, and from all but them. Whoever owns the job, its effects are
-// taken in the order of their tokens, and mended, all agree.
-func TestOwnerIsCut(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// The owner is cut off in one direction, in the other, from the electors only, and from all but the electors. Whoever owns the role, its
+// effects are accepted in the order of their tokens, and once the partition heals all agree.
+func TestOwnerPartition(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, cut := range map[string]func(c *testFleet, owner *fleetMember, electors, others []string) []processcluster.Direction{
 		"its words are lost": func(c *testFleet, owner *fleetMember, _, _ []string) []processcluster.Direction {
 			return processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
@@ -267,50 +268,50 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newOwners(t, 6, 3).start()
+			c := newRoleFleet(t, 6, 3).start()
 			c.ready(c.all...)
 			stop := c.serveAll()
-			owner, token := c.owner(0, c.all...)
+			owner, token := c.awaitOwner(0, c.all...)
 			others := names(slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner }))
 			electors := names(slices.DeleteFunc(slices.Clone(c.all[:3]), func(m *fleetMember) bool { return m == owner }))
 			ways := cut(c, owner, electors, others)
 			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-			_, later := c.took(name, token, c.without(owner)...)
-			c.poll("the old one has ended its job", func() bool { return owner.job().HeldToken != token })
+			_, later := c.awaitNextOwner(name, token, c.without(owner)...)
+			c.poll("the old owner has given up the role", func() bool { return owner.reportRole().HeldToken != token })
 			c.board.SetFault(processcluster.LinkFault{}, ways...)
-			c.owner(later-1, c.all...)
+			c.awaitOwner(later-1, c.all...)
 			stop()
 		})
 	}
 }
 
-// The owner is cut off from all but the electors: it owns on, and what it says reaches all through them.
+// The owner is cut off from all but the electors: it stays the owner, and its effects reach all members through them.
 func TestOwnerIsCutOffFromReceivers(t *testing.T) {
-	c := newOwners(t, 6, 3).start()
+	c := newRoleFleet(t, 6, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	held := false
-	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may end by itself
-		owner, token := c.owner(0, c.all...)
+	for trial := 0; trial < 5 && !held; trial++ { // on a busy machine a lease may expire for other reasons
+		owner, token := c.awaitOwner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner })
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
 		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
-		c.poll("its reports go on", func() bool {
-			r, j := others[0].report(), others[0].job()
+		c.poll("the owner's reports go on", func() bool {
+			r, j := others[0].report(), others[0].reportRole()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
 		})
 		c.board.SetFault(processcluster.LinkFault{}, ways...)
-		c.owner(token-1, c.all...)
+		c.awaitOwner(token-1, c.all...)
 	}
-	assert.True(t, held, "its reports go on")
+	assert.True(t, held, "the owner's reports go on")
 	stop()
 }
 
-// What the owner has said is held by the network until another has owned the job for a while, and comes in after all.
-func TestOwnerWhoseBytesAreHeld(t *testing.T) {
-	c := newOwners(t, 5, 3)
+// The network holds back what the owner has sent until another sidecar has owned the role for a while, and then delivers it.
+func TestOwnerDelayedEffects(t *testing.T) {
+	c := newRoleFleet(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
 	judge := c.board.OnFrame
 	c.board.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
@@ -319,29 +320,29 @@
 	}
 	c.start().ready(c.all...)
 	stop := c.serveAll()
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
 	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
-	_, later := c.took("held", token, c.without(owner)...)
-	c.poll("the old one has ended its job", func() bool {
-		j, told := owner.toldOf("report")
+	_, later := c.awaitNextOwner("held", token, c.without(owner)...)
+	c.poll("the old owner has given up the role", func() bool {
+		j, told := owner.queryRole("report")
 		return told && j.HeldToken == 0
 	})
-	c.poll("the new one acts", func() bool {
+	c.poll("the new owner acts", func() bool {
 		r := c.without(owner)[0].report()
 		return r.Token >= later && r.Round >= 2
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	c.owner(later-1, c.all...)
-	c.agree(c.all...)
+	c.awaitOwner(later-1, c.all...)
+	c.awaitAgreement(c.all...)
 
-	// Links that bring nothing for four seconds are ended, and held bytes with them. What was held from its first byte on is a link that
-	// comes up late: it brings what the old owner has said at the time.
-	// The process itself has gone by then: else the victim might keep the link that it has to it, and end this one.
+	// Connections that receive nothing for four seconds are closed, and the held bytes are lost with them. So what is held from its
+	// first byte on is a connection that is established late, and that delivers what the old owner sent at the time. The owner's process
+	// has ended by then: otherwise the victim might keep its existing connection to it and close this one.
 	owner.kill()
-	c.agree(c.without(owner)...)
+	c.awaitAgreement(c.without(owner)...)
 	victim := c.without(owner)[0]
-	before := victim.job()
+	before := victim.reportRole()
 	conn, err := net.Dial("tcp", victim.peers)
 	require.NoError(t, err)
 	defer conn.Close()
@@ -366,13 +367,13 @@
 	}
 	assert.Equal(t, frames.KindRejected, e.Kind)
 	assert.GreaterOrEqual(t, e.Token, later)
-	after := victim.job()
+	after := victim.reportRole()
 	assert.Greater(t, after.Rejected, before.Rejected)
-	c.poll("it says so", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
+	c.poll("the log reports it", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
 	stop()
 }
 
-// messageRecord keeps what sidecars have said: of each its last hello, and its effects.
+// messageRecord records what sidecars have sent: of each its last hello, and its effects.
 type messageRecord struct {
 	sync.Mutex
 	hello   map[string][]byte
@@ -396,7 +397,7 @@
 	}
 }
 
-// of returns the frames with which one says hello and what it has said to all under a token.
+// of returns the frames of a sidecar's hello and of the effects that it has sent to all under a token.
 func (r *messageRecord) of(name string, token uint64) [][]byte {
 	r.Lock()
 	defer r.Unlock()
@@ -409,14 +410,14 @@
 	return all
 }
 
-// A majority of the electors is frozen: nothing is granted, the lease ends, all serve; and it is killed: the same. Each time it comes
-// back, and the job is owned again.
+// A majority of the electors is frozen: nothing is granted, the lease expires, and all sidecars go on serving. Then that majority is
+// killed, with the same result. Each time it comes back, and the role is owned again.
 func TestOwnerWithoutAMajority(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
 	for _, how := range []string{"frozen", "killed", "all killed"} {
-		_, token := c.owner(0, c.all...)
+		_, token := c.awaitOwner(0, c.all...)
 		leader := c.leader(c.all[:3]...)
 		away := []*fleetMember{leader}
 		for _, m := range c.all[:3] {
@@ -431,10 +432,10 @@
 				m.kill()
 			}
 		}
-		c.poll("nobody acts any more", func() bool {
-			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.job().HeldToken != 0 })
+		c.poll("no sidecar acts as owner", func() bool {
+			return !slices.ContainsFunc(c.without(away...), func(m *fleetMember) bool { return m.reportRole().HeldToken != 0 })
 		})
-		time.Sleep(4 * time.Second) // the trouble itself: the lease of one that is away ends, too
+		time.Sleep(4 * time.Second) // the duration of the fault itself: the lease of a member that is cut off expires, too
 		for _, m := range away {
 			if how == "frozen" {
 				m.resume()
@@ -443,34 +444,34 @@
 			}
 		}
 		c.ready(away...)
-		if slices.ContainsFunc(away, func(m *fleetMember) bool { return m.job().HeldToken == token }) {
-			assert.Fail(t, "a lease has outlived a majority", how)
+		if slices.ContainsFunc(away, func(m *fleetMember) bool { return m.reportRole().HeldToken == token }) {
+			assert.Fail(t, "a lease is valid without a majority", how)
 		}
-		c.took("a majority was "+how, token, c.all...)
+		c.awaitNextOwner("a majority was "+how, token, c.all...)
 	}
 	stop()
 }
 
-// An elector comes back without its state, with a torn one, with an old copy: each time it is somebody else, and the job goes on. One
-// whose disk is full does not vote, says so, and serves.
+// An elector comes back without its state, with a truncated one, or with an old copy: each time it has a new identity, and the role
+// stays available. An elector whose disk is full does not vote, says so, and serves.
 func TestOwnerElectorState(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	c.owner(0, c.all...)
+	c.awaitOwner(0, c.all...)
 	var old []byte
-	// comeBack has an elector killed and its file changed, where grants were written since old was read.
+	// comeBack kills an elector, changes its file after grants were written that old does not have, and restarts it.
 	comeBack := func(m *fleetMember, name, says string, same bool, spoil func(file string, raw []byte)) {
 		file := filepath.Join(m.dir, "peer")
 		var err error
 		old, err = os.ReadFile(file)
 		require.NoError(t, err)
-		_, token := c.owner(0, c.all...)
-		text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // a grant is a write at each elector
+		_, token := c.awaitOwner(0, c.all...)
+		text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
-		c.owner(token, c.all...)
-		c.poll("the grant is on its disk", func() bool { // a majority grants without it
+		c.awaitOwner(token, c.all...)
+		c.poll("the grant is on its disk", func() bool { // a majority may grant before this elector has written it
 			raw, err := os.ReadFile(file)
 			return err == nil && !bytes.Equal(old, raw)
 		})
@@ -482,15 +483,15 @@
 		spoil(file, raw)
 		m.log.forget()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		if same {
 			assert.Equal(t, id, m.id(), name)
 		} else {
 			c.poll(name, func() bool { now := m.id(); return now != "" && now != id })
 		}
 		c.poll(name, func() bool { return strings.Contains(m.log.String(), says) })
-		c.agree(c.all...)
-		c.owner(0, c.all...)
+		c.awaitAgreement(c.all...)
+		c.awaitOwner(0, c.all...)
 	}
 	m := c.all[2]
 	file := filepath.Join(m.dir, "peer")
@@ -498,9 +499,9 @@
 	comeBack(m, "kept", "", true, func(string, []byte) {})
 	comeBack(m, "an old copy, written over", "it is a copy", false, func(file string, _ []byte) { require.NoError(t, os.WriteFile(file, old, 0o600)) })
 
-	// Two of three are left of the electors, and a new one takes the place of who it was.
+	// Two of three electors are left, and a new one takes the place of the former identity.
 	c.poll("an elector is replaced", func() bool {
-		s, _ := c.all[0].owners()
+		s, _ := c.all[0].leaseStatus()
 		return len(s.Voters) == 3 && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" || e.ID == was })
 	})
 	for _, k := range []struct {
@@ -518,54 +519,54 @@
 		m.kill()
 		k.spoil()
 		c.ready(m.start())
-		c.agree(c.all...)
+		c.awaitAgreement(c.all...)
 		assert.NotEqual(t, id, m.id(), k.name)
-		c.owner(0, c.all...)
+		c.awaitOwner(0, c.all...)
 	}
 
-	// A full disk under one that leads: another leads, and it says why.
+	// The leader's disk is full: another elector leads, and the former leader says why.
 	full := c.leader(c.all...)
 	limit := func(to uint64) {
 		require.NoError(t, unix.Prlimit(full.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: to, Max: unix.RLIM_INFINITY}, nil))
 	}
 	limit(0)
-	_, token := c.owner(0, c.all...)
-	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // a grant is a write
+	_, token := c.awaitOwner(0, c.all...)
+	text, err := callOnce(c.all[0].ops, "STEPDOWN report\n") // each elector writes a grant to disk
 	require.NoError(t, err)
 	assert.Contains(t, text, "OK")
-	c.poll("it says that it does not vote", func() bool {
-		s, ok := full.owners()
+	c.poll("the elector reports that it does not vote", func() bool {
+		s, ok := full.leaseStatus()
 		return ok && s.Local.PersistFailed && !s.Local.IsLeader
 	})
-	c.took("the leader's disk is full", token, c.all...)
+	c.awaitNextOwner("the leader's disk is full", token, c.all...)
 	limit(unix.RLIM_INFINITY)
-	c.poll("it votes again", func() bool {
-		s, ok := full.owners()
+	c.poll("the elector votes again", func() bool {
+		s, ok := full.leaseStatus()
 		return ok && !s.Local.PersistFailed
 	})
 	comeBack(c.all[1], "a disk that was set back as a whole", "goes on under another identity", false, func(file string, raw []byte) {
 		head, _, _ := bytes.Cut(raw, []byte{'\n'})
 		_, body, _ := bytes.Cut(old, []byte{'\n'})
-		require.NoError(t, os.WriteFile(file, slices.Concat(head, []byte{'\n'}, body), 0o600)) // it looks like its own
+		require.NoError(t, os.WriteFile(file, slices.Concat(head, []byte{'\n'}, body), 0o600)) // the file looks as if it were its own
 	})
 	stop()
 }
 
-// All are ended and begun again one after another: each time that the owner is, the job goes to another without a gap that is felt.
+// All sidecars are restarted one after another. Each time that this ends the owner, the role moves to another without a noticeable gap.
 func TestOwnerRollingRestart(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
 	stop := c.serveAll()
-	_, token := c.owner(0, c.all...)
+	_, token := c.awaitOwner(0, c.all...)
 	for _, m := range c.all {
-		mine := m.job().HeldToken != 0
+		mine := m.reportRole().HeldToken != 0
 		m.gone.Store(true)
 		at := time.Now()
 		m.signal(syscall.SIGTERM)
 		if mine {
 			others := c.without(m)
-			c.poll("another owns the job", func() bool {
-				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.job().HeldToken > token })
+			c.poll("another sidecar owns the role", func() bool {
+				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.reportRole().HeldToken > token })
 			})
 			gap := time.Since(at)
 			t.Logf("%s gave the job up: another had it after %v", m.name, gap.Round(time.Millisecond))
@@ -573,47 +574,47 @@
 		}
 		<-m.ended
 		c.ready(m.start())
-		c.agree(c.all...)
-		_, token = c.owner(token-1, c.all...)
+		c.awaitAgreement(c.all...)
+		_, token = c.awaitOwner(token-1, c.all...)
 	}
 	stop()
 }
 
-// A fleet of nine shrinks to three: electors that have gone are replaced by those that are left, and the job goes on. Two that are not
-// electors know nothing of owners, like an earlier version: what is for all passes them by.
+// A fleet of nine shrinks to three: electors that have gone are replaced by remaining members, and the role stays available. Two members
+// that are not electors don't know roles, like an earlier version: they ignore what is sent to all.
 func TestOwnerFleetShrinks(t *testing.T) {
-	c := newOwners(t, 9, 5)
+	c := newRoleFleet(t, 9, 5)
 	c.all[7].plain, c.all[8].plain = true, true
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	able := c.without(c.all[7:]...)
-	_, token := c.owner(0, able...)
-	left := c.all[4:7] // one elector, and two that are none
+	_, token := c.awaitOwner(0, able...)
+	left := c.all[4:7] // one elector, and two members that are none
 	for _, m := range c.all[:4] {
 		m.gone.Store(true)
 		m.signal(syscall.SIGTERM)
 		<-m.ended
 		rest := slices.DeleteFunc(slices.Clone(able), func(m *fleetMember) bool { return m.gone.Load() })
-		c.pollFor(90*time.Second, "those that have gone are no electors", func() bool {
-			s, ok := left[0].owners()
+		c.pollFor(90*time.Second, "members that have gone are no longer electors", func() bool {
+			s, ok := left[0].leaseStatus()
 			return ok && !slices.ContainsFunc(s.Voters, func(e coordination.VoterStatus) bool { return e.State != "alive" })
 		})
-		_, token = c.owner(token-1, rest...)
+		_, token = c.awaitOwner(token-1, rest...)
 	}
-	s, _ := left[0].owners()
+	s, _ := left[0].leaseStatus()
 	assert.Len(t, s.Voters, 3)
-	owner, token := c.owner(0, left...)
+	owner, token := c.awaitOwner(0, left...)
 	owner.kill()
-	c.took("killed, of three", token, slices.DeleteFunc(slices.Clone(left), func(m *fleetMember) bool { return m == owner })...)
+	c.awaitNextOwner("killed, of three", token, slices.DeleteFunc(slices.Clone(left), func(m *fleetMember) bool { return m == owner })...)
 	stop()
 }
 
-// The report sums what all have served, by class, and names who did not answer; every sidecar knows it.
+// The report sums the requests of all sidecars by class and names those that did not reply; every sidecar knows it.
 func TestOwnerReports(t *testing.T) {
-	c := newOwners(t, 5, 3).start()
+	c := newRoleFleet(t, 5, 3).start()
 	c.ready(c.all...)
-	c.agree(c.all...)
-	c.owner(0, c.all...)
+	c.awaitAgreement(c.all...)
+	c.awaitOwner(0, c.all...)
 	w := func(m *fleetMember) *testSidecar {
 		w := &testSidecar{T: t, listen: m.listen}
 		w.client.Timeout = patience
@@ -621,7 +622,7 @@
 	}
 	const total = 100
 	served := uint64(0)
-	for trial := 0; trial < 5 && served < total; trial++ { // what was answered to an owner that died, or too late, is in no report
+	for trial := 0; trial < 5 && served < total; trial++ { // what was sent to an owner that died, or sent too late, is in no report
 		served = 0
 		last := c.all[4].report()
 		for _, m := range c.all {
@@ -630,7 +631,7 @@
 			}
 		}
 		rounds, all := 0, false
-		c.poll("reports come", func() bool {
+		c.poll("reports arrive", func() bool {
 			r := c.all[4].report()
 			if r.Round != last.Round || r.Token != last.Token {
 				last, all = r, r.Answered == 5
@@ -643,7 +644,7 @@
 			return served >= total && all || rounds >= 4
 		})
 	}
-	assert.Equal(t, uint64(total), served, "all that was served is in reports, once")
+	assert.Equal(t, uint64(total), served, "the reports count each served request once")
 	out, code := c.command("fleet", "report", "--ops", c.all[3].ops)
 	assert.Zero(t, code, out)
 	assert.Regexp(t, `\d of 5 sidecars`, out)
@@ -654,18 +655,18 @@
 	assert.Zero(t, code, out)
 	assert.Equal(t, 3, strings.Count(out, "alive"))
 
-	owner, token := c.owner(0, c.all...)
+	owner, token := c.awaitOwner(0, c.all...)
 	still := c.without(owner)[0]
 	still.freeze()
-	c.poll("who does not answer is named", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
+	c.poll("the report names the sidecar that does not reply", func() bool { return slices.Equal(c.without(owner, still)[0].report().Missing, []string{still.name}) })
 	still.resume()
 	var next *fleetMember
-	for n, before := 0, token-1; next == nil; n++ { // a lease may end for want of the machine: that grant is nobody's who stepped down
-		require.Less(t, n, 5, "leases end again and again")
-		owner, token = c.owner(before, c.all...) // it may have led the electors, and the lease have ended meanwhile
+	for n, before := 0, token-1; next == nil; n++ { // A lease may expire on an overloaded machine: that grant does not follow a step-down.
+		require.Less(t, n, 5, "leases keep expiring")
+		owner, token = c.awaitOwner(before, c.all...) // the owner may have led the electors, and its lease expired meanwhile
 		out, code = c.command("fleet", "step-down", "--ops", c.without(owner)[1].ops, "report")
 		assert.Zero(t, code, out)
-		m, after := c.took("asked to step down", token, c.all...)
+		m, after := c.awaitNextOwner("asked to step down", token, c.all...)
 		if after == token+1 {
 			assert.NotEqual(t, owner, m)
 			next = m
@@ -674,6 +675,6 @@
 	}
 	_, err := callOnce(next.ops, "LEAVE\n")
 	require.NoError(t, err)
-	after, _ := c.took("drained", token, c.all...)
-	assert.NotEqual(t, next, after, "who is drained works for no others")
+	after, _ := c.awaitNextOwner("drained", token, c.all...)
+	assert.NotEqual(t, next, after, "a draining sidecar owns no role")
 }
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -25,7 +25,7 @@
 		assert.NoError(t, err)
 		assert.InDelta(t, 4_000_000, patience, 3_999_999)
 		w.Header().Set("X-Server", "1")
-		w.(http.Flusher).Flush() // chunks
+		w.(http.Flusher).Flush() // makes the response chunked
 		io.WriteString(w, r.Method+" "+r.RequestURI+" "+r.Header.Get("Request-Id")+" "+
 			r.Header.Get("Idempotency-Key")+" "+string(body))
 	})
@@ -41,7 +41,7 @@
 	for name, want := range map[string]float64{"requests": 6, "served": 6, "executions": 6, "open": 0, "panics": 0} {
 		assert.Equal(t, want, w.counter(name), name)
 	}
-	w.eventually("an idle server link that has settled is used again", func() bool {
+	w.eventually("an idle connection to a server is used again", func() bool {
 		_, before, _ := s.counts()
 		assert.Equal(t, 200, w.ask("read", "", "").status)
 		_, opened, _ := s.counts()
@@ -49,7 +49,7 @@
 	})
 }
 
-// What a server's word or silence allows: a request that may have run and must not run twice goes out once.
+// Resends depend on the server's response or its absence: a request that may have run and must not run twice is sent once.
 func TestResends(t *testing.T) { everyWay(t, testResends) }
 
 func testResends(t *testing.T) {
@@ -83,7 +83,7 @@
 				c.first(w, r)
 			})
 			w := newTestSidecar(t, s)
-			for _, class := range w.settings["classes"].([]map[string]any) { // the pause after an error ends between two looks, on a busy machine, too
+			for _, class := range w.settings["classes"].([]map[string]any) { // long enough for the pause after an error to end between two timer checks, on a busy machine too
 				class["objectiveS"], class["giveUpS"] = 8, 16
 			}
 			w.start()
@@ -94,7 +94,7 @@
 	}
 }
 
-// A connection that nobody takes proves that nothing has run.
+// A refused connection proves that nothing has run, so the request is sent again.
 func TestConnectionRefused(t *testing.T) { everyWay(t, testConnectionRefused) }
 
 func testConnectionRefused(t *testing.T) {
@@ -118,14 +118,14 @@
 	assert.Equal(t, 504, p.status)
 	assert.Greater(t, p.took, 1900*time.Millisecond)
 	assert.Less(t, p.took, 4*time.Second)
-	assert.Zero(t, w.counter("overdue"), "the decisions answered, not the net below them")
+	assert.Zero(t, w.counter("overdue"), "the policy answered, not the fallback timeout")
 	assert.EqualValues(t, 1, w.countOfOutcome("execution_ends", "timed_out"))
 	w.eventually("the given-up link is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	s.set(says(200, "own"))
-	assert.Equal(t, "own", w.ask("write", "", "").body, "the late answer meets no other request")
+	assert.Equal(t, "own", w.ask("write", "", "").body, "the late response is not used for another request")
 }
 
-// Nothing is held back: what can't be served is refused at once, with word of when to come again.
+// Nothing is queued for long: a request that can't be served is rejected at once, with a Retry-After.
 func TestThrottle(t *testing.T) { everyWay(t, testThrottle) }
 
 func testThrottle(t *testing.T) {
@@ -155,10 +155,10 @@
 	c, err := net.Dial("tcp", w.listen)
 	require.NoError(t, err)
 	io.WriteString(c, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	c.Close()
 	w.eventually("abandoned", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
-	w.eventually("the execution is called off", func() bool { _, _, closed := s.counts(); return closed == 1 })
+	w.eventually("the attempt is aborted", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	assert.EqualValues(t, 1, w.countOfOutcome("execution_ends", "cancelled"))
 }
 
@@ -196,7 +196,7 @@
 		assert.Equal(t, c.status, status, c.name)
 		conn.Close()
 	}
-	// What comes before its turn waits, and an expected word is given.
+	// A pipelined request waits for its turn, and 100 Continue is sent where it is expected.
 	get := "GET /read HTTP/1.1\r\n" + id + "\r\n"
 	status, _, r := w.writeRaw(get + get + "POST /write HTTP/1.1\r\n" + id + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
 	assert.Equal(t, 200, status)
@@ -205,11 +205,11 @@
 		require.NoError(t, err)
 		assert.Equal(t, want, resp.StatusCode)
 	}
-	w.eventually("no link leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
+	w.eventually("no connection leaks", func() bool { return w.counter("open") == 0 && w.counter("descriptors") < 10 })
 	assert.Zero(t, w.counter("panics"))
 }
 
-// A client that never ends its request does not hold a link for ever.
+// A client that never completes its request does not keep a connection forever.
 func TestRequestThatNeverArrives(t *testing.T) {
 	w := newTestSidecar(t).start()
 	for _, part := range []string{"GE", "GET /read HTTP/1.1\r\n", "POST /write HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nhalf"} {
@@ -227,7 +227,7 @@
 	}
 }
 
-// Links that say nothing are closed soon, and a flood of them costs the clients that ask nothing.
+// Silent connections are closed soon, and a flood of them does not affect clients that send requests.
 func TestSilentClients(t *testing.T) {
 	s, release := newServer(t, "s-00000001", says(200, "")), make(chan struct{})
 	w := newTestSidecar(t, s)
@@ -235,15 +235,15 @@
 	w.start()
 	const ask = "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n\r\n"
 	_, kept, r := w.writeRaw(fmt.Sprintf(ask, 1))
-	// It asks for as long as the others come. One that rests for 0.1 s may go while those that have just come are still to say their first
-	// word, which is so where many come in one turn of a busy machine.
+	// The client sends requests during the whole flood. Its connection may be closed if it is idle for 0.1 s while others have just been
+	// accepted and not sent anything yet, which happens where a busy machine accepts many in one turn of the loop.
 	s.set(func(rw http.ResponseWriter, r *http.Request) {
 		<-release
 		says(200, "")(rw, r)
 	})
 	_, err := fmt.Fprintf(kept, ask, 2)
 	require.NoError(t, err)
-	w.eventually("it asks", func() bool { return w.counter("open") == 1 })
+	w.eventually("the client has a request in flight", func() bool { return w.counter("open") == 1 })
 	began, silent := time.Now(), []net.Conn{}
 	for range 100 {
 		if c, err := net.Dial("tcp", w.listen); err == nil {
@@ -253,7 +253,7 @@
 	}
 	close(release)
 	answer, err := http.ReadResponse(r, nil)
-	require.NoError(t, err, "the link that asks is not the one that is closed")
+	require.NoError(t, err, "the connection with requests must not be closed")
 	assert.Equal(t, 200, answer.StatusCode)
 	for _, c := range silent {
 		require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
@@ -264,8 +264,8 @@
 	assert.Positive(t, w.counter("retired"))
 }
 
-// Clients that ask once and stay do not hold ever more connections: once links are a fifth of the descriptors an
-// answer is the last on its link.
+// Clients that send one request and keep the connection don't use ever more descriptors: once client connections hold a fifth of them,
+// each response closes its connection.
 func TestClientsThatStay(t *testing.T) {
 	w := newTestSidecar(t, newServer(t, "s-00000001", says(200, "")))
 	w.limits["sockets"] = 100
@@ -280,18 +280,18 @@
 		require.NoError(t, err)
 		assert.Equal(t, 200, answer.StatusCode)
 		if answer.Close {
-			assert.Greater(t, w.counter("served"), 15.0, "a few may stay")
+			assert.Greater(t, w.counter("served"), 15.0, "a few connections may stay open")
 			_, _, r := w.writeRaw(ask + ask)
 			answer, err = http.ReadResponse(r, nil)
-			require.NoError(t, err, "what came behind a request is not dropped")
+			require.NoError(t, err, "a pipelined request must not be dropped")
 			assert.True(t, answer.Close)
 			return
 		}
 	}
-	t.Error("all stay")
+	t.Error("all connections stay open")
 }
 
-// A request with the id of one that is open is answered with an error; the first goes on.
+// A request with the id of an open one gets an error; the first one goes on.
 func TestIDOfAnOpenRequest(t *testing.T) { everyWay(t, testIDOfAnOpenRequest) }
 
 func testIDOfAnOpenRequest(t *testing.T) {
@@ -302,15 +302,15 @@
 	})
 	w := newTestSidecar(t, s).start()
 	first := w.askAside("write", "", "", "Request-Id", "a")
-	w.eventually("the execution", func() bool { return s.requestCount() == 1 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	assert.Equal(t, 409, w.ask("write", "", "", "Request-Id", "a").status)
 	close(release)
 	assert.Equal(t, "first", (<-first).body)
-	assert.Equal(t, 200, w.ask("write", "", "", "Request-Id", "a").status, "an id is free again after the answer")
+	assert.Equal(t, 200, w.ask("write", "", "", "Request-Id", "a").status, "an id can be used again after the response")
 	assert.Equal(t, 2, s.requestCount())
 }
 
-// A client that goes on sending after its error has time to read it: what comes is dropped, not reset.
+// A client that goes on sending after an error response has time to read it: what arrives is discarded, without a reset.
 func TestErrorReachesAClientThatGoesOnSending(t *testing.T) {
 	w := newTestSidecar(t).start()
 	c, err := net.Dial("tcp", w.listen)
@@ -341,7 +341,7 @@
 	assert.Less(t, time.Since(began), patience/2, "the sidecar closed it, not the server")
 }
 
-// A request whose link comes up only after its server was told to drain is not written.
+// A request whose connection is established only after its server began to drain is not written.
 func TestDrainWhileConnecting(t *testing.T) { everyWay(t, testDrainWhileConnecting) }
 
 func testDrainWhileConnecting(t *testing.T) {
@@ -349,7 +349,7 @@
 	require.NoError(t, err)
 	defer unix.Close(fd)
 	require.NoError(t, unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	require.NoError(t, unix.Listen(fd, 0)) // one connection fills it; the next comes up when that is taken
+	require.NoError(t, unix.Listen(fd, 0)) // one connection fills the queue; the next is established once that one is accepted
 	name, err := unix.Getsockname(fd)
 	require.NoError(t, err)
 	address := "127.0.0.1:" + strconv.Itoa(name.(*unix.SockaddrInet4).Port)
@@ -368,18 +368,18 @@
 	s.status = "DRAINING"
 	close(drains)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
-	for range 2 { // the filler, and the link when the kernel tries again
+	for range 2 { // the one that fills the queue, and the sidecar's when the kernel retries
 		c, _, err := unix.Accept(fd)
 		require.NoError(t, err)
 		defer unix.Close(c)
 		if err := unix.SetNonblock(c, true); assert.NoError(t, err) {
 			defer func() {
 				n, err := unix.Read(c, make([]byte, 10))
-				assert.True(t, n <= 0 || err != nil, "nothing is written to a server that drains")
+				assert.True(t, n <= 0 || err != nil, "nothing is written to a draining server")
 			}()
 		}
 	}
-	assert.Equal(t, 503, (<-answer).status, "nothing has run, so trying again is harmless")
+	assert.Equal(t, 503, (<-answer).status, "nothing has run, so a retry is safe")
 }
 
 func TestDescriptorsAreBounded(t *testing.T) {
@@ -387,7 +387,7 @@
 	w.limits["sockets"] = 64
 	w.start()
 	ask := "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n"
-	hold := func() { // a request that is never whole keeps its link busy
+	hold := func() { // an incomplete request keeps its connection busy
 		c, err := net.Dial("tcp", w.listen)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
@@ -397,15 +397,15 @@
 	for range 29 {
 		hold()
 	}
-	// A request that does not come gives way to one that does; the link that rests is closed in time.
-	w.eventually("a newcomer is served", func() bool {
+	// A connection with an incomplete request is closed in favor of one with a request; the idle connection is closed in time.
+	w.eventually("a new client is served", func() bool {
 		status, _, _ := w.writeRaw(ask + "\r\n")
 		return status == 200
 	})
 	require.NoError(t, kept.SetReadDeadline(time.Now().Add(patience)))
 	_, err := kept.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
-	for range 60 { // beyond that links are closed unread, and the program lives on
+	for range 60 { // more connections than this are closed unread, and the program goes on
 		if c, err := net.Dial("tcp", w.listen); err == nil {
 			defer c.Close()
 		}
@@ -413,7 +413,7 @@
 	require.NoError(t, w.cmd.Process.Signal(unix.Signal(0)))
 }
 
-// With more servers than descriptors, idle links make room for new ones.
+// With more servers than descriptors, idle connections to servers are closed to make room for new ones.
 func TestServerLinksMakeRoom(t *testing.T) {
 	s := newServer(t, "", says(200, ""))
 	w := newTestSidecar(t)
@@ -432,7 +432,7 @@
 	assert.LessOrEqual(t, w.counter("descriptors"), 40.0)
 }
 
-func TestEnd(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s).start()
 	_, resting, reader := w.writeRaw("GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\n\r\n")
@@ -442,11 +442,11 @@
 		io.WriteString(rw, "late")
 	})
 	late := w.askAside("write", "", "")
-	w.eventually("the execution", func() bool { return s.requestCount() == 2 })
+	w.eventually("the attempt", func() bool { return s.requestCount() == 2 })
 	w.signal(syscall.SIGTERM)
-	// A link that rests carries what comes soon after the word to end; its answer says that it is the last.
+	// An idle connection still serves a request that arrives soon after SIGTERM; the response closes the connection.
 	s.set(says(200, ""))
-	w.eventually("ending", func() bool { return w.ask("read", "", "").last })
+	w.eventually("the program is shutting down", func() bool { return w.ask("read", "", "").last })
 	io.WriteString(resting, "GET /read HTTP/1.1\r\nHost: h\r\nRequest-Id: 2\r\n\r\n")
 	r, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
@@ -454,10 +454,10 @@
 	close(release)
 	p := <-late
 	assert.Equal(t, "late", p.body)
-	require.NoError(t, w.cmd.Wait(), "ends by itself and well")
+	require.NoError(t, w.cmd.Wait(), "exits by itself with status 0")
 	assert.Contains(t, w.out.String(), `"execution_ends":`)
 
-	// The address can be had again at once, though connections of the first life still linger.
+	// The address can be bound again at once, though connections of the first process linger in TIME_WAIT.
 	w.start()
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 	raw, err := program("serve", "--config", w.writeConfig()).CombinedOutput()
@@ -465,7 +465,7 @@
 	assert.Contains(t, string(raw), "address already in use")
 }
 
-// A client that is there before the program has found its feet is served like any other.
+// A client that connects before the program is ready is served like any other.
 func TestFirstClientIsEarly(t *testing.T) {
 	s := newServer(t, "s-00000001", says(200, ""))
 	w := newTestSidecar(t, s)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -19,27 +19,28 @@
 	"hazelwheel/internal/lab/processcluster"
 )
 
-// A sidecar is killed for good while a box is emptied: it is named, and counts as gone after the time that the plan states.
-func TestWorkWithoutWhoIsGone(t *testing.T) {
+// A sidecar is killed permanently while a server is drained: it is named as the blocker, and counts as gone after the time that the plan
+// states.
+func TestWorkSidecarKilled(t *testing.T) {
 	y := newMaintenanceFleet(t, 4, 3, 3).open()
 	y.mechanic("anna", nil)
-	dead := y.without(y.owner(y.all...), y.all[0], y.all[1], y.all[2])
+	dead := y.without(y.awaitCoordinator(y.all...), y.all[0], y.all[1], y.all[2])
 	if len(dead) == 0 {
-		dead = y.all[3:] // it owns the job as well
+		dead = y.all[3:] // then this one owns the role as well
 	}
 	b := y.hold(y.all[0], "write")
-	y.plan(y.all[0], `gone = "6s"`, b)
-	y.waits(b, "has something out there", "m00")
+	y.submitPlan(y.all[0], `gone = "6s"`, b)
+	y.awaitBlocker(b, "has something out there", "m00")
 	dead[0].kill()
 	b.release()
-	y.waits(b, "not heard to have stopped sending there", dead[0].name)
+	y.awaitBlocker(b, "not heard to have stopped sending there", dead[0].name)
 	assert.Empty(t, y.records())
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
 
-// While a box is worked on, sidecars start from the list of boxes that their configuration had before: one with its state, one that has
-// lost it, one that was killed before the box left and has never heard of it; and one reads its configuration again.
+// While a server is in maintenance, sidecars start with the endpoint list that their configuration had before: one with its state, one
+// that has lost it, and one that was killed before the server was drained and doesn't know of it. Another one reloads its configuration.
 func TestWorkSidecarsStart(t *testing.T) {
 	y := newMaintenanceFleet(t, 6, 3, 3).open()
 	y.mechanic("anna", func(m *maintenanceagent.Agent) {
@@ -48,8 +49,8 @@
 	before := y.all[5]
 	before.kill()
 	b := y.boxes[1]
-	y.plan(y.all[0], `gone = "1s"`, b)
-	y.comes(b, maintenance.InMaintenance)
+	y.submitPlan(y.all[0], `gone = "1s"`, b)
+	y.awaitStage(b, maintenance.InMaintenance)
 	for _, m := range y.all[3:] {
 		if m != before {
 			m.kill()
@@ -69,21 +70,21 @@
 		return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+50 })
 	})
 	for _, m := range y.all {
-		y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+		y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	}
-	s := y.newest()
-	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "they have all been back before the work had ended")
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	s := y.newestStatus()
+	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "all sidecars were back before the maintenance ended")
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
 
-// A request whose answer takes half a minute, and one that was given up on, whose box works on: the box is not handed over before they
-// have ended, or can't go on any more.
-func TestWorkRequestIsOut(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// One request takes half a minute to answer, and another was given up on while its server still processes it: the server is not handed
+// over before they have ended, or can't go on any more.
+func TestWorkRequestInFlight(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name     string
-		patience string // of its client
+		patience string // the client's Request-Timeout
 		giveUpS  float64
 		heldS    float64
 	}{{"for half a minute", "40000m", 40, 30}, {"given up", "3000m", 8, 5}} {
@@ -98,25 +99,25 @@
 			y.open()
 			y.mechanic("anna", nil)
 			b := y.hold(y.all[1], "write", "Request-Timeout", k.patience)
-			y.plan(y.all[0], "", b)
-			y.waits(b, "has something out there", "m01")
+			y.submitPlan(y.all[0], "", b)
+			y.awaitBlocker(b, "has something out there", "m01")
 			y.pollFor(3*patience, "it is waited for", func() bool {
-				s := y.newest()
+				s := y.newestStatus()
 				require.NotEqual(t, maintenance.Drained, stage(&s, b).Stage)
 				return len(s.Plans) > 0 && s.Plans[0].AgeSeconds > k.heldS
 			})
 			assert.Empty(t, y.records())
 			b.release()
-			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+			assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 			y.serving()
 		})
 	}
 }
 
-// The load grows while boxes are out, and a site is lost: what nobody works on is given back, nothing more leaves, and once it is over the
-// plan goes on.
-func TestWorkFleetIsInTrouble(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// The load grows while servers are out, or a site is lost: servers that no agent works on are reinstated, no more are drained, and once
+// the trouble is over the plan goes on.
+func TestWorkOverloadAndSiteLoss(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for _, k := range []struct {
 		name, waits string
 		begins      func(y *maintenanceFleet) (ends func())
@@ -148,22 +149,22 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 6).open()
-			y.plan(y.owner(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // sites a and b
+			y.submitPlan(y.awaitCoordinator(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // servers of sites a and b
 			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
-			y.poll("some time has passed", func() bool { s := y.newest(); return s.Plans[0].AgeSeconds > 15 })
+			y.poll("some time has passed", func() bool { s := y.newestStatus(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
 			began := time.Now()
-			y.poll("both are given back", func() bool { return y.counts()[maintenance.Pending] == 4 })
+			y.poll("both servers are reinstated", func() bool { return y.counts()[maintenance.Pending] == 4 })
 			t.Log("given back after", time.Since(began))
-			y.poll("it says why", func() bool {
-				s := y.newest()
+			y.poll("the status gives the reason", func() bool {
+				s := y.newestStatus()
 				return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
 					return strings.Contains(w.Reason, k.waits) || strings.Contains(w.Reason, "is seen how")
 				})
 			})
 			ends()
 			y.mechanic("anna", nil)
-			p := y.ended()
+			p := y.awaitEnd()
 			assert.False(t, slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage != maintenance.Done }), "%+v", p.Servers)
 			assert.Len(t, y.records(), 4)
 			y.serving()
@@ -171,9 +172,9 @@
 	}
 }
 
-// A box that a plan has out is given back by hand at one sidecar: it is in use there, and not handed over until it is taken out there by
-// hand. It stays out there when the plan has ended, until it is given back by hand, too.
-func TestWorkAndHands(t *testing.T) {
+// An operator reinstates a server at one sidecar while a plan has it out: that sidecar uses it, and it is not handed over until the
+// operator bans it there. It stays banned there when the plan has ended, until the operator reinstates it.
+func TestWorkManualReinstatement(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.mechanic("anna", nil)
 	b, hand := y.hold(y.all[0], "write"), y.all[2]
@@ -182,18 +183,18 @@
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 	}
-	y.plan(y.all[1], "", b)
-	y.waits(b, "has something out there", "m00")
+	y.submitPlan(y.all[1], "", b)
+	y.awaitBlocker(b, "has something out there", "m00")
 	said("ONLINE")
 	before := b.requestCount()
-	y.poll("it is used there", func() bool { return b.requestCount() > before })
+	y.poll("the server is used there", func() bool { return b.requestCount() > before })
 	b.release()
-	y.waits(b, "in use there by hand", hand.name)
-	s, _ := hand.works()
+	y.awaitBlocker(b, "in use there by hand", hand.name)
+	s, _ := hand.maintenanceStatus()
 	assert.Equal(t, []string{b.name}, s.Reinstated)
 	assert.Empty(t, y.records())
 	said("OFFLINE")
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	ours := func() (n int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -205,48 +206,50 @@
 		return n
 	}
 	n, asked := ours(), hand.asked.Load()
-	y.poll("it serves elsewhere", func() bool { return hand.asked.Load() > asked+100 })
-	assert.Equal(t, n, ours(), "it is out there by hand")
+	y.poll("the sidecar uses other servers", func() bool { return hand.asked.Load() > asked+100 })
+	assert.Equal(t, n, ours(), "the operator has banned it there")
 	said("ONLINE")
-	y.poll("it is used there again", func() bool { return ours() > n })
+	y.poll("the server is used there again", func() bool { return ours() > n })
 	y.serving()
 }
 
-// One plan is given at both sides of a cut. The side that has a majority takes it, and waits; the other says that it is not known. Mended,
-// the second is told of the first, and the plan is carried out once. A command that is repeated is done once.
-func TestWorkOnBothSidesOfACut(t *testing.T) {
+// The same plan is submitted at both sides of a network partition. The side with a majority accepts it, and waits; the other replies
+// that the outcome is unknown. Once the partition heals, the second side learns of the first one's plan, which is carried out once. A
+// repeated command is done once.
+func TestWorkPlanDuringPartition(t *testing.T) {
 	y := newMaintenanceFleet(t, 5, 5, 3).open()
 	y.mechanic("anna", nil)
-	y.owner(y.all...)
+	y.awaitCoordinator(y.all...)
 	left, right := y.all[:3], y.all[3:]
 	ways := processcluster.Directions(names(left), names(right), false)
 	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	y.view(left, left)
-	y.owner(left...)
-	file := y.file(`cold = "4s"`, y.boxes...)
-	y.given(file, y.boxes...)
+	y.awaitView(left, left)
+	y.awaitCoordinator(left...)
+	file := y.writePlan(`cold = "4s"`, y.boxes...)
+	y.recordPlan(file, y.boxes...)
 	y.work(left[0], "plan", file, "--nonce", "7")
 	out, code := y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known whether it was done")
-	y.poll("who is not heard is named", func() bool {
-		s, _ := left[0].works()
+	y.poll("the silent sidecar is named", func() bool {
+		s, _ := left[0].maintenanceStatus()
 		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
 	y.board.SetFault(processcluster.LinkFault{}, ways...)
-	y.poll("the other side knows", func() bool { s, ok := right[0].works(); return ok && len(s.Plans) == 1 })
+	y.poll("the other side knows the plan", func() bool { s, ok := right[0].maintenanceStatus(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "is of plan 1 (yard), which has not ended")
 	assert.Contains(t, y.work(right[0], "plan", file, "--nonce", "7"), "plan 1")
-	p := y.ended()
+	p := y.awaitEnd()
 	assert.Equal(t, uint64(1), p.Number)
 	assert.Len(t, y.records(), 3)
 	y.serving()
 }
 
-// A plan is aborted while boxes are in three states: what nobody works on is given back at once, what is worked on comes back in its time.
+// A plan is aborted while servers are in three states: those that no agent works on are reinstated at once, and the one in maintenance
+// returns when it is complete.
 func TestWorkIsAborted(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 6).open()
 	long := make(chan struct{})
@@ -255,18 +258,18 @@
 	})
 	b := y.hold(y.all[0], "write")
 	others := slices.DeleteFunc(slices.Clone(y.boxes), func(o *machine) bool { return o == b })
-	y.plan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
-	y.pollFor(6*patience, "boxes are leaving, ready and taken", func() bool {
+	y.submitPlan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
+	y.pollFor(6*patience, "servers are draining, drained and in maintenance", func() bool {
 		count := y.counts()
 		return count[maintenance.Draining] > 0 && count[maintenance.Drained] > 0 && count[maintenance.InMaintenance] == 1
 	})
 	y.work(y.all[2], "abort")
-	y.poll("what nobody works on is given back", func() bool { return y.counts()[maintenance.Skipped] == 4 })
-	s := y.newest()
+	y.poll("servers that no agent works on are reinstated", func() bool { return y.counts()[maintenance.Skipped] == 4 })
+	s := y.newestStatus()
 	assert.False(t, s.Plans[0].Ended)
 	assert.Len(t, s.Cordoned, 1)
 	close(long)
-	p := y.ended()
+	p := y.awaitEnd()
 	for _, k := range p.Servers {
 		if k.Stage != maintenance.Done {
 			assert.Equal(t, "the plan was aborted by an operator", k.Reason)
@@ -277,68 +280,68 @@
 	y.serving()
 }
 
-// A mechanic dies with a box, and goes on with it when it is back; another one gets nothing meanwhile. One that is too slow loses it, and
-// its word comes too late. Old tokens and second words are turned away.
-func TestWorkMechanics(t *testing.T) {
+// An agent dies while it has a server, and continues with it after its restart; another agent gets nothing meanwhile. An agent that is
+// too slow loses its server, and its report comes too late. Old tokens and second reports are rejected.
+func TestWorkAgents(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
-	owner := y.owner(y.all...)
+	owner := y.awaitCoordinator(y.all...)
 	slow := func(m *maintenanceagent.Agent) {
 		m.WorkDuration = func(string) time.Duration { return 4 * time.Second }
 		m.CompletesTwice = true
 	}
 	anna, dies := y.mechanic("anna", slow)
-	y.plan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
-	first := y.comes(y.boxes[0], maintenance.InMaintenance)
+	y.submitPlan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
+	first := y.awaitStage(y.boxes[0], maintenance.InMaintenance)
 	dies()
-	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has it")
-	y.poll("it is late", func() bool { s := y.newest(); return stage(&s, y.boxes[0]).Overdue })
-	assert.Equal(t, maintenance.InMaintenance, y.comes(y.boxes[0], maintenance.InMaintenance).Stage)
+	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has the server")
+	y.poll("the server is overdue", func() bool { s := y.newestStatus(); return stage(&s, y.boxes[0]).Overdue })
+	assert.Equal(t, maintenance.InMaintenance, y.awaitStage(y.boxes[0], maintenance.InMaintenance).Stage)
 	again := y.runs(anna)
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	again()
 	assert.Zero(t, anna.RejectedGrants())
 	for _, r := range y.records() {
 		assert.Equal(t, first.Token, r.Token)
-		assert.Empty(t, r.CompletionErrors, "done is done, however often it is said")
+		assert.Empty(t, r.CompletionErrors, "repeating \"done\" has no effect")
 	}
 
 	bob, stop := y.mechanic("bob", slow)
-	y.plan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
-	p := y.ended()
+	y.submitPlan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
+	p := y.awaitEnd()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
-	y.poll("his word came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
+	y.poll("the agent's report came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
 	assert.Contains(t, bob.Records()[0].CompletionErrors[0], "is not worked on under")
 	stop()
 	lost := y.boxes[1].requestCount()
 	asked := owner.asked.Load()
-	y.poll("others serve", func() bool { return owner.asked.Load() > asked+100 })
-	assert.Equal(t, lost, y.boxes[1].requestCount(), "what was lost stays out")
+	y.poll("the others serve", func() bool { return owner.asked.Load() > asked+100 })
+	assert.Equal(t, lost, y.boxes[1].requestCount(), "a lost server stays out")
 	out, code := y.command("fleet", "work", "done", y.boxes[0].name, formatToken(first.Token-1), "--ops", owner.ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "nobody works on "+y.boxes[0].name)
 	out, code = y.command("fleet", "work", "failed", y.boxes[0].name, formatToken(first.Token), "--ops", owner.ops)
 	assert.Equal(t, 1, code, out)
 	y.work(owner, "skip", y.boxes[1].name)
-	y.poll("it is given back", func() bool { return y.boxes[1].requestCount() > lost })
+	y.poll("the server is reinstated", func() bool { return y.boxes[1].requestCount() > lost })
 
-	// By force, past a request that is out: on record with who had it.
+	// Forced while a request is in flight: the status records the sidecar that had it.
 	b := y.hold(owner, "write")
-	y.plan(owner, "name = \"third\"", b)
-	y.waits(b, "has something out there", owner.name)
+	y.submitPlan(owner, "name = \"third\"", b)
+	y.awaitBlocker(b, "has something out there", owner.name)
 	y.mechanic("carl", nil)
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
-	last := y.ended().Servers[0]
+	last := y.awaitEnd().Servers[0]
 	assert.Equal(t, []string{owner.name}, last.ForcedPast)
 	assert.Equal(t, maintenance.Done, last.Stage)
 	b.release()
 	y.serving()
 }
 
-// Discovery has its own word on a box that is out: it is dropped, listed at another address, listed as draining. It stays out, and comes
-// back in its time.
-func TestWorkDiscoveryMoves(t *testing.T) {
-	t.Parallel() // else all other tests wait until its last case is over
+// Discovery changes a server that is out: it is removed, listed at another address, or listed as draining. It stays out, and returns in
+// its time.
+func TestWorkDiscoveryChanges(t *testing.T) {
+	t.Parallel() // else all other tests wait until its last case has ended
 	for name, change := range map[string]func(e *endpoint, other endpoint){
 		"dropped":         func(e *endpoint, _ endpoint) { e.Status = "DELETED" },
 		"another address": func(e *endpoint, other endpoint) { e.Address = other.Address },
@@ -353,8 +356,8 @@
 			b := y.boxes[0]
 			moved := &machine{server: newServer(t, b.name, nil), site: b.site}
 			moved.set(moved.ServeHTTP)
-			y.plan(y.all[0], "", b)
-			y.comes(b, maintenance.InMaintenance)
+			y.submitPlan(y.all[0], "", b)
+			y.awaitStage(b, maintenance.InMaintenance)
 			e := b.entry()
 			change(&e, moved.entry())
 			lists := func(m *fleetMember) float64 { return (&testSidecar{T: t, listen: m.listen}).counter("lists") }
@@ -367,20 +370,20 @@
 				return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return lists(m) == before[m] })
 			})
 			asked := y.all[0].asked.Load()
-			y.poll("they serve by it", func() bool { return y.all[0].asked.Load() > asked+100 })
-			assert.Zero(t, moved.requestCount(), "it is out wherever it is listed")
+			y.poll("the sidecars go on serving", func() bool { return y.all[0].asked.Load() > asked+100 })
+			assert.Zero(t, moved.requestCount(), "the server is out at whichever address it is listed")
 			close(over)
-			assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+			assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 			y.registry.publish(b.entry(), false)
 			was := b.requestCount()
-			y.poll("it serves again", func() bool { return b.requestCount() > was })
+			y.poll("the sidecar serves again", func() bool { return b.requestCount() > was })
 			y.serving()
 		})
 	}
 }
 
-// The fleet grows to twice its size during a plan and shrinks again; then a majority of the electors is lost: nothing more leaves, and
-// what is out can be given back by hand.
+// The fleet doubles during a plan and shrinks again. Then a majority of the electors is lost: no more servers are drained, and an
+// operator can reinstate those that are out.
 func TestWorkFleetChanges(t *testing.T) {
 	y := newMaintenanceFleet(t, 8, 3, 4)
 	for _, m := range y.all[4:] {
@@ -390,17 +393,17 @@
 		m.start()
 	}
 	y.ready(y.all[:4]...)
-	y.agree(y.all[:4]...)
+	y.awaitAgreement(y.all[:4]...)
 	y.asked()
 	anna, dies := y.mechanic("anna", nil)
-	y.plan(y.all[0], `gone = "2s"`, y.boxes...)
-	y.comes(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
+	y.submitPlan(y.all[0], `gone = "2s"`, y.boxes...)
+	y.awaitStage(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
 	for _, m := range y.all[4:] {
 		m.start()
 	}
 	y.ready(y.all[4:]...)
-	y.agree(y.all...)
-	y.poll("it goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
+	y.awaitAgreement(y.all...)
+	y.poll("the plan goes on with all", func() bool { return y.counts()[maintenance.Done] >= 2 })
 	for i, m := range y.all[4:] {
 		if i%2 == 0 {
 			m.term()
@@ -408,11 +411,11 @@
 			m.kill()
 		}
 	}
-	y.poll("it goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
+	y.poll("the plan goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
 	dies()
 	var last *machine
 	y.poll("the last one is ready", func() bool {
-		s := y.newest()
+		s := y.newestStatus()
 		for _, b := range y.boxes {
 			if k := stage(&s, b); k.Stage == maintenance.Drained {
 				last = b
@@ -425,11 +428,11 @@
 		m.kill()
 	}
 	left := y.all[2:4]
-	// Danger: a door that does not answer in time says nothing; an owner whose lease runs still may hand the box over meanwhile, and that
-	// is agreed once the majority is back.
-	y.poll("nobody settles anything", func() bool {
+	// Danger: an admin endpoint that does not reply in time shows nothing. An owner whose lease is still valid may hand the server over
+	// meanwhile, which is agreed once the majority is back.
+	y.poll("no sidecar coordinates the plans", func() bool {
 		return !slices.ContainsFunc(left, func(m *fleetMember) bool {
-			j, told := m.toldOf("works")
+			j, told := m.queryRole("works")
 			return !told || j.HeldToken != 0
 		})
 	})
@@ -437,26 +440,26 @@
 	out, code := y.command("fleet", "work", "resume", "--ops", left[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known")
-	assert.Empty(t, bob.Records(), "nothing is handed over")
+	assert.Empty(t, bob.Records(), "no server is handed over")
 	before := last.requestCount()
 	for _, m := range left {
 		text, err := callOnce(m.ops, "ONLINE "+last.name+"\n")
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 	}
-	y.poll("it serves", func() bool { return last.requestCount() > before })
+	y.poll("the sidecar serves", func() bool { return last.requestCount() > before })
 	ends()
 	for _, m := range y.all[:2] {
 		m.start()
 	}
 	y.ready(y.all[:2]...)
-	y.waits(last, "in use there by hand", left[0].name)
+	y.awaitBlocker(last, "in use there by hand", left[0].name)
 	y.serving()
 }
 
-// While a box is worked on, a process takes the place of a sidecar with its socket, and then all are killed at once and begin again, as
-// after a power cut: what is out stays out, and the plan goes on.
-func TestWorkAllBeginAgain(t *testing.T) {
+// While a server is in maintenance, a process takes over from a sidecar with its socket. Then all are killed at once and restart, as
+// after a power failure: servers that are out stay out, and the plan goes on.
+func TestWorkFullRestart(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3)
 	m := y.all[2]
 	l, err := net.Listen("tcp", m.listen)
@@ -472,27 +475,27 @@
 		m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 	})
 	b := y.boxes[0]
-	y.plan(y.all[0], "", b)
+	y.submitPlan(y.all[0], "", b)
 	out := func() {
 		t.Helper()
 		asked := map[*fleetMember]int64{}
 		for _, m := range y.all {
-			y.poll(m.name+" has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+			y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 			asked[m] = m.asked.Load()
 		}
 		y.poll("all serve", func() bool {
 			return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+30 })
 		})
 	}
-	y.comes(b, maintenance.InMaintenance)
+	y.awaitStage(b, maintenance.InMaintenance)
 	out()
 	old, ended := m.cmd, m.ended
-	m.ops = freeAddress(t) // each process has its own
+	m.ops = freeAddress(t) // each process has its own admin endpoint
 	m.start()
-	y.poll("the new process has it out", func() bool { s, ok := m.works(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+	y.poll("the new process has the server out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	<-ended
-	y.agree(y.all...)
+	y.awaitAgreement(y.all...)
 	out()
 	for _, m := range y.all {
 		m.gone.Store(true)
@@ -505,6 +508,6 @@
 	y.ready(y.all...)
 	out()
 	close(over)
-	assert.Equal(t, maintenance.Done, y.ended().Servers[0].Stage)
+	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	y.serving()
 }
