--- a/internal/sidecar/actions.go
+++ b/internal/sidecar/actions.go
@@ -5,8 +5,8 @@
 	"hazelwheel/policy"
 )
 
-// Sidecar implements policy.Actions. The calls come while an event is being handled and never call the policy back: what follows from them
-// at once is queued as an event.
+// The policy calls the methods of policy.Actions while it handles an event. They never call the policy back: anything that they cause
+// immediately is queued as an event.
 var _ policy.Actions = (*Sidecar)(nil)
 
 // Send starts the next attempt of a request at a server.
@@ -66,7 +66,7 @@
 	s.closeIdleConns(serverID)
 }
 
-// Refuse ends a request with the response that a retry is harmless.
+// Refuse ends a request with a response that says that it has not run and may be retried.
 func (s *Sidecar) Refuse(id uint32, retryAfterSeconds float64) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionRefuse, AfterSeconds: retryAfterSeconds})
 	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Fail ends a request with the response that it may have run.
+// Fail ends a request with a response that says that it may have run.
 func (s *Sidecar) Fail(id uint32) {
 	s.recordDecision(id, capture.Decision{Action: capture.ActionFail})
 	if r := s.requests.byID[id]; r != nil && !r.isAnswered {
@@ -82,15 +82,15 @@
 	}
 }
 
-// WakeAfter sets the time of the next wake-up in place of the present one: the policy waits for one at a time. Danger: if the replaced ones
-// were kept, each request would leave a timer behind until the next probe, which is 16 s away in a large fleet.
+// WakeAfter sets the time of the policy's next wake-up and cancels the previous one. If replaced wake-ups were kept, each request would
+// leave a timer behind until the next probe, which can be 16 s away in a large fleet.
 func (s *Sidecar) WakeAfter(seconds float64) {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWake, AfterSeconds: seconds})
 	s.timers.stop(&s.wakeTimer)
 	s.timers.start(&s.wakeTimer, s.turn.eventAt+seconds, (*wakeTarget)(s))
 }
 
-// wakeTarget is a Sidecar as the target of the policy's wake-up.
+// wakeTarget is a Sidecar as the timerTarget of the policy's wake-up.
 type wakeTarget Sidecar
 
 func (w *wakeTarget) expire() {
@@ -101,7 +101,7 @@
 	})
 }
 
-// Watch starts a watch of the endpoint list, unless one is up.
+// Watch starts a watch of the endpoint list, unless there is one.
 func (s *Sidecar) Watch() {
 	s.capture.RecordDecision(capture.Decision{Action: capture.ActionWatch})
 	s.ensureWatch()
--- a/internal/sidecar/attempt.go
+++ b/internal/sidecar/attempt.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/policy"
 
-// progress is how far an attempt has come.
+// progress is how far an attempt has got.
 type progress uint8
 
 const (
@@ -24,7 +24,7 @@
 	connBroken cause = iota // the dial failed, or the connection broke
 	timedOut                // the deadline passed
 	cancelled               // the policy cancelled it
-	superseded              // its request or its server was no longer to be served when it could have started
+	superseded              // before it could start, its request or its server no longer allowed it
 	malformed               // the response was malformed
 )
 
@@ -33,14 +33,14 @@
 	return [...]string{"connection broken", "timed out", "cancelled", "superseded", "malformed response"}[c]
 }
 
-// attemptError is the end of an attempt without a response, with its cause and how far it had come.
+// attemptError describes an attempt that ended without a response.
 type attemptError struct {
 	progress progress
 	cause    cause
-	err      error // of the network or the protocol; may be nil
+	err      error // from the network or the protocol; may be nil
 }
 
-// Error names the cause and the progress, with the error of the network.
+// Error returns the cause, the progress and the underlying error.
 func (e *attemptError) Error() string {
 	text := e.cause.String() + ", " + e.progress.String()
 	if e.err != nil {
@@ -52,13 +52,12 @@
 // Unwrap returns the error of the network or the protocol.
 func (e *attemptError) Unwrap() error { return e.err }
 
-// outcome returns the policy's outcome of an attempt. Danger: an outcome that claims too much, namely that nothing can have run, makes a
-// request run twice. A server starts a request with its last byte, so only what broke before that byte was written is known never to have
-// run.
+// outcome returns the outcome that is reported to the policy. An outcome that wrongly says that the request has not run makes it run twice.
+// A server starts a request when it has the last byte, so only an attempt that ended before that byte was written is known not to have run.
 func (e *attemptError) outcome() policy.Outcome {
 	if e.cause == malformed || e.cause == connBroken && e.progress == responding {
-		// The server is reachable, has processed the request and has responded with something: that is an error of its own. Danger: counted
-		// as a broken server, two such responses in a row would eject a healthy one.
+		// The server is reachable, has processed the request and has sent part of a response or a malformed one: that is an error of the host. If
+		// it counted as a broken connection, two such responses in a row would eject a healthy server.
 		return policy.HostError
 	}
 	unwritten := e.progress == notConnected || e.progress == partlyWritten
@@ -76,14 +75,15 @@
 	}
 }
 
-// attempt is one attempt of a request at a server, or a probe, which has no request. It ends with exactly one outcome.
+// attempt is one attempt of a request at a server, or a probe, which has no request. Exactly one outcome is reported for
+// it.
 type attempt struct {
 	request       *request // nil for a probe
 	number        int
 	serverID      uint32
-	requestedAt   float64 // when the policy asked for it
+	requestedAt   float64 // when the policy requested it
 	sentAt        float64
-	deadline      float64 // after which it times out
+	deadline      float64 // when it times out
 	exchange      Exchange
 	frontend      Frontend
 	backend       *backendConn
@@ -91,9 +91,9 @@
 	timer         timer // of the deadline
 	sidecar       *Sidecar
 	isOver        bool
-	isProbeRetry  bool    // it is the second attempt of a probe
-	stream        *stream // of its response, while that is forwarded in parts
-	unreadSeconds float64 // for which its response lay in the socket
+	isProbeRetry  bool    // second try of a probe
+	stream        *stream // its response, if that is forwarded in parts
+	unreadSeconds float64 // how long its response was in the socket before it was read
 }
 
 // finishAttempt ends an attempt and reports its outcome to the policy. err is nil if there is a complete response.
@@ -119,8 +119,8 @@
 	}
 	succeeded := result.Outcome == policy.OK
 	if succeeded && a.exchange.IsOneWay() {
-		// Danger: that a request is written says nothing about its server's latency; counted as a response it makes the server look faster
-		// than any.
+		// Writing a one-way request says nothing about the server's latency; counted as a response, it would make the server look faster than all
+		// others.
 		result.Outcome = policy.Cancelled
 	}
 	s.counters.attemptOutcomes.count(result.Outcome)
@@ -139,12 +139,12 @@
 
 // finishProbe reports the outcome of a probe to the policy.
 func (s *Sidecar) finishProbe(a *attempt, err *attemptError, result policy.Result) {
-	// A server rejects a probe at once, or after it has queued for as long as probes may. Danger: the first shows that it is alive, the
-	// second that its queue is long; mistaken for one another, or for an error, they eject servers that are merely full.
+	// A server rejects a probe at once, which shows that it is alive, or after the probe has queued for the longest permitted time, which
+	// shows that its queue is long. If these were confused with each other or with an error, servers that are merely full would be ejected.
 	if result.Outcome == policy.Rejected && s.now()-a.sentAt > probeTimeoutSeconds/2 {
 		result.Outcome = policy.TimedOut
 	}
-	// A malformed response holds no load report, but its server is alive and has processed the probe.
+	// A malformed response has no load report, but shows that the server is alive and has processed the probe.
 	if err != nil && err.cause == malformed {
 		result.Outcome = policy.OK
 	}
@@ -156,16 +156,16 @@
 	})
 }
 
-// failUnrepeatable ends a request after an attempt that did not serve it if no other attempt may be sent.
+// failUnrepeatable ends a request after an unsuccessful attempt if it can't be sent again.
 func (s *Sidecar) failUnrepeatable(r *request, outcome policy.Outcome) {
 	fail := func() { r.responder.Fail(outcome == policy.TimedOut) }
 	if r.isAtMostOnce && !r.isAnswered && !outcome.NeverRan() {
-		// Danger: the policy goes by the class, whose requests may run again since repeats are dropped. This one has nothing that tells its
-		// repeats apart.
+		// The policy goes by the class, whose requests may be sent again since servers drop duplicates. This request carries nothing by which a
+		// server could detect a duplicate.
 		s.answerRequest(r, failed, fail)
 	}
 	if r.body != nil && r.body.HasDropped() && !r.isAnswered && outcome != policy.OK {
-		// The part of its body that was sent is no longer buffered, so no other server can get it.
+		// The part of its body that was sent is no longer buffered, so it can't be sent to another server.
 		if r.firstRunAt == 0 {
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		} else {
@@ -177,14 +177,14 @@
 // expire implements timerTarget: it times the attempt out.
 func (a *attempt) expire() { a.sidecar.abandonAttempt(a, timedOut) }
 
-// durations returns how long an attempt that ends now took until its response arrived, and how long that lay unread, in seconds.
+// durations returns, for an attempt that ends now, the seconds until its response arrived and the seconds that the response was unread.
 func (a *attempt) durations(now float64) (delay, late float64) {
 	late = min(a.unreadSeconds, now-a.sentAt)
 	return now - a.sentAt - late, late
 }
 
-// retryProbe starts a probe once more on a new connection if its connection broke. Danger: a probe asks for the server's state, of which
-// the end of a connection says nothing; a healthy server that seems unresponsive is ejected and then treated as warming up.
+// retryProbe repeats a probe once on a new connection if its connection broke, and reports whether it did. A broken connection says nothing
+// about the server's state; if it failed the probe, a healthy server would be ejected and then treated as warming up.
 func (s *Sidecar) retryProbe(a *attempt, err *attemptError) bool {
 	endpoint := s.endpoints.Host(a.serverID)
 	if a.request != nil || a.isProbeRetry || endpoint == nil || err == nil || err.cause != connBroken || err.progress == notConnected {
@@ -195,9 +195,9 @@
 	return true
 }
 
-// mayStart reports whether an attempt may be written to its server now. Danger: while it waited for a connection or a descriptor its
-// deadline may have passed, its client may have closed, its server may have started to drain, and the servers that would drop it as a
-// repeat may have forgotten the attempt before.
+// mayStart reports whether an attempt may be written to its server now. While it waited for a connection or a descriptor, its deadline may
+// have passed, its client may have disconnected, its server may have started to drain, and servers may have forgotten an earlier attempt,
+// so that they would no longer drop this one as a duplicate.
 func (s *Sidecar) mayStart(a *attempt) bool {
 	now, r := s.now(), a.request
 	if a.deadline <= now {
@@ -222,13 +222,13 @@
 	s.dial(endpoint, a)
 }
 
-// abandonAttempt ends an attempt from this side. Its connection is closed before the outcome is reported: nothing may be sent again while a
-// copy is on an open connection, and no late response may meet another request.
+// abandonAttempt ends an attempt before its response. Its connection is closed before the outcome is reported, so that the request is not
+// sent again while a copy is on an open connection, and a late response can't be taken for that of another request.
 func (s *Sidecar) abandonAttempt(a *attempt, endCause cause) {
 	if a.isOver {
 		return
 	}
-	if s.backends.removeWaiting(a) { // it never had a connection, which says nothing about its server
+	if s.backends.removeWaiting(a) { // it never had a connection, so its outcome must not count against the server
 		s.finishAttempt(a, &attemptError{notConnected, superseded, nil})
 		return
 	}
--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -10,7 +10,7 @@
 	"hazelwheel/policy"
 )
 
-// errUnsolicited is the end of a connection whose server sent bytes that no request had asked for.
+// errUnsolicited is logged for a connection whose server sent bytes while no request was open on it.
 var errUnsolicited = errors.New("unasked bytes")
 
 // backendConn is a connection to a server. It carries one attempt at a time.
@@ -18,7 +18,7 @@
 	sidecar    *Sidecar
 	frontend   Frontend
 	serverID   uint32
-	address    string     // as it is listed
+	address    string     // as in the endpoint list
 	conn       netio.Conn // nil until it is open
 	cancelDial func()
 	input      buffer.Buffer
@@ -29,9 +29,9 @@
 	isClosed   bool
 }
 
-// dial opens a connection for an attempt, or lets it wait if there are no descriptors.
+// dial opens a connection for an attempt, or queues the attempt if there are no descriptors.
 func (s *Sidecar) dial(endpoint *endpointset.Host, a *attempt) {
-	// Danger: attempts that use the last descriptors leave none for the next client.
+	// If attempts used the last descriptors, none would be left for the next client.
 	if !s.freeDescriptors(dialDescriptors + s.reservedClientSlots()) {
 		s.waitForConn(a)
 		return
@@ -53,7 +53,8 @@
 	})
 }
 
-// onOpen implements connHandler: it starts the attempt that the connection was dialed for, or keeps it idle.
+// onOpen implements connHandler: it starts the attempt that the connection was dialed for. If the attempt may no longer start, the
+// connection becomes idle, or is closed if its server accepts no attempts.
 func (b *backendConn) onOpen(c netio.Conn) {
 	b.conn = c
 	a := b.attempt
@@ -83,7 +84,7 @@
 	a.progress = partlyWritten
 	b.sidecar.writeBuffer = a.exchange.AppendRequest(b.sidecar.writeBuffer[:0], b.sidecar.now(), b.sidecar.advertisedDeadline(a))
 	b.isWriting = true
-	_, err := b.conn.Write(b.sidecar.writeBuffer) // a connection that fails is closed, which ends the attempt
+	_, err := b.conn.Write(b.sidecar.writeBuffer) // on an error the connection is closed, which ends the attempt
 	b.isWriting = false
 	b.sidecar.recycleWriteBuffer(b.sidecar.writeBuffer)
 	if err == nil && b.attempt == a {
@@ -92,7 +93,8 @@
 	}
 }
 
-// advertisedDeadline returns the deadline that an attempt tells its server. The time for a body that is still arriving is not the client's.
+// advertisedDeadline returns the deadline that is sent to the server. While the body is arriving, the request's deadline includes the time
+// for the upload, which is not part of the client's timeout.
 func (s *Sidecar) advertisedDeadline(a *attempt) float64 {
 	if r := a.request; r != nil && r.isUploading() {
 		return min(a.deadline, s.now()+r.timeoutSeconds-s.responseMargin())
@@ -100,10 +102,11 @@
 	return a.deadline
 }
 
-// writeCheckIntervalSeconds is the time between two checks whether a one-way request is written: the event loop does not report it.
+// writeCheckIntervalSeconds is the interval at which a one-way request is polled for completion, since the event loop does not report that
+// all bytes were written.
 const writeCheckIntervalSeconds = 0.005
 
-// completeOneWay ends an attempt that has no response once its request is written.
+// completeOneWay ends a one-way attempt once its request is written.
 func (b *backendConn) completeOneWay(a *attempt) {
 	switch {
 	case b.attempt != a || !a.exchange.IsOneWay():
@@ -114,13 +117,13 @@
 	}
 }
 
-// updateProgress returns how far the connection's attempt has come by now.
+// updateProgress updates and returns the progress of the connection's attempt.
 func (b *backendConn) updateProgress(a *attempt) progress {
 	if a.progress == partlyWritten && !b.isWriting && a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() == 0 {
 		a.progress = fullyWritten
 		if r := a.request; r != nil {
 			b.sidecar.counters.RequestsWritten++
-			if r.body != nil { // the server starts with the last byte, whenever the client has sent that
+			if r.body != nil { // the server starts when it has the last byte, however long the upload took
 				a.sentAt = b.sidecar.now()
 			}
 		}
@@ -164,14 +167,14 @@
 	}
 }
 
-// completeAttempt ends an attempt whose response is complete. The connection is kept only if nothing is left on it, neither of the response
-// nor of the request.
+// completeAttempt ends an attempt whose response is complete. The connection is kept only if no bytes of the response are unread and none
+// of the request are unwritten.
 func (b *backendConn) completeAttempt(a *attempt) {
 	b.updateProgress(a)
 	if b.isReusable(a) {
 		from := b.sidecar.now()
 		if a.exchange.IsOneWay() {
-			from = a.deadline // Danger: the server has only just received the request; a call behind it would wait, and its server would seem slow
+			from = a.deadline // the server is still working on the request; the next one would wait behind it and make the server seem slow
 		}
 		b.makeIdleFrom(from)
 	} else {
@@ -187,7 +190,7 @@
 	return keep && a.exchange.IsRequestAppended() && b.input.Len() == 0 && b.conn.OutboundBuffered() == 0 && b.sidecar.acceptsAttempts(b.serverID)
 }
 
-// onClose implements connHandler: it ends the attempt, whichever side has closed.
+// onClose implements connHandler: it ends the attempt, whichever side closed the connection.
 func (b *backendConn) onClose(err error) {
 	b.isClosed = true
 	b.removeFromIdle()
--- a/internal/sidecar/capture.go
+++ b/internal/sidecar/capture.go
@@ -16,7 +16,7 @@
 
 var _ capture.Source = captureSource{}
 
-// Checkpoint appends the policy's state, of at most so many bytes; false: it is larger.
+// Checkpoint appends the policy's state to dst, or returns false if it is larger than maxBytes.
 func (c captureSource) Checkpoint(dst []byte, maxBytes int) ([]byte, bool) {
 	return c.balancer.Checkpoint(dst, maxBytes)
 }
@@ -29,10 +29,10 @@
 	return ""
 }
 
-// HostNames iterates over all servers that are known.
+// HostNames iterates over the names of all known servers.
 func (c captureSource) HostNames() iter.Seq2[uint32, string] { return c.endpoints.Names }
 
-// RequestLabels iterates over the requests that the policy may still refer to, in order of their IDs.
+// RequestLabels iterates over the labels of the requests that the policy may still refer to, in order of their IDs.
 func (c captureSource) RequestLabels() iter.Seq2[uint32, capture.Label] {
 	return func(yield func(uint32, capture.Label) bool) {
 		for _, id := range slices.Sorted(maps.Keys(c.requests.byID)) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// label returns the names by which clients and operators know a request.
+// label returns a request's client ID and class, which identify it to clients and operators.
 func (r *request) label() capture.Label { return capture.Label{ID: r.clientID, Class: r.className} }
 
 // recordDecision records a decision about a request in the capture.
@@ -58,13 +58,13 @@
 	s.capture.RecordDecision(d)
 }
 
-// flushCapture writes what is new to the capture's files, periodically.
+// flushCapture periodically writes new records to the capture's files.
 func (s *Sidecar) flushCapture() {
 	s.capture.Flush()
 	s.timers.schedule(s.now()+captureFlushIntervalSeconds, s.flushCapture)
 }
 
-// DumpCapture returns the capture's segments as text, empty if there is no capture.
+// DumpCapture returns the capture's segments as text, nil if capture is off.
 func (s *Sidecar) DumpCapture() []byte {
 	if s.capture == nil {
 		return nil
@@ -72,7 +72,7 @@
 	return s.capture.Dump(s.now())
 }
 
-// Close ends what is written in the background. It is called after the event loop has ended.
+// Close writes the last quota snapshot and closes the capture. It must be called after the event loop has ended.
 func (s *Sidecar) Close() {
 	s.closeQuotas()
 	s.capture.Close()
--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -8,25 +8,26 @@
 	"hazelwheel/internal/netio"
 )
 
-// backendHeadroom descriptors must be left for backend connections when a request comes on a connection beyond maxClients.
+// backendHeadroom is the number of descriptors that must be left for backend connections for a request to be admitted on a client
+// connection beyond the limit.
 const backendHeadroom = 16
 
-// maxClients returns how many client connections leave enough descriptors for the servers.
+// maxClients returns the limit on client connections that leaves enough descriptors for backend connections.
 func (s *Sidecar) maxClients() int { return s.maxConns() * 3 / 4 }
 
-// maxOverLimitClients returns how many connections beyond maxClients are accepted to respond that there is no capacity. Danger: each uses a
-// descriptor that an attempt may need.
+// maxOverLimitClients returns how many connections beyond the limit are accepted so that their requests can be throttled rather than reset.
+// Each uses a descriptor that an attempt may need.
 func (s *Sidecar) maxOverLimitClients() int { return s.maxConns() / 16 }
 
-// hasManyClients reports whether client connections are so many that idle ones are not kept. Danger: clients that keep a connection after
-// one request come to use all that the application may open, long before the descriptors here run out, and its other requests find none. So
-// from there on each response is the last on its connection.
+// hasManyClients reports whether there are so many client connections that idle ones are not kept; each response is then the last on its
+// connection. Clients that keep connections after one request would use up all that the application may open, long before the sidecar runs
+// out of descriptors, and other requests of the application would find no connection.
 func (s *Sidecar) hasManyClients() bool {
 	return len(s.clients.conns) > s.cfg.Limits.Sockets/s.processes/5
 }
 
-// admissionSettings returns the operators' limits, bounded by the available descriptors and memory. newcomers are client connections that
-// are not in the admission table yet.
+// admissionSettings returns the configured limits, bounded by the available descriptors and memory. newcomers is the number of client
+// connections that are open but not in the admission table yet.
 func (s *Sidecar) admissionSettings(newcomers int) admission.Settings {
 	a := s.clients.config.Settings
 	a.ReservedForKnown = s.reservedClientSlots()
@@ -38,7 +39,7 @@
 	return a
 }
 
-// backendDescriptors returns how many descriptors connections to servers and to discovery use, or may come to use.
+// backendDescriptors returns how many descriptors connections to servers and to discovery use, including those being dialed.
 func (s *Sidecar) backendDescriptors() int {
 	return s.descriptors.open - s.clients.admission.Len() - s.clients.admission.OverflowLen() + s.descriptors.dialing
 }
@@ -51,8 +52,8 @@
 	return s.maxClients() / reservedClientDivisor
 }
 
-// acceptClient accepts a connection of a client, and reports whether it is kept. If there is no capacity another is evicted; if none can
-// be, the request on this one is throttled as long as enough descriptors are left.
+// acceptClient accepts a client connection, and reports whether it is kept. At the limit another connection is evicted. If none can be, the
+// connection is kept only to throttle its request, provided that enough descriptors are left.
 func (s *Sidecar) acceptClient(conn netio.Conn) bool {
 	now := s.now()
 	frontend := s.frontendOf(conn)
@@ -95,15 +96,15 @@
 		}
 		return true
 	}
-	// Danger: the next accept would fail for want of a descriptor, and the event loop would end. Not a byte of a request has been read from
-	// this connection.
+	// Without a free descriptor the next accept would fail and end the event loop. Closing this connection is safe, since nothing has been
+	// read from it.
 	s.counters.ConnsWithoutDescriptor++
 	s.warnLimited("connections rejected: no capacity")
 	s.log.Debug("client connection rejected", "client", conn.RemoteAddr(), "table_full", verdict == admission.TableFull, "connections", s.clients.admission.Len())
 	return false
 }
 
-// frontendOf returns the frontend whose listener has accepted a connection.
+// frontendOf returns the frontend whose listener accepted a connection.
 func (s *Sidecar) frontendOf(c netio.Conn) Frontend {
 	if len(s.frontends) > 1 {
 		if tcp, ok := c.LocalAddr().(*net.TCPAddr); ok {
@@ -150,7 +151,7 @@
 	return state.String()
 }
 
-// isOverloaded reports whether requests wait for a server, or for the sidecar itself.
+// isOverloaded reports whether requests are queued, in the sidecar or in the policy.
 func (s *Sidecar) isOverloaded() bool {
 	return s.pending.queue.Len() > 0 || s.balancer.QueueLength() > 0
 }
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -5,7 +5,7 @@
 	"hazelwheel/internal/netio"
 )
 
-// onData implements connHandler: it reads requests, or the body of the one that is open.
+// onData implements connHandler: it reads requests, or the rest of the open request's body.
 func (c *ClientConn) onData(data []byte) {
 	if c.isLastWritten {
 		c.lastDataAt = c.sidecar.now()
@@ -22,7 +22,7 @@
 	}
 	if c.request != nil || c.unreadBytes > 0 {
 		switch {
-		case c.input.Len() > maxInputBytes: // reading can't be paused here
+		case c.input.Len() > maxInputBytes: // the loop could not pause reading
 			c.sidecar.closeConn(c.conn)
 		case c.input.Len() > maxPipelinedBytes:
 			c.pauseReading(c.pausedEnds())
@@ -39,8 +39,8 @@
 	}
 }
 
-// pausedEnds returns how a close by the client counts while reading is paused: at once for as long as the client waits for a response of
-// which nothing is written.
+// pausedEnds returns how a close by the client is handled while reading is paused. It is reported at once while the client waits for a
+// response of which nothing is written yet.
 func (c *ClientConn) pausedEnds() netio.ClosePolicy {
 	if c.request == nil || c.request.isAnswered {
 		return netio.DeferClose
@@ -48,7 +48,7 @@
 	return netio.ReportClose
 }
 
-// readRequests handles the requests that have arrived, until one is open.
+// readRequests handles the requests that have arrived, until one of them is open.
 func (c *ClientConn) readRequests() {
 	for c.conn != nil && c.request == nil && !c.isLastWritten && c.unreadBytes == 0 { // the connection may have been closed since this was queued
 		ready, err := c.codec.ReadRequest(&c.input)
@@ -67,7 +67,7 @@
 	}
 }
 
-// awaitArrival starts the timer for the rest of a request.
+// awaitArrival resumes reading, and starts the timeout for the rest of a request if part of it has arrived.
 func (c *ClientConn) awaitArrival() {
 	c.resumeReading()
 	if _, begun := c.codec.PartialRequest(); c.arrivalTimer != nil || c.input.Len() == 0 && !begun {
@@ -81,13 +81,13 @@
 	c.arrivalTimer = c.sidecar.timers.schedule(deadline, c.checkArrival)
 }
 
-// setArrivalDeadline sets when a request must have arrived, before what a longer body adds.
+// setArrivalDeadline sets the time by which a request must have arrived, not counting the extension for a longer body.
 func (c *ClientConn) setArrivalDeadline(deadline float64) {
 	c.arrivalDeadline, c.stalledBefore = deadline, c.sidecar.fitness.stalledSeconds
 }
 
-// checkArrival ends a request that has not arrived in time. A longer body has the time that it needs at minBytesPerSecond; time in which
-// reading was paused or the loop stalled does not count, since the data lay in the socket.
+// checkArrival ends a request that has not arrived in time. The timeout grows with the body at minBytesPerSecond. Time in which reading was
+// paused or the loop stalled does not count, since data was left in the socket.
 func (c *ClientConn) checkArrival() {
 	now, arrivedBytes := c.sidecar.now(), 0
 	c.arrivalTimer = nil
@@ -112,21 +112,21 @@
 	c.rejectMalformed(ErrRequestTimeout)
 }
 
-// stopArrivalTimer notes that no request is arriving.
+// stopArrivalTimer stops the timeout for the rest of a request.
 func (c *ClientConn) stopArrivalTimer() {
 	c.sidecar.timers.stop(c.arrivalTimer)
 	c.arrivalTimer = nil
 }
 
-// rejectMalformed ends a connection with the response to a message that can't be read.
+// rejectMalformed answers a message that can't be read; the response is the last on the connection.
 func (c *ClientConn) rejectMalformed(err error) {
 	c.stopArrivalTimer()
 	c.keepAlive = false
 	c.codec.RejectMalformed(err)
 }
 
-// accountHeldBytes sets how many bytes of requests and responses the connection holds. While all connections together hold too much, the
-// one that holds most is closed.
+// accountHeldBytes sets how many bytes of requests and responses are buffered for the connection. While the total exceeds the memory limit,
+// the connection with the largest share is closed.
 func (c *ClientConn) accountHeldBytes(bytes int) {
 	s := c.sidecar
 	s.clients.admission.SetBufferedBytes(c.slot, bytes)
@@ -136,8 +136,8 @@
 	}
 }
 
-// pauseReading leaves received data in the socket. Danger: while a request is open its client may close, behind bytes that are not read;
-// forwarded all the same, the request would run for nobody.
+// pauseReading leaves received data in the socket. A client that closes while its request is open may have unread bytes before the close.
+// If the close went unnoticed, the request would be run although nobody waits for it; ends says whether it is reported at once.
 func (c *ClientConn) pauseReading(ends netio.ClosePolicy) {
 	c.sidecar.net.PauseReading(c.conn, ends)
 	c.isPaused = true
--- a/internal/sidecar/clientinput_test.go
+++ b/internal/sidecar/clientinput_test.go
@@ -22,7 +22,7 @@
 
 func (n *clockLoop) Now() float64 { return n.now }
 
-// partialCodec has received a part of a request, and keeps the error with which it was rejected.
+// partialCodec is a codec that has received part of a request. It records the error with which the request is rejected.
 type partialCodec struct {
 	ClientCodec
 	arrivedBytes int
@@ -33,7 +33,7 @@
 func (c *partialCodec) PartialRequest() (int, bool)              { return c.arrivedBytes, true }
 func (c *partialCodec) RejectMalformed(err error)                { c.rejection = err }
 
-// partialRequest returns a sidecar with a connection on which a part of a request has arrived.
+// partialRequest returns a sidecar with a connection on which part of a request has arrived.
 func partialRequest(t *testing.T) (*clockLoop, *partialCodec, *Sidecar) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
@@ -49,7 +49,7 @@
 	return n, client, s
 }
 
-// runUntil runs the loop often enough for all timers that are due until a time, in seconds since the request began to arrive.
+// runUntil runs the loop every 10 ms until the given time, in seconds since the request began to arrive.
 func (n *clockLoop) runUntil(s *Sidecar, untilSeconds float64) {
 	const intervalSeconds = 0.01
 	for n.now+intervalSeconds < testNow+untilSeconds {
@@ -58,16 +58,16 @@
 	n.stallUntil(s, untilSeconds)
 }
 
-// stallUntil runs the loop at a time, and not before.
+// stallUntil moves the clock to the given time and only then runs the loop.
 func (n *clockLoop) stallUntil(s *Sidecar, untilSeconds float64) {
 	n.now = testNow + untilSeconds
 	s.Alarm()
 }
 
-// A request of which the rest does not arrive is rejected. The time in which the sidecar itself stalled does not count: what arrived then
-// lay in the socket.
+// A request whose rest does not arrive in time is rejected. Time in which the sidecar itself stalled does not count, since data may have
+// arrived in the socket meanwhile.
 func TestRequestArrivalTimeout(t *testing.T) {
-	const recheckSeconds = 0.11 // until an overdue request is checked again
+	const recheckSeconds = 0.11 // time until an overdue request is checked again
 	t.Run("the client is late", func(t *testing.T) {
 		n, client, s := partialRequest(t)
 		n.runUntil(s, arrivalTimeoutSeconds)
@@ -80,7 +80,7 @@
 		n.runUntil(s, 1)
 		n.stallUntil(s, 4)
 		stalledSeconds := s.fitness.stalledSeconds
-		assert.GreaterOrEqual(t, stalledSeconds, 4-arrivalTimeoutSeconds, "the request was due by then, if nothing else was")
+		assert.GreaterOrEqual(t, stalledSeconds, 4-arrivalTimeoutSeconds, "the stall must outlast the timeout")
 		n.runUntil(s, arrivalTimeoutSeconds+stalledSeconds-0.01)
 		assert.NoError(t, client.rejection)
 		n.runUntil(s, arrivalTimeoutSeconds+stalledSeconds+recheckSeconds)
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -5,21 +5,21 @@
 	"hazelwheel/internal/netio"
 )
 
-// MarkServed notes that the next response is a server's.
+// MarkServed records that the next response comes from a server.
 func (c *ClientConn) MarkServed() { c.sidecar.clients.admission.RecordServed(c.slot) }
 
-// BeginResponse frees the connection from its request. It returns the buffer to append the response to, for EndResponse; whether the
-// response is the last on the connection; and whether the client is still connected. canAnnounceClose says that the response itself can
-// announce the close.
+// BeginResponse detaches the open request from the connection. It returns a buffer to append the response to, which is then passed to
+// EndResponse; whether the response is the last on the connection; and whether the client is still connected. canAnnounceClose says that
+// the response can tell the client that the connection will be closed.
 func (c *ClientConn) BeginResponse(canAnnounceClose bool) (dst []byte, last, connected bool) {
-	// Danger: the rest of a request that was answered before it arrived completely is waited for no longer; its time-out would write a
-	// second response.
+	// If the request was answered before all of it arrived, its arrival timeout would write a second response.
 	c.stopArrivalTimer()
 	if c.request = nil; c.conn == nil {
 		return nil, false, false
 	}
-	// Danger: pipelined data was received, and is owed a response. A client that is notified of the close sends it again. One that is not may
-	// be sending its next request by now; under a limit on connections it would find no other, so its connection is closed only when idle.
+	// Pipelined requests that were received need a response. A client that is told of the close sends them again. One that is not told may
+	// already be sending its next request, and may be unable to open another connection; so its connection is closed only while nothing is
+	// pipelined or unread.
 	hasPipelined := c.input.Len() > 0
 	if canAnnounceClose {
 		c.isLastWritten = !c.keepAlive || c.sidecar.lifecycle.closesAfterResponse() || c.sidecar.hasManyClients() && !hasPipelined
@@ -49,8 +49,8 @@
 // BodyBufferLimit returns how many bytes of a request's body are buffered before the rest is forwarded as it arrives.
 func (c *ClientConn) BodyBufferLimit() int { return c.sidecar.bodyBufferLimit() }
 
-// BeginStream is BeginResponse for a response that is forwarded in parts. endsWithConn says that only the close marks its end. What is
-// appended goes to WriteStream.
+// BeginStream is BeginResponse for a response that is forwarded in parts, which are passed to WriteStream. endsWithConn says that only the
+// close of the connection marks the end of the response.
 func (c *ClientConn) BeginStream(endsWithConn bool) (dst []byte, last, connected bool) {
 	if c.conn == nil {
 		return nil, false, false
@@ -80,7 +80,7 @@
 	}
 }
 
-// finishResponse continues after the socket has taken a response.
+// finishResponse continues after all of a response was written to the socket.
 func (c *ClientConn) finishResponse() {
 	c.unreadBytes, c.requestBytes, c.isStreamed = 0, 0, false
 	if c.isLastWritten {
@@ -102,13 +102,13 @@
 	}
 }
 
-// Write writes what is no response, or a part of one.
+// Write writes bytes as they are. Responses go through EndResponse or WriteStream.
 func (c *ClientConn) Write(b []byte) {
 	c.conn.Write(b) // the event loop buffers what the socket does not take, and closes the connection on an error
 }
 
-// waitForClientRead pauses a connection until its client has read what is written. Danger: requests that are handled while responses wait
-// grow the memory for these without a bound, until the process is killed with all its open requests.
+// waitForClientRead pauses a connection until its client has read what was written. If further requests were handled while their responses
+// pile up, memory would grow without bound until the process is killed with all its open requests.
 func (c *ClientConn) waitForClientRead() {
 	s, now := c.sidecar, c.sidecar.now()
 	c.unreadSince, c.lastReadAt, c.unreadBytes = now, now, c.conn.OutboundBuffered()
@@ -121,8 +121,8 @@
 	}
 }
 
-// checkUnreadResponses checks the connections whose responses wait: one whose client has read all continues, one whose client reads nothing
-// is closed.
+// checkUnreadResponses checks the connections with unread responses: a connection continues once its client has read everything, and is
+// closed if the client reads too slowly.
 func (s *Sidecar) checkUnreadResponses() {
 	now := s.now()
 	s.clients.admission.Each(admission.StateWriting, func(slot *admission.Conn) {
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -5,9 +5,9 @@
 	"hazelwheel/internal/featureconfig"
 )
 
-// clientPool holds the client connections. Package admission decides which of them may stay.
+// clientPool holds the client connections. Package admission decides which of them are kept.
 type clientPool struct {
-	conns            []*ClientConn // each holds its index here
+	conns            []*ClientConn // each stores its index in this slice
 	admission        *admission.ConnTable
 	config           featureconfig.Admission
 	isCheckingUnread bool // the timer of checkUnreadResponses is set
@@ -29,26 +29,28 @@
 }
 
 const (
-	// firstByteTimeoutSeconds after it was opened a connection without a byte is closed.
+	// firstByteTimeoutSeconds is how long a new connection may stay open without sending a byte.
 	firstByteTimeoutSeconds = 2.2
-	// crowdedIdleTimeoutSeconds is how long a connection may be idle while there are too many.
+	// crowdedIdleTimeoutSeconds is how long a connection may be idle while hasManyClients holds.
 	crowdedIdleTimeoutSeconds = 2.0
-	// sweepIntervalSeconds is the time between two checks for such connections.
+	// sweepIntervalSeconds is the interval at which connections are checked for these timeouts.
 	sweepIntervalSeconds = 0.2
-	// unreadTimeoutSeconds without the client reading a byte of a response close its connection, and so do maxUnreadSeconds in all.
+	// unreadTimeoutSeconds is how long a client may read no byte of a response, and maxUnreadSeconds how long it may take to read all of
+	// it, before its connection is closed.
 	unreadTimeoutSeconds = 2.0
 	maxUnreadSeconds     = 10.0
-	// maxPipelinedBytes of further requests are buffered while one is open; the rest is left in the socket.
+	// maxPipelinedBytes is how much of further requests is buffered while one is open; beyond that, reading is paused.
 	maxPipelinedBytes = 4 << 10
-	// unreadCheckIntervalSeconds is the time between two checks whether responses were read: the event loop does not report it.
+	// unreadCheckIntervalSeconds is the interval at which unread responses are polled, since the event loop does not report when the client
+	// has read them.
 	unreadCheckIntervalSeconds = 0.01
-	// reservedClientDivisor sets the part of the client connections that is reserved for known clients if the operators set no number.
+	// reservedClientDivisor: one in so many client connections is reserved for known clients if the configuration sets no number.
 	reservedClientDivisor = 8
-	// maxVictimChecks bounds the candidates for eviction whose sockets are checked for unread data.
+	// maxVictimChecks bounds how many eviction candidates are skipped since their sockets hold unread data.
 	maxVictimChecks = 4
 )
 
-// closeStale closes a connection that is of no more use, unless its socket holds an unread request.
+// closeStale closes a connection that has timed out, unless its socket holds unread data.
 func (c *ClientConn) closeStale() {
 	if c.mayHaveUnreadRequest() {
 		c.sidecar.clients.admission.Touch(c.sidecar.now(), c.slot)
--- a/internal/sidecar/clientstatus.go
+++ b/internal/sidecar/clientstatus.go
@@ -6,10 +6,10 @@
 	"hazelwheel/internal/decide/admission"
 )
 
-// maxShownAddresses bounds the addresses that are listed.
+// maxShownAddresses bounds the number of addresses in the client status.
 const maxShownAddresses = 200
 
-// ClientStatus returns what each client address holds, as a line of JSON.
+// ClientStatus returns the admission state of client addresses as a line of JSON.
 func (s *Sidecar) ClientStatus() []byte {
 	var all struct {
 		Links     int                `json:"links"`
--- a/internal/sidecar/connwaiters.go
+++ b/internal/sidecar/connwaiters.go
@@ -1,7 +1,7 @@
 package sidecar
 
-// Attempts that find neither an idle connection nor the descriptors for a new one wait for either, in order. Danger: rejected at once, they
-// would be retried as often as they may within a millisecond, while connections to their servers become idle all the time.
+// An attempt waits if there is neither an idle connection nor the descriptors for a new one; waiting attempts are served in order. If they
+// were rejected at once, they would use up their retries within a millisecond, although connections become idle all the time.
 
 // waitForConn queues an attempt.
 func (s *Sidecar) waitForConn(a *attempt) {
@@ -10,7 +10,7 @@
 	s.backends.waiting = append(s.backends.waiting, a)
 }
 
-// assignToWaiter gives a connection that has become idle to the first attempt that waits for its server, and reports whether there was one.
+// assignToWaiter gives a connection that has become idle to the first attempt waiting for its server, and reports whether there was one.
 func (s *Sidecar) assignToWaiter(b *backendConn) bool {
 	for _, a := range s.backends.waiting {
 		if a.serverID == b.serverID && a.frontend == b.frontend && s.mayStart(a) && s.net.NothingToRead(b.conn) {
--- a/internal/sidecar/counters.go
+++ b/internal/sidecar/counters.go
@@ -24,45 +24,45 @@
 	return m
 }
 
-// counters are printed at /counters. Their JSON names are read by operators' tools and never change.
+// counters are served at /counters. Operators' tools read their JSON names, which must not change.
 type counters struct {
 	AcceptedConns   uint64 `json:"accepted"`  // client connections
 	Requests        uint64 `json:"requests"`  // received completely
-	OpenRequests    int    `json:"open"`      // of these, without a final response
+	OpenRequests    int    `json:"open"`      // requests without a final response
 	Served          uint64 `json:"served"`    // with a server's response
 	Throttled       uint64 `json:"throttled"` // rejected; a retry is harmless
-	LoadShed        uint64 `json:"shed"`      // of these, after waiting for the sidecar itself for too long
+	LoadShed        uint64 `json:"shed"`      // throttled since they waited in the sidecar for too long
 	Failed          uint64 `json:"failed"`    // without a server's response
-	Abandoned       uint64 `json:"abandoned"` // the client closed
-	DecisionsLate   uint64 `json:"overdue"`   // failed since the policy was late
-	Malformed       uint64 `json:"malformed"` // messages answered with 4xx or 501 and never forwarded
-	IdleConnsClosed uint64 `json:"retired"`   // client connections closed that were idle, or never sent a byte
+	Abandoned       uint64 `json:"abandoned"` // the client disconnected
+	DecisionsLate   uint64 `json:"overdue"`   // the policy had not ended it by its deadline
+	Malformed       uint64 `json:"malformed"` // messages rejected with 4xx or 501
+	IdleConnsClosed uint64 `json:"retired"`   // client connections closed while idle or before the first byte
 
-	Rejected               uint64 `json:"turned_away"` // throttled without the policy: no capacity, or beyond the client's share
+	Rejected               uint64 `json:"turned_away"` // throttled before reaching the policy: no capacity, or client over its fair share
 	ConnsEvicted           uint64 `json:"given_up"`    // client connections evicted
-	ConnsOverCap           uint64 `json:"over_cap"`    // client connections rejected beyond the cap of an address or prefix
-	ConnsWithoutDescriptor uint64 `json:"no_room"`     // client connections rejected for want of a descriptor
-	OverQuota              uint64 `json:"over_quota"`  // throttled without the policy: beyond the group's quota
-	UnreadConnsClosed      uint64 `json:"unread"`      // client connections closed whose clients did not read
+	ConnsOverCap           uint64 `json:"over_cap"`    // client connections rejected: cap of an address or prefix reached
+	ConnsWithoutDescriptor uint64 `json:"no_room"`     // client connections rejected: no descriptor available
+	OverQuota              uint64 `json:"over_quota"`  // throttled before reaching the policy: group over its quota
+	UnreadConnsClosed      uint64 `json:"unread"`      // client connections closed since the client did not read
 
 	Attempts       uint64 `json:"executions"`
-	AttemptsWaited uint64 `json:"starved"` // of these, that waited for a descriptor
+	AttemptsWaited uint64 `json:"starved"` // attempts that waited for a descriptor
 	Probes         uint64 `json:"probes"`
 	Dials          uint64 `json:"dials"` // of backend connections
 	Watches        uint64 `json:"watches"`
-	ListsApplied   uint64 `json:"lists"`       // objects of discovery that were applied
+	ListsApplied   uint64 `json:"lists"`       // lists and deltas from discovery that were applied
 	WatchesFailed  uint64 `json:"list_failed"` // watches that failed
-	ConfigReloads  uint64 `json:"reloads"`     // configurations applied while running
+	ConfigReloads  uint64 `json:"reloads"`     // configurations applied at run time
 
 	ConfigReloadsFailed uint64 `json:"reload_failed"` // configurations that could not be read or were invalid
 	Panics              uint64 `json:"panics"`
 
 	Stalls uint64 `json:"stalls"` // of the event loop, for 30 ms or longer
 
-	Descriptors     int     `json:"descriptors"` // used by connections now
-	MaxTimerDelayMS float64 `json:"late_ms"`     // the longest of all timers
+	Descriptors     int     `json:"descriptors"` // in use by connections
+	MaxTimerDelayMS float64 `json:"late_ms"`     // longest delay of any timer
 
-	FaultHits []faultinjection.HitCount `json:"hazelwheel_drill_hits,omitempty"` // requests that each injected fault has touched
+	FaultHits []faultinjection.HitCount `json:"hazelwheel_drill_hits,omitempty"` // requests affected by each injected fault
 
 	Capture *capture.Stats `json:"capture,omitempty"`
 	Quotas  *QuotaCounters `json:"quotas,omitempty"`
@@ -74,18 +74,18 @@
 	attemptOutcomes, probeOutcomes outcomes
 }
 
-// requestEnd is how a request ended.
+// requestEnd says how a request ended.
 type requestEnd uint8
 
 const (
 	served    requestEnd = iota // with a server's response
-	throttled                   // rejected
+	throttled                   // rejected without having run
 	failed                      // without a server's response
-	overdue                     // failed since the policy was late
-	abandoned                   // the client closed
+	overdue                     // the policy had not ended it by its deadline
+	abandoned                   // the client disconnected
 )
 
-// classCounts counts the requests of one class; those that are overdue count as failed.
+// classCounts counts the requests of one class by how they ended; overdue ones count as failed.
 type classCounts struct {
 	Class     string `json:"class"`
 	Served    uint64 `json:"served"`
@@ -94,7 +94,7 @@
 	Abandoned uint64 `json:"abandoned"`
 }
 
-// countRequestEnd counts a request's end. Nothing else does.
+// countRequestEnd counts the end of a request. No other code changes these counters.
 func (c *counters) countRequestEnd(class int, end requestEnd) {
 	byClass := &c.Classes[class]
 	switch end {
--- a/internal/sidecar/counters_form_test.go
+++ b/internal/sidecar/counters_form_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Operators' tools read /counters: with every field set the response is that of the golden file.
+// Operators' tools read /counters, so with every field set the response must equal the golden file.
 func TestCountersForm(t *testing.T) {
 	c := counters{}
 	setFields(reflect.ValueOf(&c).Elem())
@@ -21,7 +21,7 @@
 	assert.Equal(t, string(raw), string(c.text()))
 }
 
-// setFields gives every exported field, and one element of every slice, a value that is not zero.
+// setFields sets v to a value that is not zero: in a struct every exported field, in a slice or map one element.
 func setFields(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -8,7 +8,7 @@
 	"hazelwheel/policy"
 )
 
-// noticeMalformedList logs that discovery has sent a malformed list, once for each error in a row.
+// noticeMalformedList logs that discovery has sent a malformed list, unless the previous list failed with the same error.
 func (s *Sidecar) noticeMalformedList(err error) {
 	if errors.Is(err, ErrStaleList) || err.Error() == s.discovery.lastListError {
 		return
@@ -17,7 +17,7 @@
 	s.log.Warn("discovery has sent a malformed list, the present one stays in use", "discovery", s.cfg.Discovery, "error", err)
 }
 
-// applyKnownList applies a list that is known from before, and reports it to the policy.
+// applyKnownList applies a list from the configuration or a saved state, and reports it to the policy.
 func (s *Sidecar) applyKnownList(raw []byte) error {
 	infos, err := s.endpoints.ApplyCached(raw, s.now())
 	if err != nil {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// applyListObject applies one object of discovery, and reports it to the policy.
+// applyListObject applies a list or delta sent by discovery, and reports it to the policy.
 func (s *Sidecar) applyListObject(raw []byte) error {
 	snapshot, infos, err := s.endpoints.Apply(raw, s.now())
 	if err != nil {
--- a/internal/sidecar/faults.go
+++ b/internal/sidecar/faults.go
@@ -2,14 +2,14 @@
 
 import "hazelwheel/internal/faultinjection"
 
-// maxDelayFraction bounds the part of a request's time that an injected fault may take. Danger: a policy that gets a request just before
-// its deadline can only fail it, and the exercise would show a failure of its own making.
+// maxDelayFraction bounds the delay of an injected fault, as a fraction of the request's remaining time. If the policy received a request
+// just before its deadline, it could only fail it, and the drill would show a failure that it caused itself.
 const maxDelayFraction = 0.8
 
-// IsFaultInjectionArmed reports whether faults can be started.
+// IsFaultInjectionArmed reports whether the configuration allows operators to start faults.
 func (s *Sidecar) IsFaultInjectionArmed() bool { return s.faults.IsArmed() }
 
-// StartFault starts a fault for an operator, with the error of faultinjection.Injector.Start. Danger: the secret must not reach the log.
+// StartFault starts a fault on behalf of an operator. It returns the error of faultinjection.Injector.Start. The secret must not be logged.
 func (s *Sidecar) StartFault(secret []byte, name string) (faultinjection.Fault, error) {
 	fault, err := s.faults.Start(s.now(), secret, name)
 	if err != nil {
@@ -23,18 +23,18 @@
 	return fault, nil
 }
 
-// FaultRunner runs faults that were started at another sidecar of the fleet.
+// FaultRunner runs faults that were started on another sidecar of the fleet.
 type FaultRunner interface {
-	// RunRemoteFault runs a fault for what is left of it. The signature proves that the secret was checked where it was started.
+	// RunRemoteFault runs a fault for its remaining time. The signature proves that the secret was checked where the fault was started.
 	RunRemoteFault(name string, id uint64, signature []byte, remainingSeconds float64) error
 }
 
-// FaultObserver is notified of faults that operators have started at this sidecar. sign returns a fault's signature for an ID.
+// FaultObserver is notified of faults that operators have started on this sidecar. sign returns the fault's signature for an ID.
 type FaultObserver interface {
 	FaultStarted(name string, durationSeconds float64, sign func(id uint64) []byte)
 }
 
-// SetFaultObserver sets the observer. It comes before Start.
+// SetFaultObserver sets the observer. It must be called before Start.
 func (s *Sidecar) SetFaultObserver(observer FaultObserver) { s.fleet.faultObserver = observer }
 
 // RunRemoteFault implements FaultRunner.
@@ -47,16 +47,16 @@
 	return nil
 }
 
-// faultDelaySeconds returns for how long a fault delays a request that has so many seconds left: the fault's delay, but at most
-// maxDelayFraction of them.
+// faultDelaySeconds returns how long a fault delays a request with the given remaining time: the fault's delay, but at most
+// maxDelayFraction of that time.
 func faultDelaySeconds(fault *faultinjection.Fault, remainingSeconds float64) float64 {
 	return min(fault.DelayMS/1000, maxDelayFraction*remainingSeconds)
 }
 
-// applyFault reports whether a fault applies to a request; then submit is called when its delay is over, or the request is aborted. Until
-// then the request is open like any other: its client may close, and its deadline holds. Danger: what is left of its time looks like that
-// of a client's late retry, and one whose latency target has passed since its first attempt is rejected; so the policy is given how long it
-// was delayed.
+// applyFault reports whether a fault applies to a request. If so, it calls submit or aborts the request when the fault's delay is over.
+// Until then the request is open like any other: its client may disconnect, and its deadline applies. With its shortened remaining time the
+// request looks like a client's late retry, which the policy rejects if the latency target has passed; so submit passes on how long the
+// request was delayed.
 func (s *Sidecar) applyFault(r *request, class int, submit func(heldSeconds float64)) bool {
 	now := s.now()
 	fault := s.faults.Match(now, s.cfg.Settings.Policy.Classes[class].Name)
@@ -67,7 +67,7 @@
 	r.faultTimer = s.timers.schedule(now+faultDelaySeconds(fault, r.deadline-now), func() {
 		switch {
 		case r.isAnswered:
-		case fault.Abort == "503": // nothing has run, which is what a throttle says
+		case fault.Abort == "503": // the request has not run, as a throttled response says
 			s.answerRequest(r, throttled, func() { r.responder.Throttle(s.cfg.Settings.Policy.MaxRetryAfterSeconds) })
 		default:
 			submit(s.now() - now)
--- a/internal/sidecar/fitness.go
+++ b/internal/sidecar/fitness.go
@@ -2,27 +2,28 @@
 
 import "hazelwheel/policy"
 
-// A sidecar that is impaired itself takes no roles of the fleet.
+// A sidecar that is itself impaired takes no roles in its fleet.
 const (
 	fitnessWindowSeconds = 5.0
-	// maxStalledFraction is the fraction of a window for which the loop may have stalled.
+	// maxStalledFraction is the fraction of a window for which the event loop may stall.
 	maxStalledFraction = 0.3
-	// unresponsiveSeconds without any server's response, with at least minUnansweredAttempts attempts, mean that the sidecar is cut off.
+	// A sidecar counts as cut off if at least minUnansweredAttempts attempts have failed and no server has responded for
+	// unresponsiveSeconds.
 	unresponsiveSeconds   = 3.0
 	minUnansweredAttempts = 5
 )
 
-// fitness is what CanTakeRoles goes by.
+// fitness is the state that CanTakeRoles evaluates.
 type fitness struct {
 	stalledSeconds                    float64 // sum of all stalls since the start
-	windowStart, stalledAtWindowStart float64 // start of the present window, and stalledSeconds then
+	windowStart, stalledAtWindowStart float64 // start of the current window, and stalledSeconds at that time
 	unfitUntil                        float64
-	responses                         uint64  // attempts with a server's response at the last call
-	lastResponseAt                    float64 // when responses last grew
-	failuresAtResponse                uint64  // attempts without a response then
+	responses                         uint64  // number of attempts with a server's response, as of the last call
+	lastResponseAt                    float64 // when responses last increased
+	failuresAtResponse                uint64  // number of attempts without a response at lastResponseAt
 }
 
-// CanTakeRoles implements RoleHost. The reason is for operators; each call evaluates anew.
+// CanTakeRoles implements RoleHost. The reason is shown to operators. Each call updates the window and counts that it evaluates.
 func (s *Sidecar) CanTakeRoles() (ok bool, reason string) {
 	f, now := &s.fitness, s.net.Now()
 	if now-f.windowStart >= fitnessWindowSeconds || f.stalledSeconds-f.stalledAtWindowStart > maxStalledFraction*fitnessWindowSeconds {
@@ -48,7 +49,7 @@
 	return true, ""
 }
 
-// hasNoUsableServer reports whether servers are listed and the policy avoids all of them.
+// hasNoUsableServer reports whether servers are listed but none of them is ready and accepted by the policy.
 func (s *Sidecar) hasNoUsableServer(now float64) bool {
 	isAvoided, isAnyListed := s.balancer.Ejected(now), false
 	for h := range s.endpoints.Listed {
--- a/internal/sidecar/fitness_test.go
+++ b/internal/sidecar/fitness_test.go
@@ -8,7 +8,7 @@
 	"hazelwheel/policy"
 )
 
-// tickingLoop is a fakeLoop whose clock is moved by hand.
+// tickingLoop is a fakeLoop whose clock the test advances.
 type tickingLoop struct {
 	fakeLoop
 	at *float64
@@ -16,7 +16,7 @@
 
 func (n tickingLoop) Now() float64 { return *n.at }
 
-// A sidecar that stalls for a third of its time, that no server answers or that is drained takes no roles; that passes.
+// A sidecar takes no roles while it stalls for more than maxStalledFraction of the time, no server responds, or it is drained.
 func TestCanTakeRoles(t *testing.T) {
 	s, now := newTestSidecar(t), testNow
 	s.net = tickingLoop{at: &now}
@@ -30,10 +30,10 @@
 	outcomes := &s.counters.attemptOutcomes
 	respond := func() { outcomes.count(policy.OK) }
 	assert.Empty(t, evaluate(20, respond))
-	assert.Empty(t, evaluate(20, func() { respond(); s.fitness.stalledSeconds += 0.2 }), "now and then is no harm")
+	assert.Empty(t, evaluate(20, func() { respond(); s.fitness.stalledSeconds += 0.2 }), "short stalls are tolerated")
 	assert.Equal(t, "starved of its core", evaluate(6, func() { respond(); s.fitness.stalledSeconds += 0.5 }))
 	assert.Empty(t, evaluate(20, respond))
-	assert.Empty(t, evaluate(20, func() {}), "nothing to do")
+	assert.Empty(t, evaluate(20, func() {}), "there are no requests")
 	assert.Equal(t, "cut off from boxes", evaluate(8, func() { outcomes.count(policy.ConnectFailed) }))
 	assert.Empty(t, evaluate(2, respond))
 	assert.Empty(t, evaluate(20, func() { respond(); outcomes.count(policy.TimedOut) }), "some servers do not respond")
@@ -43,7 +43,7 @@
 	assert.Empty(t, evaluate(2, respond))
 }
 
-// Stats are returned once, and recording them does not allocate.
+// RequestStats counts each request once, and recording a request does not allocate.
 func TestRequestStats(t *testing.T) {
 	s := newTestSidecar(t)
 	assert.Nil(t, s.RequestStats())
--- a/internal/sidecar/frontend.go
+++ b/internal/sidecar/frontend.go
@@ -5,70 +5,74 @@
 	"hazelwheel/policy"
 )
 
-// Frontend is one protocol that clients and servers speak. The core knows nothing else of it.
+// Frontend implements one protocol that clients and servers speak. This package has no other knowledge of protocols.
 type Frontend interface {
 	// ListenAddress returns the host and port that clients connect to.
 	ListenAddress() string
-	// BackendAddress returns the address at which a server speaks the protocol, from the one that is listed. It is called for each dial.
+	// BackendAddress returns the address at which a server speaks this protocol, given its listed address. It is called for each dial.
 	BackendAddress(listed string) string
-	// NewClient returns the protocol's part of a client connection that has been accepted.
+	// NewClient returns the codec for a new client connection.
 	NewClient() ClientCodec
 	// NewProbe returns a probe in this protocol, nil if another frontend's probes are used.
 	NewProbe() Exchange
 }
 
-// ClientCodec is the protocol's part of a client connection. It embeds a ClientConn, whose methods submit and answer what it reads.
+// ClientCodec is the protocol-specific part of a client connection. It embeds a ClientConn, through which it submits requests and writes
+// responses.
 type ClientCodec interface {
 	Responder
 	// Base returns the embedded ClientConn.
 	Base() *ClientConn
-	// ReadRequest reads received data and reports whether a message is ready to be handled: it is complete, or as much of it has arrived as
-	// is buffered and the rest is forwarded as it arrives. After an error nothing more can be read.
+	// ReadRequest reads received data and reports whether a message is ready to be handled: it is complete, or it is larger than the buffer
+	// limit and the rest will be forwarded as it arrives. After an error nothing more can be read.
 	ReadRequest(buf *buffer.Buffer) (ready bool, err error)
-	// HandleRequest answers the message that ReadRequest has reported, or submits it by ClientConn.Submit, and drops it if it is complete.
+	// HandleRequest answers the message that ReadRequest has reported, or submits it with ClientConn.Submit. A complete message is then
+	// released.
 	HandleRequest()
 	// ReadBody reads more of the body of a message that was submitted before it was complete.
 	ReadBody(buf *buffer.Buffer) error
 	// RejectMalformed answers a message that can't be read, with the error of ReadRequest or ErrRequestTimeout, as the last on its
 	// connection.
 	RejectMalformed(err error)
-	// PartialRequest returns how many bytes of an incomplete message are held beside the unread ones, and whether there is one.
+	// PartialRequest reports whether a message has partly arrived, and how many of its bytes the codec holds, not counting those in the
+	// input buffer.
 	PartialRequest() (held int, begun bool)
 }
 
-// Responder writes a request's response to its client, in the client's protocol. Each request gets one call, unless its client has closed.
+// Responder writes a request's response to its client, in the client's protocol. For each request, exactly one method is called
+// once, unless the client has disconnected.
 type Responder interface {
 	// ForwardResponse writes a server's response.
 	ForwardResponse(x Exchange)
-	// Throttle rejects the request: nothing has run, and a retry is best made after the given time.
+	// Throttle rejects the request: it has not run, and may be retried after the given time.
 	Throttle(retryAfterSeconds float64)
-	// Fail reports that there is no response and that the request may have run; late says that its deadline has passed.
+	// Fail reports that there is no server response and that the request may have run; late says that its deadline has passed.
 	Fail(late bool)
 }
 
-// Call is what a request asks for, in its protocol.
+// Call is the protocol-specific content of a request.
 type Call interface {
-	// NewExchange returns the protocol's side of a new attempt.
+	// NewExchange returns the Exchange of a new attempt.
 	NewExchange() Exchange
 }
 
-// Exchange is the protocol's side of one attempt: it writes the request to a backend connection and reads the response.
+// Exchange is the protocol-specific part of one attempt: it encodes the request and reads the response.
 type Exchange interface {
-	// AppendRequest appends the request's head, and as much of its body as is sent at once. The server is told the deadline.
+	// AppendRequest appends the request's head, which tells the server the deadline, and the part of its body that is sent immediately.
 	AppendRequest(dst []byte, now, deadline float64) []byte
-	// AppendBody appends the next part of the body, about maxBytes at most; nothing if no more has arrived.
+	// AppendBody appends the next part of the body, at most about maxBytes, or nothing if no more has arrived.
 	AppendBody(dst []byte, maxBytes int) []byte
-	// IsRequestAppended reports whether the request was appended completely.
+	// IsRequestAppended reports whether all of the request was appended.
 	IsRequestAppended() bool
 	// ReadResponse reads received data and reports whether the response is complete. After an error nothing more can be read.
 	ReadResponse(buf *buffer.Buffer) (bool, error)
-	// HasResponseBegun reports whether any of the response has arrived.
+	// HasResponseBegun reports whether any part of the response has arrived.
 	HasResponseBegun() bool
-	// IsOneWay reports whether there is no response: the attempt ends when its request is written.
+	// IsOneWay reports whether the request has no response, so that the attempt ends when the request is written.
 	IsOneWay() bool
 	// HandleEOF handles the end of the connection and reports whether that completes the response.
 	HandleEOF() bool
-	// Result returns what a complete response means, its load report, and whether the connection can be kept.
+	// Result returns the outcome and load report of a complete response, and whether the connection can be kept.
 	Result() (outcome policy.Outcome, report policy.Report, keep bool)
 }
 
@@ -79,11 +83,11 @@
 	ExceedsBuffer() bool
 }
 
-// StreamResponder is a Responder that can forward a response in parts: one ForwardHead and any number of ForwardBody take the place of
-// ForwardResponse.
+// StreamResponder is implemented by a Responder that can forward a response in parts: one call of ForwardHead and any number of calls of
+// ForwardBody replace ForwardResponse.
 type StreamResponder interface {
-	// ForwardHead writes a response's head, and what has arrived of its body.
+	// ForwardHead writes the head of a response, and the part of its body that has arrived.
 	ForwardHead(x Exchange)
-	// ForwardBody writes what has arrived since; last says that it is the end.
+	// ForwardBody writes what has arrived of the body since the last call; last marks the end of the response.
 	ForwardBody(x Exchange, last bool)
 }
--- a/internal/sidecar/health.go
+++ b/internal/sidecar/health.go
@@ -6,10 +6,10 @@
 	"hazelwheel/internal/health"
 )
 
-// heartbeatIntervalSeconds is the time between two heartbeats of the event loop.
+// heartbeatIntervalSeconds is the interval at which the event loop publishes its state to the health port.
 const heartbeatIntervalSeconds = 0.1
 
-// publishHealth publishes the loop's state to the health port, periodically. Danger: the port must respond while the loop stalls, so it
+// publishHealth periodically publishes the loop's state to the health port, which must respond even while the loop stalls and therefore
 // never calls the loop.
 func (s *Sidecar) publishHealth() {
 	now := s.now()
@@ -24,7 +24,7 @@
 	s.timers.schedule(now+heartbeatIntervalSeconds, s.publishHealth)
 }
 
-// ListenHealth opens the health port on the host of the listen address, if there is one.
+// ListenHealth opens the health port on the host of the listen address, if the health port is enabled.
 func (s *Sidecar) ListenHealth() error {
 	if s.healthServer == nil {
 		return nil
--- a/internal/sidecar/hotrestart.go
+++ b/internal/sidecar/hotrestart.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// saveIntervalSeconds is the time between two saved states. A state that takes long to make is saved less often: the time to the next
-	// is at least saveIntervalFactor times the time that it took.
+	// saveIntervalSeconds is the time between two saves of the state. A state that takes long to encode is saved less often: the next save
+	// comes after at least saveIntervalFactor times the duration of the last.
 	saveIntervalSeconds = 0.5
 	saveIntervalFactor  = 200
 	// maxCheckpointBytes bounds the policy's part of a state.
 	maxCheckpointBytes = 8 << 20
-	// maxStateAgeSeconds bounds the age of a state that is restored.
+	// maxStateAgeSeconds is the age beyond which a state is not restored.
 	maxStateAgeSeconds = 30
 )
 
-// restartState is what a hot restart needs beside the state that it hands over.
+// restartState holds what saving state for a hot restart needs.
 type restartState struct {
 	store        StateStore
-	settingsHash string // empty until it was asked for
+	settingsHash string // computed on first use
 }
 
-// StateStore keeps what the next process needs.
+// StateStore stores the state and the operators' commands for the process that replaces this one.
 type StateStore interface {
 	// Cordon, Uncordon and SetDrained store an operator's command before it is acknowledged.
 	Cordon(server string) error
 	Uncordon(server string) error
 	SetDrained(on bool) error
-	// OperatorState returns the commands in effect, of this process and of those that serve beside it.
+	// OperatorState returns the commands in effect, which may have been given to this process or to another that shares the store.
 	OperatorState() (cordoned []string, drained bool, err error)
-	// Save takes a state over and returns at once.
+	// Save stores a state in the background and returns at once. The caller must not use the state afterwards.
 	Save(s hotrestart.State)
 }
 
@@ -53,19 +53,20 @@
 
 func (noStateStore) Save(hotrestart.State) {}
 
-// SetStateStore makes the sidecar save its state and operators' commands, and obey the stored commands. It comes before Start.
+// SetStateStore makes the sidecar save its state and operators' commands, and apply the stored commands. It must be
+// called before Start.
 func (s *Sidecar) SetStateStore(store StateStore) {
 	s.restart.store = store
 	s.descriptors.reserved += hotrestart.Descriptors
 }
 
-// errSettingsChanged rejects a state that was made under other settings.
+// errSettingsChanged is returned for a state that was saved under other settings.
 var errSettingsChanged = errors.New("the saved state was made under other settings")
 
-// errStateExpired rejects a state that is too old.
+// errStateExpired is returned for a state older than maxStateAgeSeconds.
 var errStateExpired = errors.New("the saved state is too old")
 
-// settingsHash identifies the settings, which never change while the process runs.
+// settingsHash returns a hash of the settings, which never change while the process runs.
 func (s *Sidecar) settingsHash() string {
 	if s.restart.settingsHash == "" {
 		raw, err := json.Marshal(s.cfg.Settings)
@@ -78,7 +79,8 @@
 	return s.restart.settingsHash
 }
 
-// RestartState returns what the next process starts with; false: it is too large. It is for the event loop, between events.
+// RestartState returns the state that the next process starts with, or false if it is too large. It must be called on the event loop while
+// no event is being handled.
 func (s *Sidecar) RestartState() (state hotrestart.State, ok bool) {
 	state = hotrestart.State{
 		UnixSeconds:  s.now(),
@@ -100,7 +102,7 @@
 	s.timers.schedule(s.now()+max(saveIntervalSeconds, saveIntervalFactor*(s.net.Now()-startedAt)), s.saveRestartState)
 }
 
-// RestoreState continues from another process's state, or leaves everything as it is and returns why. It comes before Start.
+// RestoreState continues from another process's state. On an error nothing is changed. It must be called before Start.
 func (s *Sidecar) RestoreState(state hotrestart.State) error {
 	now := s.now()
 	switch {
@@ -113,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	previousEvents := s.turn.events // of the list in the configuration, which is older
+	previousEvents := s.turn.events // they report the list in the configuration, which is older
 	s.turn.events = nil
 	if err := s.applyKnownList(state.EndpointList); err != nil {
 		s.turn.events = previousEvents
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// ReconcileOperatorState applies the stored commands of operators, which may have been given to another process.
+// ReconcileOperatorState applies the operators' commands in the store, which may have been given to another process.
 func (s *Sidecar) ReconcileOperatorState() {
 	cordoned, drained, err := s.restart.store.OperatorState()
 	if err != nil {
@@ -136,7 +138,7 @@
 		if info, err := s.endpoints.Cordon(name, s.now()); err == nil {
 			infos = append(infos, info)
 		} else {
-			s.endpoints.CordonName(name, s.now()) // it takes effect when the list names the server
+			s.endpoints.CordonName(name, s.now()) // takes effect once the server is listed
 		}
 	}
 	for _, name := range s.endpoints.Cordoned() {
@@ -154,5 +156,5 @@
 	}
 }
 
-// MarkReplaced notes that another process accepts connections in this one's place: the shutdown need not wait for newcomers.
+// MarkReplaced records that another process accepts connections in place of this one, so that the shutdown stops listening at once.
 func (s *Sidecar) MarkReplaced() { s.lifecycle.isReplaced = true }
--- a/internal/sidecar/idleconns.go
+++ b/internal/sidecar/idleconns.go
@@ -7,7 +7,7 @@
 	"hazelwheel/internal/endpointset"
 )
 
-// closeIdleConns closes the idle connections to a server. Danger: each close shortens the list.
+// closeIdleConns closes the idle connections to a server. Each close removes the connection from the slice.
 func (s *Sidecar) closeIdleConns(serverID uint32) {
 	for len(s.backends.idle[serverID]) > 0 {
 		s.backends.idle[serverID][0].close()
@@ -15,17 +15,17 @@
 }
 
 const (
-	// reuseDelaySeconds is how long after a response more bytes, or the end of the connection, are likely to follow.
+	// reuseDelaySeconds is how long after a response the server is likely to send surplus bytes or close the connection.
 	reuseDelaySeconds = 0.002
-	// extendedReuseDelaySeconds replaces it for reuseExtensionSeconds after a server has sent bytes behind a response.
+	// extendedReuseDelaySeconds replaces reuseDelaySeconds for reuseExtensionSeconds after any server has sent bytes after a response.
 	extendedReuseDelaySeconds = 0.05
 	reuseExtensionSeconds     = 60.0
 )
 
-// reuseDelay is how long a connection stays idle before it is used again while others can be had.
+// reuseDelay determines how long a connection stays idle before it is reused, unless no other connection is available.
 type reuseDelay struct{ extendedUntil float64 }
 
-// seconds returns the delay that holds at a time.
+// seconds returns the delay at the given time.
 func (d *reuseDelay) seconds(now float64) float64 {
 	if now < d.extendedUntil {
 		return extendedReuseDelaySeconds
@@ -33,14 +33,14 @@
 	return reuseDelaySeconds
 }
 
-// extend notes that a server has sent bytes behind its response. Danger: a second copy of a response that arrives on a connection in use
-// would be taken for the response to its next request.
+// extend lengthens the delay after a server has sent bytes after its response. If the server sends a response twice and the connection is
+// in use again, the second copy would be taken for the response to the next request.
 func (d *reuseDelay) extend(now float64) { d.extendedUntil = now + reuseExtensionSeconds }
 
-// takeIdleConn returns the idle connection to a server that was used last and removes it from the pool, nil if there is none. The newest is
-// the least likely to have been closed by its server, and the others can grow old and be closed. Danger: bytes that a server sends a moment
-// after a response would be taken for the response to the next request; a connection within the reuse delay is taken only if no new one can
-// be opened.
+// takeIdleConn removes the most recently used idle connection to a server from the pool and returns it, nil if there is none. That one is
+// the least likely to have been closed by its server, and the others reach their idle timeout. Bytes that a server sends shortly after a
+// response would be taken for the response to the next request; so a connection within the reuse delay is taken only if no new one can be
+// opened.
 func (s *Sidecar) takeIdleConn(endpoint *endpointset.Host, frontend Frontend) *backendConn {
 	for {
 		idle := s.backends.idle[endpoint.ID]
@@ -57,13 +57,12 @@
 		if b.idleSince > idleBefore && s.hasDescriptors(dialDescriptors+s.reservedClientSlots()) {
 			return nil
 		}
-		// Danger: a request written to a connection that its server has closed is lost; one written behind unread bytes would be answered
-		// with them.
+		// A request written to a connection that the server has closed is lost, and unread bytes would be taken for its response.
 		if b.address == endpoint.Address && s.net.NothingToRead(b.conn) {
 			b.removeFromIdle()
 			return b
 		}
-		b.close() // the server has another address now, or the connection is of no more use
+		b.close() // the server's address has changed, or the connection is closed or has unread bytes
 	}
 }
 
@@ -76,11 +75,12 @@
 	b.sidecar.timers.stop(b.idleTimer)
 }
 
-// makeIdle adds a connection to the pool. Danger: a request that is written after its server has closed is lost, and one that must not run
-// twice with it. Connections are closed well before the server's idle time-out.
+// makeIdle adds a connection to the pool, or gives it to a waiting attempt. A request that is written after the server has closed the
+// connection is lost, and can't be retried if it must not run twice. So connections are closed well before the server's idle timeout.
 func (b *backendConn) makeIdle() { b.makeIdleFrom(b.sidecar.now()) }
 
-// makeIdleFrom is makeIdle for a connection whose server may be at work until a time: it is used before that only if no other can be had.
+// makeIdleFrom is makeIdle for a connection whose server may be busy until the given time. Before that it is reused only if no other
+// connection is available.
 func (b *backendConn) makeIdleFrom(at float64) {
 	b.attempt, b.idleSince = nil, at
 	b.input.ReleaseMemory()
@@ -93,7 +93,7 @@
 	}
 }
 
-// isIdleLongerThan reports whether a connection has been idle for longer than another.
+// isIdleLongerThan reports whether a connection has been idle for longer than another; ties go to the lower server ID.
 func (b *backendConn) isIdleLongerThan(other *backendConn) bool {
 	return cmp.Or(cmp.Compare(b.idleSince, other.idleSince), cmp.Compare(b.serverID, other.serverID)) < 0
 }
--- a/internal/sidecar/idleconns_test.go
+++ b/internal/sidecar/idleconns_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// After a server has sent more behind a response, connections stay idle for longer, for a while.
+// After a server has sent bytes after a response, the reuse delay is longer for reuseExtensionSeconds.
 func TestReuseDelayIsExtended(t *testing.T) {
 	var s reuseDelay
 	assert.Equal(t, reuseDelaySeconds, s.seconds(100))
--- a/internal/sidecar/lifecycle.go
+++ b/internal/sidecar/lifecycle.go
@@ -1,15 +1,15 @@
 package sidecar
 
-// lifecycle is how far a process is on its way to its end.
+// lifecycle tracks drain and shutdown of the process.
 type lifecycle struct {
-	isDrained         bool    // by operators, until they undo it
+	isDrained         bool    // by an operator, until an operator undoes it
 	isShuttingDown    bool    // graceful shutdown has started
 	shutdownStartedAt float64 // valid if isShuttingDown
-	isReplaced        bool    // another process accepts connections in this one's place
+	isReplaced        bool    // another process accepts connections in place of this one
 	isStopping        bool    // the event loop is being stopped
 }
 
-// startShutdown marks the start of the graceful shutdown, and reports whether that is new.
+// startShutdown marks the start of the graceful shutdown, and reports whether it had not started before.
 func (l *lifecycle) startShutdown(now float64) bool {
 	if l.isShuttingDown {
 		return false
--- a/internal/sidecar/listrelay.go
+++ b/internal/sidecar/listrelay.go
@@ -7,8 +7,9 @@
 	"hazelwheel/policy"
 )
 
-// A fleet can relay what discovery sends, so that few sidecars watch it. Relayed objects are applied like discovery's; to the policy a
-// watch is up while the relay confirms the list, and has failed when it no longer does.
+// A fleet can relay lists and deltas from discovery, so that only a few sidecars keep a watch of their own. Relayed objects are applied
+// like those of a watch. The policy is told that a watch is up while the relay confirms the list, and that it has failed when the relay
+// stops.
 
 // ListVersion identifies an endpoint list. Each discovery service has its own sequence of indices.
 type ListVersion struct {
@@ -17,31 +18,32 @@
 	Checksum         uint64 // equal for equal lists
 }
 
-// ListReceiver is how a fleet that relays lists updates the sidecar. The methods are for the event loop.
+// ListReceiver is the interface through which a fleet passes relayed lists to the sidecar. The methods must be called on the event loop.
 type ListReceiver interface {
 	// DiscoveryAddress returns the address of the sidecar's discovery service.
 	DiscoveryAddress() string
-	// ListVersion returns the version of the present list; false: there is none.
+	// ListVersion returns the version of the present list, or false if there is no list.
 	ListVersion() (ListVersion, bool)
 	// CompleteList returns the present list in discovery's format.
 	CompleteList() []byte
-	// ApplyList applies one object of discovery. One with a lower index than the present list's is rejected with ErrStaleList. After one
-	// that was applied ConfirmList or InvalidateList follows: to the policy it is a sign that a watch is up.
+	// ApplyList applies a list or delta from discovery. One with a lower index than the present list is rejected with ErrStaleList. The
+	// policy takes an applied object as a sign that a watch is up, so the caller must then call ConfirmList or InvalidateList.
 	ApplyList(raw []byte) error
-	// ConfirmList says that the present list was discovery's a moment ago: a watch is not needed, and is closed unless SetDirectWatch keeps
-	// it. ExpireList says that it has not been so for too long.
+	// ConfirmList says that the present list is up to date. A watch is then not needed, and is closed unless SetDirectWatch keeps it.
 	ConfirmList()
+	// ExpireList says that the present list has not been confirmed for too long.
 	ExpireList()
-	// SetDirectWatch sets whether the sidecar keeps a watch of its own whatever is relayed.
+	// SetDirectWatch sets whether the sidecar keeps a watch of its own in addition to the relay.
 	SetDirectWatch(on bool)
-	// InvalidateList discards the list's version and starts a watch for the complete list: what was relayed is not what discovery sends.
+	// InvalidateList discards the list's version and requests the complete list by a watch. It is called if a relayed list turns out to
+	// differ from discovery's.
 	InvalidateList()
 }
 
-// ListObserver is notified of what the sidecar's own watch receives, on the event loop.
+// ListObserver is notified on the event loop of what the sidecar's own watch receives.
 type ListObserver interface {
-	// ListRead reports an object, after it was applied to the list of index before; held is false if there was no list. raw must not be
-	// kept; nil means that the list is unchanged.
+	// ListRead reports an object after it was applied; before is the index of the list that it was applied to, and held is false if there
+	// was no list. raw must not be retained; nil means that the list is unchanged.
 	ListRead(before uint64, held bool, raw []byte)
 	// WatchEnded reports the end of a watch that was up.
 	WatchEnded()
@@ -52,14 +54,14 @@
 // listRelay is the sidecar's side of a relay.
 type listRelay struct {
 	observer       ListObserver // nil: there is no relay
-	isActive       bool         // it confirms the list in place of a watch
-	hasDirectWatch bool         // a watch is kept beside it
+	isActive       bool         // the relay confirms the list in place of a watch
+	hasDirectWatch bool         // a watch is kept in addition to the relay
 }
 
-// SetListObserver sets the observer. It comes before Start.
+// SetListObserver sets the observer. It must be called before Start.
 func (s *Sidecar) SetListObserver(observer ListObserver) { s.discovery.relay.observer = observer }
 
-// ErrStaleList rejects a list that is older than the present one.
+// ErrStaleList is returned for a list that is older than the present one.
 var ErrStaleList = errors.New("the list is older than the present one")
 
 // DiscoveryAddress implements ListReceiver.
@@ -124,7 +126,8 @@
 	})
 }
 
-// InvalidateList implements ListReceiver. Danger: all sidecars ask for the list that all received wrongly; the policy asks in turn.
+// InvalidateList implements ListReceiver. If a wrong list was relayed, all sidecars need the complete list at the same time; so the watch
+// is requested through the policy, which spreads the requests.
 func (s *Sidecar) InvalidateList() {
 	s.runCallback(func() {
 		if s.discovery.watcher != nil {
@@ -143,7 +146,7 @@
 	})
 }
 
-// restartDirectWatch starts a direct watch again after it has failed.
+// restartDirectWatch restarts a direct watch that has failed.
 func (s *Sidecar) restartDirectWatch() {
 	if s.discovery.relay.hasDirectWatch && s.discovery.watcher == nil && !s.lifecycle.isStopping {
 		s.startWatch()
--- a/internal/sidecar/loadreport.go
+++ b/internal/sidecar/loadreport.go
@@ -8,8 +8,8 @@
 	"hazelwheel/policy"
 )
 
-// ParseLoadReport parses a load report such as `inflight=7,util=0.61` for the fields that the settings name. A value that is absent or
-// malformed is NaN, which the policy ignores.
+// ParseLoadReport parses the given fields of a load report such as `inflight=7,util=0.61`. The report may use the
+// names of the settings or those on the wire. A value that is absent or malformed is NaN, which the policy ignores.
 func ParseLoadReport(names []string, text string) policy.Report {
 	var r policy.Report
 	if text == "" || len(names) == 0 {
@@ -34,6 +34,6 @@
 	return r
 }
 
-// LoadReportNames maps the settings' names of values to those on the wire.
+// LoadReportNames maps field names in the settings to those on the wire.
 var LoadReportNames = map[string]string{"busy_reqs": "inflight", "pending": "queue", "cpu_share": "util",
 	"svc_ms": "latency_ms", "served_ps": "qps", "failed_ps": "eps"}
--- a/internal/sidecar/loglimiter.go
+++ b/internal/sidecar/loglimiter.go
@@ -1,9 +1,9 @@
 package sidecar
 
-// logIntervalSeconds is the least time between two log lines with the same message.
+// logIntervalSeconds is the minimum time between two log lines with the same message.
 const logIntervalSeconds = 1.0
 
-// logLimiter bounds log lines about what happens many times a second, by message.
+// logLimiter limits the rate of log lines about frequent events, by message.
 type logLimiter map[string]*limitedLine
 
 type limitedLine struct {
@@ -11,8 +11,8 @@
 	suppressed int // occurrences since the last line
 }
 
-// warnLimited logs a message as a warning, at most once in logIntervalSeconds, with the number of occurrences since its last line. Danger:
-// a flood of requests must not flood the log.
+// warnLimited logs a warning at most once per logIntervalSeconds for each message, with the number of occurrences since its last line, so
+// that a flood of requests does not flood the log.
 func (s *Sidecar) warnLimited(text string) {
 	n, now := s.logLimiter[text], s.now()
 	if n == nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -7,31 +7,31 @@
 	"hazelwheel/policy"
 )
 
-// loopTurn is the state of the event loop: the callback that runs, its time, and the events that are to be handled before it ends.
+// loopTurn is the state of the running callback: its time, and the events to be handled before it returns.
 type loopTurn struct {
-	depth           int     // nesting of callbacks
+	depth           int     // nesting depth of callbacks
 	at              float64 // time of the outermost callback, or of the timer that fires
-	eventAt         float64 // time of the event that is handled
+	eventAt         float64 // time of the event being handled
 	events          []event // for the policy, in order
 	timersScheduled bool    // fireTimers was handed to the event loop and has not run
 }
 
-// event is one input of the policy, in order of occurrence. The two kinds that come with each request are kept as values: a closure for
-// each would be garbage.
+// event is one input of the policy. The two kinds that occur for each request are stored as values, since a closure for each would be
+// allocated on the heap.
 type event struct {
-	run          func(now float64) // all other kinds
-	request      *request          // a request that was submitted, with the policy's input
+	run          func(now float64) // any other kind of event
+	request      *request          // a submitted request, with the policy's input
 	input        policy.Request
-	endedAttempt *attempt // an attempt of a request, with its result
+	endedAttempt *attempt // an attempt that has ended, with its result
 	result       policy.Result
 }
 
-// pushEvent queues an event for the policy. It is handled before the present callback ends.
+// pushEvent queues an event for the policy. It is handled before the current callback returns.
 func (s *Sidecar) pushEvent(do func(now float64)) {
 	s.turn.events = append(s.turn.events, event{run: do})
 }
 
-// handleEvents hands the queued events to the policy, including those that are queued meanwhile.
+// handleEvents hands the queued events to the policy, including those that handling them adds.
 func (s *Sidecar) handleEvents() {
 	for i := 0; i < len(s.turn.events); i++ {
 		e := s.turn.events[i]
@@ -53,14 +53,14 @@
 		s.capture.RecordOutcome(now, e.result, r.label())
 		s.balancer.AttemptDone(now, e.result)
 		s.forgetRequest(r)
-	case !e.request.isAnswered: // its client may have closed since
+	case !e.request.isAnswered: // its client may have disconnected since
 		s.capture.RecordRequest(now, e.input, e.request.label())
 		s.balancer.StartRequest(now, e.input)
 	}
 }
 
-// Open implements netio.Handler: a connection that was dialed is handed to its handler, any other is a client's. It reports whether the
-// connection is kept.
+// Open implements netio.Handler: it passes a dialed connection to its handler, and accepts any other as a client connection. It reports
+// whether the connection is kept.
 func (s *Sidecar) Open(c netio.Conn) bool {
 	s.descriptors.open++
 	accepted := true
@@ -74,7 +74,7 @@
 	return accepted
 }
 
-// Traffic implements netio.Handler: it hands received bytes to the connection's handler.
+// Traffic implements netio.Handler: it passes received bytes to the connection's handler.
 func (s *Sidecar) Traffic(c netio.Conn, data []byte) {
 	if handler, ok := c.Context().(connHandler); ok {
 		s.runConnCallback(c, func() { handler.onData(data) })
@@ -105,7 +105,7 @@
 	onClose(err error)
 }
 
-// runConnCallback runs a callback of a connection. A panic in it closes the connection and is contained.
+// runConnCallback runs a callback of a connection. A panic in it is recovered and closes the connection.
 func (s *Sidecar) runConnCallback(c netio.Conn, f func()) {
 	s.runCallback(func() {
 		if s.recoverPanic(f) {
@@ -114,11 +114,11 @@
 	})
 }
 
-// Do runs f on the event loop and handles the events that follow. It may be called from any goroutine, and returns at once.
+// Do schedules f on the event loop, which also handles the events that f queues. It may be called from any goroutine and returns at once.
 func (s *Sidecar) Do(f func()) { s.net.Post(func() { s.runCallback(f) }) }
 
-// runCallback wraps every callback of the event loop. A panic is contained; the outermost callback handles the queued events and schedules
-// the timers that are due. The time stands still until it ends.
+// runCallback wraps every callback of the event loop and recovers panics. The outermost callback then handles the queued events and
+// schedules the timers that are due. Until it returns, now() does not change.
 func (s *Sidecar) runCallback(f func()) {
 	if s.turn.depth++; s.turn.depth > 1 {
 		s.recoverPanic(f)
@@ -138,7 +138,7 @@
 	s.timers.arm()
 }
 
-// now returns the time of the present callback, or of the timer that fires.
+// now returns the time of the current callback or timer.
 func (s *Sidecar) now() float64 {
 	if s.turn.depth == 0 {
 		return s.net.Now()
@@ -146,9 +146,9 @@
 	return s.turn.at
 }
 
-// fireTimers fires the timers that are due, in order of time. Danger: the response that an attempt waits for may be in its socket, unread
-// while the loop was busy or stalled; timed out, the attempt would count against a server that was in time. So the loop reads its
-// connections before this is called.
+// fireTimers fires the timers that are due, in order of time. While the loop was busy or stalled, a response may have arrived in its socket
+// unread. If its attempt were timed out first, that would count against a server that responded in time. So the loop reads all connections
+// before it calls this.
 func (s *Sidecar) fireTimers() {
 	s.runCallback(func() {
 		s.turn.timersScheduled = false
--- a/internal/sidecar/loopdelay.go
+++ b/internal/sidecar/loopdelay.go
@@ -3,31 +3,31 @@
 import "hazelwheel/internal/netio"
 
 const (
-	// sampleIntervalSeconds is the time between two samples of how long data lay in its socket. From lateThresholdSeconds on each request
-	// and each response is measured; the threshold is above the resolution of the system's timestamps.
+	// sampleIntervalSeconds is the interval at which the wait of received data in its socket is sampled. Once a sample reaches
+	// lateThresholdSeconds, which is above the resolution of the system's timestamps, each request and response is measured.
 	sampleIntervalSeconds = 0.001
 	lateThresholdSeconds  = 0.006
-	// stallThresholdSeconds is the delay of a callback that was due from which on the loop counts as stalled.
+	// stallThresholdSeconds is the delay of a due callback beyond which the loop counts as stalled.
 	stallThresholdSeconds = 0.03
-	// postStallSeconds is how long after a stall each request and each response is measured.
+	// postStallSeconds is how long after a stall each request and response is measured.
 	postStallSeconds = 0.1
 )
 
-// loopDelay measures the sidecar's own delay. Danger: a response is seen when the loop reads it. Under load that is later than its arrival
-// by more than many servers take; counted as the servers' latency it lowers their limits, and requests are rejected that idle servers would
-// have served.
+// loopDelay measures the delay that the sidecar itself adds. Under load, the loop may read a response later after its arrival than many
+// servers take to respond. If that delay counted as latency of the servers, their limits would fall, and requests would be rejected that
+// idle servers could have served.
 type loopDelay struct {
 	sampledAt        float64
-	lastWaitSeconds  float64 // the last sample
+	lastWaitSeconds  float64 // result of the last sample
 	lastCallbackAt   float64 // start of the last callback
 	lastStallEndedAt float64 // end of the last stall
 }
 
-// socketWait returns for how many seconds what a connection brings has lain in its socket, 0 while the loop keeps up.
+// socketWait returns for how many seconds the data of a connection was in its socket before it was read, 0 while the loop keeps up.
 func (s *Sidecar) socketWait(c netio.Conn) float64 {
 	d, now := &s.loopDelay, s.now()
-	// Danger: after a stall some data has just arrived and some has waited for all of it, so one sample says nothing about the next.
-	// Counted as new, a request would be forwarded whose client closed long ago.
+	// After a stall, some data has just arrived and some has waited for the whole stall, so one sample says nothing about the next. If an old
+	// request counted as new, it would be forwarded although its client may have closed long ago.
 	if d.lastWaitSeconds < lateThresholdSeconds && now-d.sampledAt < sampleIntervalSeconds && now-d.lastStallEndedAt > postStallSeconds {
 		return 0
 	}
@@ -38,7 +38,8 @@
 	return d.lastWaitSeconds
 }
 
-// detectStall reports a stall to the policy: the loop has not run since the last callback, or since the time of the alarm if that is later.
+// detectStall reports a stall of the event loop to the policy. The stall counts from the last callback, or from the time of the alarm if
+// that is later.
 func (s *Sidecar) detectStall(now float64) {
 	d := &s.loopDelay
 	due := max(d.lastCallbackAt, s.timers.alarmAt)
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -7,22 +7,22 @@
 	"hazelwheel/policy"
 )
 
-// A fleet can agree among its sidecars which servers are out of use for maintenance. To the policy such a server drains, as a cordoned one
-// does; what operators cordon or uncordon at a sidecar takes precedence.
+// The sidecars of a fleet can agree which servers are under maintenance and not used. The policy sees such a server as draining, like a
+// cordoned one. Servers that an operator cordons or uncordons at this sidecar take precedence.
 
-// MaintainedServers is how a fleet that coordinates maintenance reads and changes the use of servers. The methods are for the event loop;
-// SetUnderMaintenance may also come before Start.
+// MaintainedServers is the interface through which a fleet coordinates the maintenance of servers. The methods must be called on the event
+// loop; SetUnderMaintenance may also be called before Start.
 type MaintainedServers interface {
-	// SetUnderMaintenance takes exactly these servers out of use, in place of those before. A server that is no longer among them is used
-	// again as one that has just started, unless the list says when it did.
+	// SetUnderMaintenance replaces the set of servers that are not used. A server that leaves the set is treated as just started, unless
+	// the endpoint list gives its start time.
 	SetUnderMaintenance(names []string)
-	// Servers returns the status of each server that is listed or out, by name.
+	// Servers returns the status of each server that is listed, under maintenance, cordoned or has attempts in flight, sorted by name.
 	Servers() []ServerStatus
-	// RequestTotals returns how many requests have ended since the start, and how many of these without a server's response.
+	// RequestTotals returns how many requests have ended since the start, and how many of these were throttled or failed.
 	RequestTotals() (all, rejected uint64)
-	// IsListStale reports whether nothing has arrived from discovery for staleListSeconds.
+	// IsListStale reports whether no watch is up and nothing has arrived from discovery for staleListSeconds.
 	IsListStale() bool
-	// WarmUpSeconds returns how long a server warms up by the settings; 0: they do not say.
+	// WarmUpSeconds returns the warm-up time of a server in the settings, 0 if there is none.
 	WarmUpSeconds() float64
 }
 
@@ -33,46 +33,47 @@
 	Name, Zone, Type string
 	Weight           float64
 	IsListed         bool
-	IsDraining       bool // by the list
-	IsCordoned       bool // by an operator of this sidecar
-	IsKeptInUse      bool // it is under maintenance, and was uncordoned here: it is in use
+	IsDraining       bool // according to the list
+	IsCordoned       bool // by an operator at this sidecar
+	IsKeptInUse      bool // under maintenance, but in use since an operator has uncordoned it here
 	IsWarmingUp      bool
-	IsUnavailable    bool // avoided by the policy, or its connections break
-	InFlight         int  // attempts that may be running there
+	IsUnavailable    bool // avoided by the policy, or its connections keep breaking
+	InFlight         int  // attempts that may be running on the server
 	AttemptsEnded    uint64
-	IsBusy           bool // by its own last report, if that is recent
+	IsBusy           bool // according to its last load report, if that is recent
 }
 
 // maintenanceTracker records what ServerStatus needs.
 type maintenanceTracker struct {
-	inflightField     int               // index in load reports; negative: they do not hold it
-	maxAttemptSeconds float64           // for which an abandoned attempt may go on
+	inflightField     int               // index of the number of requests in flight in load reports; negative if it is absent
+	maxAttemptSeconds float64           // how long an abandoned attempt may keep running on its server
 	attemptsEnded     map[uint32]uint64 // by server
 	reports           map[uint32]inflightReport
-	abandonedAt       map[uint32][]float64 // times of abandoned attempts that may go on, the last ones, by server
+	abandonedAt       map[uint32][]float64 // when the latest attempts that may still run were abandoned, by server
 	brokenConns       map[uint32]brokenConnCount
 }
 
 type inflightReport struct{ at, inflight float64 }
 
-// brokenConnCount counts the attempts in a row whose connection broke before a response, with the time of the last.
+// brokenConnCount counts consecutive attempts whose connection broke before the response, with the time of the last.
 type brokenConnCount struct {
 	count  int
 	lastAt float64
 }
 
 const (
-	// reportValidSeconds is how long a server's load report counts.
+	// reportValidSeconds is how long a server's load report is valid.
 	reportValidSeconds = 3.0
-	// maxAbandonedAttempts bounds the abandoned attempts that are kept for a server.
+	// maxAbandonedAttempts bounds the abandoned attempts that are recorded for each server.
 	maxAbandonedAttempts = 64
-	// staleListSeconds is how long discovery, which sends a heartbeat every 2 s, may be silent.
+	// staleListSeconds is how long discovery may be silent before the list counts as stale. It sends a heartbeat every 2 s.
 	staleListSeconds = 8.0
-	// A server on which failingAfter attempts in a row broke is failing until it responds, or nothing was sent to it for failingSeconds.
+	// After failingAfter consecutive attempts whose connection broke, a server counts as failing until it responds, or until
+	// failingSeconds have passed since the last of them.
 	failingAfter, failingSeconds = 2, 30.0
 )
 
-// EnableMaintenance makes the sidecar record what MaintainedServers returns. It comes before Start.
+// EnableMaintenance makes the sidecar record what Servers returns. It must be called before Start.
 func (s *Sidecar) EnableMaintenance() {
 	t := &maintenanceTracker{
 		inflightField: slices.Index(s.cfg.Settings.Policy.ReportFields, policy.FieldInflight),
@@ -87,8 +88,8 @@
 	s.maintenance = t
 }
 
-// recordAttempt records the end of an attempt. Danger: a server does not know that an attempt was abandoned; maintenance would start under
-// a request that still runs.
+// recordAttempt records the end of an attempt. A server does not know that an attempt was abandoned and may still run it; if it did not
+// count as in flight, maintenance would start while the request runs.
 func (t *maintenanceTracker) recordAttempt(a *attempt, err *attemptError, result *policy.Result, now float64) {
 	if a.request != nil {
 		t.attemptsEnded[a.serverID]++
@@ -108,15 +109,15 @@
 	}
 }
 
-// isFailing reports whether a server's connections break before it responds. Danger: the policy takes a connection that ends at once for
-// one that broke while idle, which says nothing about its server; it sends less there, and a site that breaks all connections would not
-// count as lost.
+// isFailing reports whether a server's connections keep breaking before it responds. The policy assumes that a connection which breaks at
+// once was broken while idle, which says nothing about the server. It only sends less to such a server, so without this check a site that
+// breaks all connections would not count as lost.
 func (t *maintenanceTracker) isFailing(serverID uint32, now float64) bool {
 	broken := t.brokenConns[serverID]
 	return broken.count >= failingAfter && now-broken.lastAt < failingSeconds
 }
 
-// openAttempts counts the abandoned attempts that may go on. A later load report without requests in flight ends all.
+// openAttempts counts the abandoned attempts that may still run on a server. A later load report with no requests in flight clears them.
 func (t *maintenanceTracker) openAttempts(serverID uint32, now float64) (n int) {
 	abandoned := t.abandonedAt[serverID]
 	if len(abandoned) == 0 {
@@ -132,14 +133,14 @@
 	return len(abandoned)
 }
 
-// SetUnderMaintenance implements MaintainedServers. Before Start it restores what was stored.
+// SetUnderMaintenance implements MaintainedServers. Before Start it is called to restore the stored set.
 func (s *Sidecar) SetUnderMaintenance(names []string) {
 	changed := s.endpoints.SetUnderMaintenance(names, s.net.Now())
 	if len(changed) == 0 {
 		return
 	}
 	s.log.Info("servers under maintenance changed", "servers", names)
-	if s.timers.setAlarm == nil { // before Start: the policy is given the change with the first event
+	if s.timers.setAlarm == nil { // before Start: the policy receives the change with the first callback
 		s.pushEndpoints(policy.ListCached, changed)
 		return
 	}
--- a/internal/sidecar/maintenance_test.go
+++ b/internal/sidecar/maintenance_test.go
@@ -8,8 +8,8 @@
 	"hazelwheel/policy"
 )
 
-// A server that breaks connections under requests is failing until it responds, however quickly it breaks them. A client that closed, and a
-// probe that was answered, change nothing.
+// A server whose connections break during requests counts as failing until it responds. An attempt that the policy cancelled and an
+// answered probe change nothing.
 func TestServerWithBrokenConnsIsFailing(t *testing.T) {
 	s := newTestSidecar(t)
 	s.EnableMaintenance()
@@ -26,7 +26,7 @@
 	record(r, broken)
 	assert.True(t, tracker.isFailing(7, now))
 	assert.False(t, tracker.isFailing(8, now))
-	assert.False(t, tracker.isFailing(7, now+failingSeconds), "nothing was sent there for long")
+	assert.False(t, tracker.isFailing(7, now+failingSeconds), "the last broken connection is too long ago")
 	record(r, nil)
 	assert.False(t, tracker.isFailing(7, now))
 	record(r, broken)
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// AdminDescriptors are reserved for the admin endpoint, including its listener.
+	// AdminDescriptors is the number of descriptors reserved for the admin endpoint, including its listener.
 	AdminDescriptors = 18
 	// snapshotIntervalSeconds is the time between two snapshots for the admin endpoint.
 	snapshotIntervalSeconds = 0.1
 )
 
-// CordonServer takes a server out of use until UncordonServer. It returns after the cordon is in effect, with the error of an unknown
-// server or of the store.
+// CordonServer takes a server out of use until UncordonServer is called. The cordon is in effect when it returns. It fails if the server is
+// unknown or the cordon can't be stored.
 func (s *Sidecar) CordonServer(name string) error {
 	info, err := s.endpoints.Cordon(name, s.now())
 	if err != nil {
@@ -25,7 +25,7 @@
 	return s.restart.store.Cordon(name)
 }
 
-// UncordonServer ends a server's cordon, however often it was set.
+// UncordonServer ends a server's cordon, however often CordonServer was called.
 func (s *Sidecar) UncordonServer(name string) error {
 	info, err := s.endpoints.Uncordon(name, s.now())
 	if err != nil {
@@ -36,8 +36,8 @@
 	return s.restart.store.Uncordon(name)
 }
 
-// pushServerChange reports servers to the policy whose use has changed. Danger: a delta counts as a sign that a watch is up. Where none is,
-// the policy would never ask for one again.
+// pushServerChange reports cordoned, uncordoned or maintained servers to the policy. The policy takes a delta as a sign that a watch is up.
+// If none is, it would never request one again; so the change is then reported as a cached list.
 func (s *Sidecar) pushServerChange(infos ...policy.HostInfo) {
 	kind := policy.ListCached
 	if s.discovery.isWatchUp() {
@@ -47,14 +47,14 @@
 	s.closeUnusableIdleConns()
 }
 
-// errShuttingDown rejects the end of a drain while the process shuts down.
+// errShuttingDown is returned by UndrainByOperator while the process shuts down.
 var errShuttingDown = errors.New("this process has been told to end")
 
-// IsDrainedByOperator reports whether operators have drained the sidecar: it is not ready.
+// IsDrainedByOperator reports whether an operator has drained the sidecar.
 func (s *Sidecar) IsDrainedByOperator() bool { return s.lifecycle.isDrained }
 
 // DrainByOperator drains the sidecar: it reports that it is not ready, each response is the last on its connection, and idle connections
-// are closed after a while. Requests that come all the same are served.
+// are closed after newcomerPeriodSeconds. Requests that still arrive are served.
 func (s *Sidecar) DrainByOperator() error {
 	if s.lifecycle.isShuttingDown {
 		return nil
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -7,31 +7,31 @@
 
 const (
 	// maxBurst is how many requests are submitted to the policy before the loop reads its connections again, so that the policy knows all
-	// responses that have arrived. It is about a millisecond's work.
+	// responses that have arrived. Handling them takes about a millisecond.
 	maxBurst = 32
-	// burstWindowSeconds after the first request of a burst the next one begins.
+	// burstWindowSeconds is the length of a burst: a request that arrives later starts a new one.
 	burstWindowSeconds = 0.001
-	// staleSeconds in its socket, and a request is submitted only after the loop has read its connections. Danger: the close of its client
-	// may be unread right behind it, and a process that stalled would forward requests that nobody waits for.
+	// staleSeconds is how long a request must have been in its socket for the loop to read its connections once more before submitting it. The
+	// client's close may be unread behind the request, and a process that stalled would forward requests that nobody waits for.
 	staleSeconds = 0.05
 )
 
-// pendingRequests are the requests that the policy has not been given yet, and how many of the present burst it has been given.
+// pendingRequests holds the requests that are not submitted to the policy yet; burst counts those submitted in the current burst.
 type pendingRequests struct {
 	queue          *admission.Queue[pendingRequest]
 	burst          int
 	burstStartedAt float64
-	isScheduled    bool // submitPending runs after the loop has read its connections
+	isScheduled    bool // submitPending will run once the loop has read its connections
 }
 
 // pendingRequest is a request with the policy's input.
 type pendingRequest struct {
 	*request
 	policy.Request
-	enqueuedAt float64 // when it came
+	enqueuedAt float64 // when enqueueRequest was called
 }
 
-// enqueueRequest submits a request to the policy, or queues it behind those that wait.
+// enqueueRequest submits a request to the policy, or queues it behind the pending ones.
 func (s *Sidecar) enqueueRequest(r *request, q policy.Request) {
 	a, now := &s.pending, s.now()
 	if a.queue.Len() == 0 && !a.isScheduled && q.HeldBackSeconds < staleSeconds {
@@ -45,14 +45,14 @@
 		}
 	}
 	from := now - q.HeldBackSeconds
-	if q.HeldBackSeconds >= staleSeconds { // it waits for this one turn of the loop, which must not count for load shedding
+	if q.HeldBackSeconds >= staleSeconds { // its delay is the loop's own, which must not count for load shedding
 		from = now
 	}
 	a.queue.Enqueue(admission.QueuedRequest[pendingRequest]{Request: pendingRequest{r, q, now}, Class: q.Class, ArrivedAt: from})
 	s.schedulePending()
 }
 
-// schedulePending submits the next requests after the loop has read its connections.
+// schedulePending makes submitPending run once the loop has read its connections.
 func (s *Sidecar) schedulePending() {
 	if a := &s.pending; !a.isScheduled {
 		a.isScheduled = true
@@ -60,7 +60,7 @@
 	}
 }
 
-// submitPending submits the next requests to the policy. Those that have waited for too long, or have no time left, are rejected.
+// submitPending submits the next requests to the policy. Requests that the queue sheds, since they have waited too long, are throttled.
 func (s *Sidecar) submitPending() {
 	a, now := &s.pending, s.now()
 	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
@@ -71,7 +71,7 @@
 		}
 		r, q := waiting.Request.request, waiting.Request.Request
 		switch {
-		case r.isAnswered: // its client has closed since
+		case r.isAnswered: // its client has disconnected since
 			continue
 		case isShed:
 			s.counters.LoadShed++
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -8,44 +8,44 @@
 	"hazelwheel/internal/quotas"
 )
 
-// maxShownGroups bounds the groups in a status, maxCountedGroups those in the counters.
+// maxShownGroups bounds the number of groups in a status, maxCountedGroups that in the counters.
 const (
 	maxShownGroups   = 500
 	maxCountedGroups = 20
 )
 
-// quotaEnforcer applies the quotas of groups of clients. A nil one is off.
+// quotaEnforcer applies the quotas of client groups. It is nil if quotas are off.
 type quotaEnforcer struct {
 	settings   quotas.Settings
 	limiter    *quota.Limiter
 	classifier *quotas.Classifier
-	exempt     []bool // by index of the class
-	floor      []bool
-	snapshots  *quotas.SnapshotWriter // nil: none are written
+	exempt     []bool                 // by index of the class: not subject to quotas
+	floor      []bool                 // by index of the class: may use the floors of its group
+	snapshots  *quotas.SnapshotWriter // nil if no snapshots are written
 	counters   QuotaCounters
 }
 
-// QuotaCounters are the quotas' part of the counters. Their JSON names are read by operators' tools and never change.
+// QuotaCounters are the counters of quotas. Operators' tools read their JSON names, which must not change.
 type QuotaCounters struct {
 	Groups           int                 `json:"groups"`
 	Served           uint64              `json:"served"`
 	Rejected         uint64              `json:"refused"`
 	Exempt           uint64              `json:"exempt"` // requests of exempt classes
 	Snapshots        uint64              `json:"snapshots"`
-	SnapshotsSkipped uint64              `json:"snapshots_late"` // left out since the disk was slow
+	SnapshotsSkipped uint64              `json:"snapshots_late"` // skipped since the previous one was still being written
 	SnapshotErrors   uint64              `json:"snapshot_errors"`
-	Reloads          uint64              `json:"reloads"` // files of groups applied while running
+	Reloads          uint64              `json:"reloads"` // group files applied at run time
 	ReloadFailed     uint64              `json:"reload_failed"`
 	TopRejected      []quota.GroupCounts `json:"most_refused"` // groups with the most rejected requests
 }
 
-// quotaCharge is what a request takes of its group's quota.
+// quotaCharge records what a request uses of its group's quota.
 type quotaCharge struct {
 	request        quota.Request
 	isCharged      bool
 	admittedAt     float64
-	responseBytes  float64 // of the response
-	serviceSeconds float64 // of a server
+	responseBytes  float64 // size of the response
+	serviceSeconds float64 // time that the server worked on the request
 }
 
 // newQuotaEnforcer returns an enforcer for the settings, nil if there are no quotas.
@@ -100,7 +100,7 @@
 	}
 }
 
-// ReadQuotaTree reads the file of groups again; nil: there are no quotas. It may be called from any goroutine.
+// ReadQuotaTree reads and validates the group file again; it returns nil if quotas are off. It may be called from any goroutine.
 func (s *Sidecar) ReadQuotaTree() (*quota.Tree, error) {
 	if s.quotas == nil {
 		return nil, nil
@@ -112,7 +112,7 @@
 	return tree, err
 }
 
-// ApplyQuotaTree applies another tree of groups, or keeps the present one if err is not nil.
+// ApplyQuotaTree replaces the tree of groups, or keeps the present one if err is not nil.
 func (s *Sidecar) ApplyQuotaTree(tree *quota.Tree, err error) {
 	enforcer := s.quotas
 	switch {
@@ -128,22 +128,22 @@
 	}
 }
 
-// QuotaClient is a ClientCodec with the fields that quotas go by. A client without them is classified by class and address alone, and
-// throttled beyond its quota.
+// QuotaClient is implemented by a ClientCodec whose messages have header fields that quotas can use. Other clients are classified by class
+// and address alone, and throttled when over quota.
 type QuotaClient interface {
 	// Field returns a field of the message's header, empty if it is absent.
 	Field(name string) string
 	// RequestBytes returns the approximate size of the message on the wire.
 	RequestBytes() int
-	// RejectOverQuota rejects the message: nothing has run, and the group has quota again after the given time.
+	// RejectOverQuota rejects the message: it has not run, and the group has quota again after the given time.
 	RejectOverQuota(group string, retryAfterSeconds float64)
 }
 
-// CostReporter is an Exchange whose complete response tells what it cost.
+// CostReporter is implemented by an Exchange that can report the cost of its complete response.
 type CostReporter interface {
 	// ResponseBytes returns the approximate size of the response on the wire.
 	ResponseBytes() int
-	// ServiceSeconds returns for how long the server reports that it has worked; false: it does not report it.
+	// ServiceSeconds returns how long the server worked on the request, or false if the server does not report it.
 	ServiceSeconds() (seconds float64, ok bool)
 }
 
@@ -153,8 +153,8 @@
 // Field implements quotas.FieldGetter.
 func (emptyFields) Field(string) string { return "" }
 
-// admitByQuota reports whether a request is within its group's quota, and charges it. One that is not has been rejected, finally: nothing
-// of it was forwarded.
+// admitByQuota charges a request to its group's quota and reports whether it is within the quota. If not, the request has been rejected and
+// the caller must not submit it.
 func (c *ClientConn) admitByQuota(in *IncomingRequest) (quotaCharge, bool) {
 	s, enforcer := c.sidecar, c.sidecar.quotas
 	if enforcer == nil {
@@ -204,7 +204,7 @@
 	}
 }
 
-// completeQuota charges what a request has cost after its response.
+// completeQuota charges the actual cost of a request after its response.
 func (s *Sidecar) completeQuota(r *request) {
 	if charge := &r.quota; charge.isCharged {
 		now := s.now()
@@ -212,7 +212,7 @@
 	}
 }
 
-// quotaCounters returns the quotas' part of the counters, nil if there are none.
+// quotaCounters returns the counters of quotas, nil if quotas are off.
 func (s *Sidecar) quotaCounters() *QuotaCounters {
 	enforcer := s.quotas
 	if enforcer == nil {
@@ -226,8 +226,8 @@
 	return counters
 }
 
-// QuotaStatus returns the state of all groups as a line of JSON, or of the one that a query names; false: there is no such group, or there
-// are no quotas.
+// QuotaStatus returns the state of all groups, or of the one that the query names, as a line of JSON. It returns false if there is no such
+// group or quotas are off.
 func (s *Sidecar) QuotaStatus(query string) (text []byte, ok bool) {
 	if s.quotas == nil {
 		return nil, false
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -6,8 +6,8 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Reload applies a new configuration, or keeps the present one if err is not nil. Discovery's address and the limits change at once; the
-// rest takes effect with a restart.
+// Reload applies a new configuration, or keeps the present one if err is not nil. The discovery address and the limits change at once; all
+// other changes need a restart.
 func (s *Sidecar) Reload(cfg sidecarconfig.Config, err error) {
 	if err != nil {
 		s.counters.ConfigReloadsFailed++
@@ -23,7 +23,7 @@
 		{"name", cfg.Name != old.Name},
 		{"listen", cfg.Listen != old.Listen},
 		{"ops", cfg.Ops != old.Ops},
-		// The policy has learned under these settings; none of them changes without the others.
+		// The policy's state was built up under these settings, so they are not replaced at run time, not even in part.
 		{"settings", !reflect.DeepEqual(cfg.Settings, old.Settings)},
 	} {
 		if setting.changed {
@@ -41,14 +41,14 @@
 	}
 }
 
-// replaceWatch starts a watch at another discovery service at once, whatever state the present one is in. The list is kept until the new
-// service has sent its own. Danger: its indices need not be those of the old service, and changes since an index with another meaning would
-// leave entries out; the complete list is requested.
+// replaceWatch closes the present watch and starts one at the new discovery service at once. The present list stays in use until the new
+// service has sent its own. The new service may number its lists differently, and changes since an index of the old service would leave
+// entries out; so the complete list is requested.
 func (s *Sidecar) replaceWatch() {
 	if s.discovery.watcher != nil {
 		s.discovery.watcher.stop()
 	}
-	s.discovery.relay.isActive = false // the relay was about the old service
+	s.discovery.relay.isActive = false // it confirmed the list of the old service
 	s.endpoints.ForgetIndex()
 	s.ensureWatch()
 }
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -7,30 +7,30 @@
 	"hazelwheel/policy"
 )
 
-// request is a request that a client has sent and that has no response yet, or attempts under way.
+// request is a client's request that has no response yet, or that has attempts in flight.
 type request struct {
 	id             uint32
-	clientID       string // the client's ID of it
+	clientID       string // ID given by the client
 	className      string
 	classIndex     int // index in the settings
 	deadline       float64
 	call           Call
 	responder      Responder
-	client         *ClientConn // its connection
-	body           *Body       // not nil: it was incomplete when the request was submitted
-	stream         *stream     // of its response, once that is forwarded in parts
+	client         *ClientConn // the connection it arrived on
+	body           *Body       // nil if the body was complete when the request was submitted
+	stream         *stream     // its response, if that is being forwarded in parts
 	timeoutSeconds float64
 	frontend       Frontend
 	sidecar        *Sidecar
-	attemptsSent   int // number of attempts started
+	attemptsSent   int // number of attempts that the policy has requested
 	attempts       []*attempt
-	attemptBuffer  [1]*attempt // backing array of attempts: two at a time are rare
-	firstRunAt     float64     // start of the first attempt that may have run and has ended; 0: there is none
-	isAtMostOnce   bool        // it is not sent again once it may have run
-	isOneWay       bool        // its client waits for no response and may close
-	isAnswered     bool        // its final response is written, or nobody waits for one
+	attemptBuffer  [1]*attempt // backing array of attempts: more than one at a time is rare
+	firstRunAt     float64     // start of the earliest ended attempt that may have run; 0 if none
+	isAtMostOnce   bool        // must not be sent again once it may have run
+	isOneWay       bool        // the client expects no response and may disconnect
+	isAnswered     bool        // its final response is written, or the client has disconnected
 	deadlineTimer  timer
-	faultTimer     *timer // of the injected fault that delays it
+	faultTimer     *timer // end of the delay by an injected fault
 	quota          quotaCharge
 }
 
@@ -41,7 +41,7 @@
 	s.counters.Requests++
 	s.counters.OpenRequests++
 	q.ID = r.id
-	// Whatever the policy does, the client gets its one response in time.
+	// This timer answers the client in time even if the policy does not.
 	s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
 	enqueue := func(seconds float64) {
 		q.HeldBackSeconds += seconds
@@ -52,11 +52,11 @@
 	}
 }
 
-// IsRequestOpen reports whether a request with a client's ID is open. Danger: two requests with one ID look like a hedged request to a
-// server, which may drop the wrong one.
+// IsRequestOpen reports whether a request with this client ID is open. To a server, two requests with one ID look like a hedged request,
+// and it may drop the wrong one.
 func (s *Sidecar) IsRequestOpen(id string) bool { return s.requests.isOpen(id) }
 
-// answerRequest ends a request with its final response, which respond writes, unless it has had one.
+// answerRequest ends a request with its final response, which respond writes. It does nothing if the request is already answered.
 func (s *Sidecar) answerRequest(r *request, end requestEnd, respond func()) {
 	if r.isAnswered {
 		return
@@ -84,21 +84,21 @@
 	}
 }
 
-// expire ends a request that the policy has let run out of time.
+// expire implements timerTarget: it fails a request that the policy has not ended by its deadline.
 func (r *request) expire() {
 	r.sidecar.answerRequest(r, overdue, func() { r.responder.Fail(true) })
 	r.sidecar.pushAbandoned(r)
 }
 
-// recordRun notes the end of an attempt that may have run.
+// recordRun updates firstRunAt after an attempt that may have run.
 func (r *request) recordRun(a *attempt, outcome policy.Outcome) {
 	if !outcome.NeverRan() && (r.firstRunAt == 0 || a.requestedAt < r.firstRunAt) {
 		r.firstRunAt = a.requestedAt
 	}
 }
 
-// repeatWindowEnd returns until when servers that have seen an earlier attempt drop a further one as a repeat; +Inf if none may have seen
-// one, or if the class has no such window.
+// repeatWindowEnd returns the time until which servers that have received an earlier attempt drop another one as a duplicate. It returns
+// +Inf if no server can have received one, or if the class has no deduplication window.
 func (r *request) repeatWindowEnd(a *attempt) float64 {
 	class := &r.sidecar.cfg.Settings.Policy.Classes[r.classIndex]
 	if class.Effect != policy.Keyed {
@@ -116,7 +116,7 @@
 	return firstRunAt + class.DedupWindowSeconds
 }
 
-// attemptByNumber returns an attempt that is under way, nil if there is none with this number.
+// attemptByNumber returns the attempt in flight with this number, nil if there is none.
 func (r *request) attemptByNumber(number int) *attempt {
 	for _, a := range r.attempts {
 		if a.number == number {
@@ -126,21 +126,21 @@
 	return nil
 }
 
-// removeAttempt removes an attempt from those that are under way.
+// removeAttempt removes an attempt from those in flight.
 func (r *request) removeAttempt(a *attempt) {
 	if i := slices.Index(r.attempts, a); i >= 0 {
 		r.attempts = slices.Delete(r.attempts, i, i+1)
 	}
 }
 
-// forgetRequest removes a request that is answered and has no attempts under way.
+// forgetRequest removes a request if it is answered and has no attempts in flight.
 func (s *Sidecar) forgetRequest(r *request) {
 	if r.isAnswered && r.stream == nil && len(r.attempts) == 0 {
 		s.requests.remove(r)
 	}
 }
 
-// abandonRequest ends a request whose client has closed.
+// abandonRequest ends a request whose client has disconnected.
 func (s *Sidecar) abandonRequest(r *request) {
 	if r.isAnswered {
 		return
@@ -149,7 +149,7 @@
 	s.pushAbandoned(r)
 }
 
-// pushAbandoned reports to the policy that a request needs no response any more.
+// pushAbandoned reports to the policy that a request no longer needs a response.
 func (s *Sidecar) pushAbandoned(r *request) {
 	s.pushEvent(func(now float64) {
 		s.capture.RecordAbandoned(now, r.id, r.label())
--- a/internal/sidecar/requeststats.go
+++ b/internal/sidecar/requeststats.go
@@ -6,8 +6,8 @@
 type ClassStats struct {
 	Class                                string
 	Served, Throttled, Failed, Abandoned uint64
-	// LatencyCounts is the histogram of the latencies of served requests in microseconds, from the start of a request's time to its
-	// response, as the counts of a histogram that NewLatencyHistogram returns.
+	// LatencyCounts are the bucket counts of a NewLatencyHistogram with the latencies of served requests in microseconds. A latency is
+	// measured from the time at which the request's timeout began to its response.
 	LatencyCounts []int64
 }
 
@@ -16,7 +16,8 @@
 	latencyDigits                      = 2
 )
 
-// NewLatencyHistogram returns an empty histogram of latencies in microseconds. All histograms that are merged have its shape.
+// NewLatencyHistogram returns an empty histogram of latencies in microseconds. Only histograms with the same
+// bounds and precision can be merged.
 func NewLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
@@ -24,10 +25,10 @@
 // requestStats keeps the latencies of requests for the fleet's reports.
 type requestStats struct {
 	byClass  []*hdrhistogram.Histogram // by index of the class
-	reported []classCounts             // counts when the stats were last taken
+	reported []classCounts             // the counters when the stats were last taken
 }
 
-// EnableRequestStats makes the sidecar keep the stats that RequestStats returns. It comes before Start.
+// EnableRequestStats makes the sidecar collect what RequestStats returns. It must be called before Start.
 func (s *Sidecar) EnableRequestStats() {
 	s.requestStats = &requestStats{reported: append([]classCounts(nil), s.counters.Classes...)}
 	for range s.counters.Classes {
--- a/internal/sidecar/requesttable.go
+++ b/internal/sidecar/requesttable.go
@@ -1,17 +1,17 @@
 package sidecar
 
-// requestTable holds the requests that are open, or answered with attempts still under way.
+// requestTable holds the open requests, and answered ones with attempts still in flight.
 type requestTable struct {
 	byID       map[uint32]*request
 	byClientID map[string]*request
-	nextID     uint32 // the first to be tried
+	nextID     uint32 // the first ID to try
 }
 
 func newRequestTable() requestTable {
 	return requestTable{byID: map[uint32]*request{}, byClientID: map[string]*request{}, nextID: 1}
 }
 
-// add gives a request an ID that is not in use, and keeps it. IDs wrap around, and 0 is none.
+// add assigns an unused ID to a request and adds it. IDs wrap around and are never 0.
 func (t *requestTable) add(r *request) {
 	for t.byID[t.nextID] != nil || t.nextID == 0 {
 		t.nextID++
@@ -21,7 +21,7 @@
 	t.byID[r.id], t.byClientID[r.clientID] = r, r
 }
 
-// remove drops a request; one that was dropped before, and whose ID another may have by now, is left alone.
+// remove removes a request. If it was removed before, nothing happens, even if its ID has been reused.
 func (t *requestTable) remove(r *request) {
 	if t.byID[r.id] == r {
 		delete(t.byID, r.id)
@@ -29,15 +29,15 @@
 	}
 }
 
-// releaseClientID lets another request use the client's ID of this one, unless one does already.
+// releaseClientID frees a request's client ID for another request, unless another has already taken it.
 func (t *requestTable) releaseClientID(r *request) {
 	if t.byClientID[r.clientID] == r {
 		delete(t.byClientID, r.clientID)
 	}
 }
 
-// isOpen reports whether a request holds a client's ID.
+// isOpen reports whether a request with this client ID is open.
 func (t *requestTable) isOpen(clientID string) bool { return t.byClientID[clientID] != nil }
 
-// len returns how many requests are held, by whichever ID more are.
+// len returns the number of requests in the table. The two maps can differ in size; the larger one counts.
 func (t *requestTable) len() int { return max(len(t.byID), len(t.byClientID)) }
--- a/internal/sidecar/rolehost.go
+++ b/internal/sidecar/rolehost.go
@@ -1,18 +1,18 @@
 package sidecar
 
-// RoleHost is what a fleet queries of the sidecar that it is a part of. The methods are for the event loop.
+// RoleHost is the sidecar as its fleet membership sees it. The methods must be called on the event loop.
 type RoleHost interface {
 	// ShutdownState reports whether the sidecar is shutting down, and whether another process has replaced it.
 	ShutdownState() (shuttingDown, replaced bool)
-	// CanTakeRoles reports whether the sidecar may take roles for the fleet beside serving, and the reason if it may not.
+	// CanTakeRoles reports whether the sidecar may take roles in the fleet in addition to serving, and the reason if it may not.
 	CanTakeRoles() (ok bool, reason string)
-	// RequestStats returns how requests have ended since the last call, by class; nil unless EnableRequestStats was called.
+	// RequestStats returns, by class, how requests have ended since the last call. It returns nil unless EnableRequestStats was called.
 	RequestStats() []ClassStats
 }
 
-// RankReceiver is given the sidecar's rank in its fleet.
+// RankReceiver receives the sidecar's rank in its fleet.
 type RankReceiver interface {
-	// SetRank sets the sidecar's rank among the live members, from 0, and their number. It is for the event loop.
+	// SetRank sets the sidecar's rank among the live members, counted from 0, and their number. It must be called on the event loop.
 	SetRank(rank, count int)
 }
 
@@ -31,9 +31,9 @@
 	})
 }
 
-// fleetHooks are the calls between the sidecar and its fleet. Each is nil if there is no fleet, or none that uses it.
+// fleetHooks are the callbacks that a fleet has registered. Each may be nil.
 type fleetHooks struct {
 	faultObserver FaultObserver
 	metrics       MetricsSource
-	status        func() any // marshalled into the counters
+	status        func() any // encoded as JSON in the counters
 }
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// After the signal to end clients go on opening connections for a while and use those that they have. Requests that come within
-// newcomerPeriodSeconds are served; then the sidecar stops to accept, closes connections that have been idle for drainIdleSeconds, and ends
-// with the last response.
+// After the shutdown signal, clients still open connections for a while and use those that are open. The sidecar accepts connections for
+// another newcomerPeriodSeconds. Then it stops listening, closes connections that have been idle for drainIdleSeconds, and exits after the
+// last response.
 const (
 	newcomerPeriodSeconds     = 0.7
 	drainIdleSeconds          = 0.2
 	drainCheckIntervalSeconds = 0.01
-	// shutdownGraceSeconds after the longest deadline the process ends with whatever is left; responseGraceSeconds after it all requests
-	// are answered that came after the signal. The platform kills the process no sooner than killGraceSeconds after the longest deadline,
-	// of which it counts at most maxCountedRequestSeconds.
+	// The platform kills the process at the earliest killGraceSeconds after the longest request deadline, of which it counts at most
+	// maxCountedRequestSeconds. So the process exits shutdownGraceSeconds after the longest deadline even if requests are still open, and
+	// requests that arrive after the signal are answered by responseGraceSeconds after it.
 	killGraceSeconds         = 0.7
 	maxCountedRequestSeconds = 3.0
 	shutdownGraceSeconds     = killGraceSeconds - 0.05
 	responseGraceSeconds     = killGraceSeconds - 0.1
 )
 
-// Drain starts the graceful shutdown: every response from now on is the last on its connection. The event loop is stopped when all are
+// Drain starts the graceful shutdown: every response from now on is the last on its connection. The event loop stops once all responses are
 // written.
 func (s *Sidecar) Drain() {
 	if !s.lifecycle.startShutdown(s.now()) {
@@ -30,18 +30,19 @@
 		return
 	}
 	s.timers.schedule(s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds, func() {
-		// Danger: clients whose connections are closed open new ones for as long as these are accepted, and the shutdown never ends.
+		// While connections are accepted, clients replace each one that is closed, so the shutdown would never end.
 		s.net.StopListening(s.onListenStopped)
 	})
 }
 
-// onListenStopped is called when no connection is accepted any more.
+// onListenStopped is called once the listeners are closed.
 func (s *Sidecar) onListenStopped() { s.runCallback(s.finishShutdown) }
 
-// closeIdleClients closes the client connections that have been idle for drainIdleSeconds, and reports whether there are others.
+// closeIdleClients closes the client connections that have been idle for drainIdleSeconds, and reports whether others are
+// still open.
 func (s *Sidecar) closeIdleClients() (busy bool) {
 	now := s.now()
-	for i := len(s.clients.conns) - 1; i >= 0; i-- { // Danger: a connection that is removed leaves its index to the last one
+	for i := len(s.clients.conns) - 1; i >= 0; i-- { // backwards: closing a connection moves the last one to its index
 		c := s.clients.conns[i]
 		if _, since := c.slot.State(); c.isIdle() && since < now-drainIdleSeconds && !c.mayHaveUnreadRequest() {
 			c.isLastWritten = true
@@ -52,7 +53,7 @@
 	return busy
 }
 
-// finishShutdown closes idle connections, and stops the event loop once there is no other or no time is left.
+// finishShutdown closes idle connections periodically, and stops the event loop once none is left or the time is up.
 func (s *Sidecar) finishShutdown() {
 	now := s.now()
 	busy := s.closeIdleClients() || s.counters.OpenRequests > 0
@@ -72,8 +73,8 @@
 	s.net.Stop()
 }
 
-// latestResponseAt returns the time by which a request that comes now is answered at the latest: before this process ends or, for one that
-// comes after the newcomers' period, before the platform may kill it.
+// latestResponseAt returns the time by which a request that arrives now must be answered: before this process exits or, if it arrives more
+// than newcomerPeriodSeconds after the signal, before the platform may kill the process.
 func (s *Sidecar) latestResponseAt() float64 {
 	if !s.lifecycle.isShuttingDown {
 		return math.Inf(1)
@@ -85,7 +86,7 @@
 	return s.lifecycle.shutdownStartedAt + longest + responseGraceSeconds
 }
 
-// maxRequestSeconds returns the longest deadline of the settings' classes.
+// maxRequestSeconds returns the longest total timeout of all request classes.
 func (s *Sidecar) maxRequestSeconds() (longest float64) {
 	for _, c := range s.cfg.Settings.Policy.Classes {
 		longest = max(longest, c.TotalTimeoutSeconds)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,11 +1,11 @@
-// Package sidecar is the core of the sidecar in service: it accepts requests from the application beside it, forwards them to servers as
-// package policy decides, and follows the endpoint list of discovery.
+// Package sidecar is the core of the sidecar process: it accepts requests from the application on the same host, forwards them to servers
+// as package policy decides, and watches the endpoint list of the discovery service.
 //
-// One event loop owns all state: nothing here is locked, and the network and the time are reached only through package netio. Exported
-// methods are for the event loop, or come before Start, unless they say otherwise; Do runs a function there.
+// One event loop owns all state: there are no locks, and the network and the clock are accessed only through package netio. Unless their
+// comments say otherwise, exported methods must be called on the event loop or before Start; Do runs a function on the event loop.
 //
-// Package policy is called from the queue of events alone, in the order in which they happened, and never from within one of its own
-// actions. It asks for actions through policy.Actions, which Sidecar implements.
+// Package policy is called only for queued events, in the order in which they occurred, and never from within one of its own actions. It
+// requests actions through policy.Actions, which Sidecar implements.
 package sidecar
 
 import (
@@ -25,16 +25,16 @@
 )
 
 const (
-	// probeTimeoutSeconds is how long a probe's response is waited for. A probe queues at its server like a request: one that takes longer
-	// reports a queue that no request would pass in time.
+	// probeTimeoutSeconds is the timeout of a probe. A probe queues at its server like a request: if it takes longer, the queue is too long
+	// for any request to be served in time.
 	probeTimeoutSeconds = 0.4
-	// maxResponseMarginSeconds bounds the part of a deadline that is kept for writing the response.
+	// maxResponseMarginSeconds bounds the time that is reserved before a deadline for writing the response.
 	maxResponseMarginSeconds = 0.005
-	// baseDescriptors are kept for what is no connection: standard streams, the listener, the pollers.
+	// baseDescriptors are reserved for everything but connections: standard streams, the listener, the pollers.
 	baseDescriptors = 24
 )
 
-// Sidecar is the state of one process. It belongs to the event loop: only its callbacks, and what Do runs, may touch it.
+// Sidecar is the state of one process. It belongs to the event loop: only callbacks of the loop, and functions given to Do, may access it.
 type Sidecar struct {
 	cfg sidecarconfig.Config
 	log *slog.Logger
@@ -42,40 +42,40 @@
 
 	// The event loop.
 	timers     timers
-	wakeTimer  timer // the wake-up that the policy asked for
+	wakeTimer  timer // the wake-up that the policy requested
 	turn       loopTurn
 	loopDelay  loopDelay
 	fitness    fitness
 	logLimiter logLimiter
 
-	// The policy, and what it is given.
+	// The policy and its inputs.
 	balancer  *policy.Balancer
 	endpoints *endpointset.Set
-	classes   map[string]int // index in the settings, by name
+	classes   map[string]int // index in the settings by name
 	pending   pendingRequests
 
 	// Requests and the connections that carry them.
 	requests             requestTable
 	frontends            []Frontend
-	prober               Frontend // whose probes are used
+	prober               Frontend // the frontend that provides probes
 	clients              clientPool
 	backends             backendPool
 	streams              streams
-	writeBuffer          []byte // memory for the next write, see recycleWriteBuffer
+	writeBuffer          []byte // reused by each write, see recycleWriteBuffer
 	responseSlackSeconds float64
 
 	// Limits.
 	descriptors descriptorBudget
-	processes   int // that share the limits: this one, and others of its kind during a hot restart
-	// OnLimitsChange, if it is set, is called with the limits at the start and at each change.
+	processes   int // number of processes that share the limits: more than one during a hot restart
+	// OnLimitsChange, if set, is called with the limits of this process at Start and whenever they change.
 	OnLimitsChange func(sidecarconfig.Limits)
 
-	// Where the endpoint list comes from, and how far the process is on its way to its end.
+	// The source of the endpoint list, shutdown and drain, and hot restart.
 	discovery discovery
 	lifecycle lifecycle
 	restart   restartState
 
-	// Features; a nil pointer is a feature that is off.
+	// Optional features; a nil pointer means that the feature is off.
 	faults       *faultinjection.Injector
 	healthServer *health.Server
 	capture      *capture.Recorder
@@ -90,9 +90,9 @@
 
 var _ netio.Handler = (*Sidecar)(nil)
 
-// New returns a sidecar that is not started, for the protocols of the given frontends and the event loop that will call it. Probes are
-// those of the last frontend that has any. The error is that of a malformed endpoint list in cfg.Known, or of a capture that can't be
-// recorded.
+// New returns a sidecar that is not started yet. It serves the protocols of the given frontends; loop is the event loop that will call it.
+// Probes come from the last frontend that provides them. New fails if the endpoint list in cfg.Known is malformed or the capture can't be
+// set up.
 func New(cfg sidecarconfig.Config, features featureconfig.Features, frontends []Frontend, loop netio.EventLoop, log *slog.Logger) (*Sidecar, error) {
 	s := &Sidecar{
 		cfg:                  cfg,
@@ -147,7 +147,7 @@
 		if err := s.applyKnownList(cfg.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-	} else { // Danger: the policy asks for a list only after it was given one
+	} else { // the policy requests a list only after it has received one, which may be empty
 		s.pushEndpoints(policy.ListCached, nil)
 	}
 	if s.endpoints.Len() == 0 {
@@ -156,12 +156,12 @@
 	return s, nil
 }
 
-// responseMargin returns how many seconds before its deadline a request's attempts end.
+// responseMargin returns how many seconds before a request's deadline its attempts time out.
 func (s *Sidecar) responseMargin() float64 {
 	return min(maxResponseMarginSeconds, s.responseSlackSeconds)
 }
 
-// Start starts timers, snapshots and the watch, and marks the sidecar as serving. The event loop calls it once, before any other callback.
+// Start starts timers, snapshots and the watch. The event loop calls it once, before any other callback.
 func (s *Sidecar) Start() {
 	s.timers.setAlarm = s.net.SetAlarm
 	s.runCallback(func() {
@@ -188,7 +188,7 @@
 	})
 }
 
-// Counters returns the counters as a line of JSON. After the event loop has ended it may be called from any goroutine.
+// Counters returns the counters as a line of JSON. It is for the event loop, and for any goroutine once the loop has ended.
 func (s *Sidecar) Counters() []byte {
 	s.counters.Descriptors = s.descriptors.inUse()
 	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -17,7 +17,7 @@
 	"hazelwheel/policy"
 )
 
-// A claim that nothing has run lets a request be sent again: it is made only if it is certain.
+// An outcome that says that a request has not run lets it be sent again, so it is reported only if that is certain.
 func TestOutcomeClaimsOnlyWhatIsCertain(t *testing.T) {
 	o := func(p progress, c cause) policy.Outcome { return (&attemptError{p, c, nil}).outcome() }
 	table := map[cause][4]policy.Outcome{
@@ -37,7 +37,7 @@
 	assert.True(t, errors.Is(err, errUnsolicited))
 }
 
-// fakeLoop is an event loop that never runs, with a clock that stands still and connections that are no more than a flag.
+// fakeLoop is an event loop that never runs. Its clock does not advance, and its connections are of type fakeConn.
 type fakeLoop struct{ netio.EventLoop }
 
 const testNow = 1.7e9
@@ -54,7 +54,7 @@
 	isQuiet bool
 }
 
-// dialRecorder keeps the callbacks of dials.
+// dialRecorder is a fakeLoop that records the callbacks of dials.
 type dialRecorder struct {
 	fakeLoop
 	done []func(error)
@@ -65,12 +65,12 @@
 	return func() {}
 }
 
-// listedFrontend is a frontend whose backends are reached where they are listed.
+// listedFrontend is a frontend whose backend addresses are the listed ones.
 type listedFrontend struct{ Frontend }
 
 func (listedFrontend) BackendAddress(listed string) string { return listed }
 
-// An attempt that waits for a descriptor gets that of a dial that has failed.
+// When a dial fails, an attempt that waits for descriptors is dialed with the freed ones.
 func TestFailedDialFreesItsDescriptors(t *testing.T) {
 	var cfg sidecarconfig.Config
 	cfg.Settings.Policy.Classes = []policy.Class{{Name: "read", LatencyTargetSeconds: 1, TotalTimeoutSeconds: 3}}
@@ -99,7 +99,7 @@
 	return s
 }
 
-// Events are handled in order, a panic costs nothing but its callback, and timers fire in order of time.
+// Events are handled in order, a panic ends only the callback or event in which it occurs, and timers fire in order of time.
 func TestCallbackHandlesEventsAndFiresTimersInOrder(t *testing.T) {
 	s := newTestSidecar(t)
 	var order []int
@@ -135,10 +135,10 @@
 	s.requests.nextID = 1
 	r := &request{deadline: s.now() + 100}
 	s.registerRequest(r, policy.Request{})
-	assert.EqualValues(t, 3, r.id, "an id that is in use is passed over")
+	assert.EqualValues(t, 3, r.id, "an ID that is in use is skipped")
 }
 
-// newIdleConn returns a connection that has been idle for a while.
+// newIdleConn returns a connection that has been idle for longer than the reuse delay.
 func newIdleConn(s *Sidecar, h *endpointset.Host) (*backendConn, *fakeConn) {
 	c := &fakeConn{isQuiet: true}
 	b := &backendConn{sidecar: s, serverID: h.ID, address: h.Address, conn: c}
@@ -147,7 +147,7 @@
 	return b, c
 }
 
-// The newest idle connection is used first, and closing them all leaves none: each close shortens the list.
+// The newest idle connection is used first, and CloseIdle closes all of them although each close shortens the slice it iterates over.
 func TestNewestIdleConnIsTakenFirst(t *testing.T) {
 	s := newTestSidecar(t)
 	h := &endpointset.Host{ID: 7, Address: "a"}
@@ -164,11 +164,12 @@
 	}
 	conns[3].makeIdle()
 	h.Address = "b"
-	assert.Nil(t, s.takeIdleConn(h, nil), "a connection to the server's old address is of no use")
+	assert.Nil(t, s.takeIdleConn(h, nil), "a connection to the server's old address is not reused")
 	assert.True(t, conns[3].isClosed)
 }
 
-// Unread data decides, too: bytes that would answer the next request, or the end of the connection.
+// An idle connection with unread data is closed instead of reused, and one within the reuse delay is reused only if no new one can be
+// opened.
 func TestIdleConnIsCheckedBeforeUse(t *testing.T) {
 	s := newTestSidecar(t)
 	h := &endpointset.Host{ID: 7, Address: "a"}
@@ -180,13 +181,13 @@
 	assert.Same(t, sound, s.takeIdleConn(h, nil))
 	assert.True(t, withUnreadData.isClosed)
 	s.cfg.Limits.Sockets = 1000
-	assert.Nil(t, s.takeIdleConn(h, nil), "more of its response may be on the way")
+	assert.Nil(t, s.takeIdleConn(h, nil), "within the reuse delay, a new connection is preferred")
 	s.cfg.Limits.Sockets = 0
-	assert.Same(t, fresh, s.takeIdleConn(h, nil), "better than none")
+	assert.Same(t, fresh, s.takeIdleConn(h, nil), "no new connection can be opened")
 	assert.Nil(t, s.takeIdleConn(h, nil))
 }
 
-// A fault delays a request for as long as it says, and leaves a fifth of the request's time for the send.
+// A fault delays a request by its configured delay, but leaves a fifth of the request's remaining time for sending it.
 func TestFaultLeavesTimeForTheSend(t *testing.T) {
 	for _, row := range []struct{ delayMS, remainingSeconds, want float64 }{{600, 10, 0.6}, {60_000, 15, 12}, {60_000, 1.5, 1.2}, {0, 3, 0}, {4000, 5, 4}} {
 		assert.InDelta(t, row.want, faultDelaySeconds(&faultinjection.Fault{DelayMS: row.delayMS}, row.remainingSeconds), 1e-9, "%v ms of %v s", row.delayMS, row.remainingSeconds)
--- a/internal/sidecar/snapshot.go
+++ b/internal/sidecar/snapshot.go
@@ -10,17 +10,17 @@
 	RequestsWritten    uint64 // attempts whose request was written completely
 	OpenRequests       int    // requests without a final response
 	Servers            int    // on the endpoint list
-	UnavailableServers int    // of these: cordoned, draining, or avoided by the policy
+	UnavailableServers int    // servers that are cordoned, draining, or avoided by the policy
 	FleetMetrics       []Metric
 }
 
-// Metric is a named number of a part outside the core.
+// Metric is a named number of a component outside this package.
 type Metric struct {
 	Name  string
 	Value uint64
 }
 
-// MetricsSource returns the metrics of such a part. It is called on the event loop.
+// MetricsSource returns the metrics of a component. It is called on the event loop.
 type MetricsSource interface{ Metrics() []Metric }
 
 // StatusSnapshot returns the latest snapshot, nil before the first. It may be called from any goroutine and never blocks.
@@ -49,8 +49,8 @@
 	s.timers.schedule(now+snapshotIntervalSeconds, s.publishSnapshot)
 }
 
-// SetFleetStatus adds a fleet's status to the counters and its metrics to the snapshots. Both are called on the event loop. It comes before
-// Start.
+// SetFleetStatus adds a fleet's status to the counters and its metrics to the snapshots. Both are called on the event loop. It must be
+// called before Start.
 func (s *Sidecar) SetFleetStatus(status func() any, metrics MetricsSource) {
 	s.fleet.status, s.fleet.metrics = status, metrics
 }
--- a/internal/sidecar/stream.go
+++ b/internal/sidecar/stream.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// peerLagTimeoutSeconds without a byte end a stream: the client does not read, or the server does not write.
+	// peerLagTimeoutSeconds is how long a stream may make no progress, since the client does not read or the server does not write.
 	peerLagTimeoutSeconds = 10.0
-	// lateStreamGraceSeconds after its request's deadline a response must have arrived at minBytesPerSecond on average, or it ends: its
-	// client waits for the last byte, and one that a server never ends would hold it for ever.
+	// lateStreamGraceSeconds after the request's deadline, a stream ends if it has arrived at less than minBytesPerSecond on average:
+	// otherwise a server that never completes its response would make the client wait forever.
 	lateStreamGraceSeconds = 0.3
-	// streamCheckIntervalSeconds is the time between two checks of peers that lag: the event loop does not report when a peer has read what
+	// streamCheckIntervalSeconds is the polling interval for lagging peers, since the event loop does not report when a peer has read what
 	// it was sent.
 	streamCheckIntervalSeconds = 0.005
-	// maxWriteBufferBytes bounds the memory that is kept for the next write.
+	// maxWriteBufferBytes bounds the write buffer that is kept for reuse.
 	maxWriteBufferBytes = 256 << 10
 )
 
-// recycleWriteBuffer keeps a buffer that has grown for the next write, unless it is too large.
+// recycleWriteBuffer keeps a buffer for the next write, unless it has grown too large.
 func (s *Sidecar) recycleWriteBuffer(b []byte) {
 	if s.writeBuffer = b; cap(b) > maxWriteBufferBytes {
 		s.writeBuffer = nil
@@ -33,12 +33,12 @@
 	return admission.BodyBufferBytes(s.clients.admission.BufferedBytes(), s.admissionSettings(0).MaxBufferedBytes)
 }
 
-// streamWindow returns how many bytes may wait for a slow peer; beyond that the other side is not read.
+// streamWindow returns how many bytes may be buffered for a slow peer before reading from the other side is paused.
 func (s *Sidecar) streamWindow() int {
 	return admission.FlowBufferBytes(len(s.streams.responses)+len(s.streams.laggingConns), s.admissionSettings(0).MaxBufferedBytes)
 }
 
-// streams are checked periodically while they last: responses, and requests whose server reads slowly.
+// streams holds what is polled while it is in progress: streamed responses, and backend connections that take a request body slowly.
 type streams struct {
 	responses    []*stream
 	laggingConns []*backendConn
@@ -70,7 +70,7 @@
 	}
 }
 
-// stream is a response that is forwarded as it arrives. Its request counts as answered with the first part, and ends with the last.
+// stream is a response that is forwarded as it arrives. Its request counts as answered from the first part on, and ends with the last.
 type stream struct {
 	sidecar       *Sidecar
 	attempt       *attempt
@@ -78,16 +78,17 @@
 	client        *ClientConn
 	responder     StreamResponder
 	isPaused      bool    // the backend connection is not read
-	lastDataAt    float64 // when the server last sent something, or was not read
+	lastDataAt    float64 // when the server last sent data, or its connection was paused
 	receivedBytes int     // from the server since the stream began
-	startedAt     float64 // start of the stream, plus the time for which the server was not read
-	pausedAt      float64 // since when it is not read
-	unreadBytes   int     // written, and not read by the client
-	lastReadAt    float64 // when the client last read something
+	startedAt     float64 // start of the stream, plus the time for which reading was paused
+	pausedAt      float64 // when reading was paused
+	unreadBytes   int     // bytes written and not read by the client
+	lastReadAt    float64 // when the client last read data
 	isOver        bool
 }
 
-// startStream forwards what has arrived of a large response. One that nobody waits for, or that reports a failure, is not read to its end.
+// startStream starts to forward a large response. If it reports a failure, or its client no longer waits or can't take a stream, the
+// connection is closed instead.
 func (s *Sidecar) startStream(b *backendConn, a *attempt) {
 	r, now := a.request, s.now()
 	result := policy.Result{ID: r.id, Host: a.serverID, Attempt: a.number}
@@ -132,7 +133,7 @@
 	}
 	st.responder.ForwardBody(st.attempt.exchange, done)
 	switch {
-	case st.isOver: // its client has closed meanwhile
+	case st.isOver: // its client has disconnected meanwhile
 	case done:
 		st.finish(served)
 	default:
@@ -140,7 +141,7 @@
 	}
 }
 
-// onBackendClose handles the close of the backend connection, which may complete the response.
+// onBackendClose handles the close of the backend connection; an orderly close may mark the end of the response.
 func (st *stream) onBackendClose(isOrderly bool) {
 	if st.isOver {
 		return
@@ -153,7 +154,7 @@
 	st.finish(failed)
 }
 
-// check pauses the server while the client lags, and ends a stream that is stuck.
+// check pauses reading from the server while the client lags, and ends a stream that makes no progress.
 func (st *stream) check() {
 	if st.isOver || st.client.conn == nil {
 		return
@@ -184,12 +185,12 @@
 	}
 }
 
-// isTooSlow reports whether the deadline has passed and the server sends too slowly for the response to end.
+// isTooSlow reports whether the deadline has passed and the server sends at less than minBytesPerSecond.
 func (st *stream) isTooSlow(now float64) bool {
 	return !st.isPaused && now > st.attempt.request.deadline+lateStreamGraceSeconds && float64(st.receivedBytes) < minBytesPerSecond*(now-st.startedAt)
 }
 
-// finish ends a stream: with its last byte, or by closing the client's connection, which marks the response as incomplete.
+// finish ends a stream. Unless it was served completely, the client's connection is closed, which marks the response as incomplete.
 func (st *stream) finish(end requestEnd) {
 	if st.isOver {
 		return
--- a/internal/sidecar/submit.go
+++ b/internal/sidecar/submit.go
@@ -6,16 +6,16 @@
 	"hazelwheel/policy"
 )
 
-// CountInvalid counts a request of a class that is answered without the policy, since it is invalid.
+// CountInvalid counts an invalid request, which is answered and not submitted to the policy.
 func (c *ClientConn) CountInvalid(class int) {
 	c.sidecar.counters.Requests++
 	c.sidecar.counters.countRequestEnd(class, failed)
 }
 
-// CountMalformed counts a message that is answered and never forwarded.
+// CountMalformed counts a malformed message, which is answered and never forwarded.
 func (c *ClientConn) CountMalformed() { c.sidecar.counters.Malformed++ }
 
-// Admit reports whether there is capacity for a request of a class. If not, the client has been throttled.
+// Admit reports whether there is capacity for a request of a class. If not, the request has been throttled.
 func (c *ClientConn) Admit(class int) bool {
 	switch {
 	case c.isOverLimit && !c.sidecar.hasDescriptors(backendHeadroom), c.sidecar.clients.admission.IsOverBufferBudget(c.slot):
@@ -29,7 +29,7 @@
 	return true
 }
 
-// UnknownTenant is the index of a tenant that the settings do not name.
+// UnknownTenant is the tenant index of a request whose tenant is not in the settings.
 const UnknownTenant = -1
 
 // IncomingRequest is a request as a frontend submits it.
@@ -38,16 +38,16 @@
 	Class          int     // index in the settings
 	Tenant         int     // index in the settings, or UnknownTenant
 	TimeoutSeconds float64 // the client's deadline, counted from when it sent the request
-	IsRetry        bool    // the client marks it as a retry
-	AtMostOnce     bool    // nothing tells its repeats apart: it must not run twice, whatever its class
-	IsOneWay       bool    // nobody waits for a response: it continues when its client closes
-	HeldBytes      int     // buffered for it
+	IsRetry        bool    // the client has marked it as a retry
+	AtMostOnce     bool    // servers can't detect duplicates, so it must not run twice, whatever its class
+	IsOneWay       bool    // the client expects no response, so it continues if the client disconnects
+	HeldBytes      int     // buffered for the request
 	Call           Call
-	Body           *Body // of Call, if it is still arriving; nil: it is complete
+	Body           *Body // the body of Call if it is still arriving, nil if it is complete
 }
 
-// Submit submits a request that Admit has let in to the policy, unless it is beyond its group's quota. The response comes through the
-// codec's Responder methods, once.
+// Submit submits a request that Admit has accepted to the policy, unless its group is over its quota. The response is written through the
+// codec's Responder methods, exactly once.
 func (c *ClientConn) Submit(in IncomingRequest) {
 	charge, admitted := c.admitByQuota(&in)
 	if !admitted {
@@ -76,9 +76,10 @@
 		quota:          charge,
 	}
 	c.request = r
-	// Danger: the policy takes a deadline that is shorter than usual for a late retry's; what the shutdown cuts off is no sign of that.
+	// The policy takes a request with a shorter deadline than usual for a late retry. HeldBackSeconds therefore includes the time that the
+	// shutdown cuts off the deadline.
 	q := policy.Request{Class: in.Class, Tenant: in.Tenant, HeldBackSeconds: waitedSeconds + cutOffSeconds, Repeat: in.IsRetry, Deadline: r.deadline}
-	if r.isUploading() { // its deadline counts from its last byte; the policy goes by the usual one
+	if r.isUploading() { // its deadline counts from its last byte; the policy is given the usual one
 		r.deadline += maxUploadSeconds
 		c.pauseReading(netio.ReportClose)
 		c.setArrivalDeadline(c.sidecar.now() + arrivalTimeoutSeconds - float64(len(in.Body.Buffered))/minBytesPerSecond)
@@ -87,7 +88,7 @@
 	c.sidecar.registerRequest(r, q)
 }
 
-// rejectRequest throttles a request that is not submitted: there is no capacity for it, or its client has more than its share open.
+// rejectRequest throttles a request that is not submitted, since there is no capacity or its client is over its fair share.
 func (c *ClientConn) rejectRequest(class int, reason string) {
 	c.sidecar.counters.Requests++
 	c.sidecar.counters.countRequestEnd(class, throttled)
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -5,7 +5,7 @@
 	"math/bits"
 )
 
-// timerTarget is called by the timer that it was given to.
+// timerTarget is called when its timer fires.
 type timerTarget interface{ expire() }
 
 // timerFunc is a function as a timerTarget.
@@ -13,16 +13,16 @@
 
 func (f timerFunc) expire() { f() }
 
-// timer is a call that is due at a time. The zero value is not set.
+// timer is a call that is due at a certain time. The zero value is a timer that is not set.
 type timer struct {
 	dueAt          float64
 	target         timerTarget
 	location       timerLocation
-	index          int    // in a heap, or of the wheel's slot
-	previous, next *timer // in the wheel's slot
+	index          int    // in its heap, or of its slot in the wheel
+	previous, next *timer // neighbors in the wheel's slot
 }
 
-// timerLocation is where a timer waits.
+// timerLocation is the data structure that holds a timer.
 type timerLocation uint8
 
 const (
@@ -33,34 +33,34 @@
 )
 
 const (
-	// slotSeconds is the length of a slot of the wheel and slotCount their number: 4 ms, and four seconds in all, in which most timers are
-	// stopped again.
+	// slotSeconds is the duration of a slot of the wheel, about 4 ms, and slotCount the number of slots. The wheel spans 4 s, and most
+	// timers are stopped within that time.
 	slotSeconds = 1.0 / 256
 	slotCount   = 1024
 )
 
-// timers holds the calls that are due on the event loop, and sets the loop's one alarm for the first of them. Danger: each request sets two
-// timers and stops them long before they are due; in one heap each of these costs the logarithm of the number of timers. So timers wait in
-// a wheel, where setting and stopping take constant time; those of the present slot wait in a heap, in order, and those beyond the wheel in
-// another.
+// timers holds the timers of the event loop, and sets the loop's single alarm for the earliest. Each request sets two timers and stops them
+// long before they are due; in a heap each of these operations would take time logarithmic in the number of timers. So timers are kept in a
+// timing wheel, where setting and stopping take constant time. Timers up to the current slot are in a heap, ordered by time, and those
+// beyond the wheel in another.
 type timers struct {
 	near, far   timerHeap
 	wheel       [slotCount]*timer
-	occupied    [slotCount / 64]uint64 // bitmap of the slots that hold any
+	occupied    [slotCount / 64]uint64 // bitmap of the slots that hold timers
 	currentSlot int64                  // all timers up to this slot are in near
 	count       int
-	alarmAt     float64          // when the alarm is set, never later than the first call; 0: it is not set
+	alarmAt     float64          // time of the alarm, never later than the earliest timer; 0 if it is not set
 	setAlarm    func(at float64) // sets the alarm of the event loop; nil before Start
 }
 
-// schedule calls a function at a time, and returns the timer.
+// schedule sets a timer that calls a function at the given time, and returns it.
 func (t *timers) schedule(at float64, call func()) *timer {
 	n := &timer{}
 	t.start(n, at, timerFunc(call))
 	return n
 }
 
-// start sets a timer that is not set.
+// start sets a timer, which must not be set already.
 func (t *timers) start(n *timer, at float64, who timerTarget) {
 	n.dueAt, n.target = at, who
 	t.insert(n)
@@ -71,7 +71,7 @@
 	}
 }
 
-// insert puts a timer where its time belongs.
+// insert adds a timer to the wheel or to one of the heaps, depending on its time.
 func (t *timers) insert(n *timer) {
 	switch tick := int64(n.dueAt / slotSeconds); {
 	case tick <= t.currentSlot:
@@ -90,7 +90,7 @@
 	}
 }
 
-// stop cancels a call. A nil timer and one that is not set are ignored.
+// stop cancels a timer. It does nothing if the timer is nil or not set.
 func (t *timers) stop(n *timer) {
 	if n == nil || n.location == unset {
 		return
@@ -114,7 +114,7 @@
 	n.location, n.target = unset, nil
 }
 
-// isDue reports whether the time of any call has come.
+// isDue reports whether any timer is due.
 func (t *timers) isDue(now float64) bool {
 	if t.alarmAt > now || t.count == 0 {
 		return false
@@ -123,7 +123,7 @@
 	return len(t.near) > 0 && t.near[0].dueAt <= now
 }
 
-// pop removes the first timer and returns it. isDue has reported that there is one.
+// pop removes the earliest timer and returns it. It may be called only after isDue has returned true.
 func (t *timers) pop() *timer {
 	n := heap.Pop(&t.near).(*timer)
 	n.location = unset
@@ -131,7 +131,7 @@
 	return n
 }
 
-// advance moves timers that are due up to a slot to the near heap, and far timers that the wheel now reaches into it.
+// advance moves the wheel's timers up to the given slot to the near heap, and far timers that the wheel now covers into the wheel.
 func (t *timers) advance(tick int64) {
 	for t.currentSlot < tick {
 		free := t.emptySlots(int((t.currentSlot + 1) % slotCount))
@@ -156,7 +156,7 @@
 	}
 }
 
-// emptySlots returns how many slots from one on hold nothing, at most slotCount.
+// emptySlots returns the number of consecutive empty slots starting at the given one, at most slotCount.
 func (t *timers) emptySlots(from int) (n int) {
 	for n < slotCount {
 		i := (from + n) % slotCount
@@ -168,7 +168,7 @@
 	return slotCount
 }
 
-// arm sets the alarm to the first call, after the alarm has fired.
+// arm sets the alarm for the earliest timer again after the alarm has fired.
 func (t *timers) arm() {
 	if t.alarmAt != 0 || t.count == 0 || t.setAlarm == nil {
 		return
@@ -177,7 +177,7 @@
 	t.setAlarm(t.alarmAt)
 }
 
-// earliest returns the time of the first call.
+// earliest returns the time of the earliest timer.
 func (t *timers) earliest() (at float64) {
 	switch i := t.emptySlots(int((t.currentSlot + 1) % slotCount)); {
 	case len(t.near) > 0:
@@ -187,7 +187,7 @@
 		for at = n.dueAt; n != nil; n = n.next {
 			at = min(at, n.dueAt)
 		}
-		if len(t.far) > 0 { // it came within reach after the wheel last advanced
+		if len(t.far) > 0 { // it may have come within the wheel's span since the last advance
 			at = min(at, t.far[0].dueAt)
 		}
 		return at
--- a/internal/sidecar/timers_test.go
+++ b/internal/sidecar/timers_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is set and stopped, each call that is not stopped comes once, in order of time, not early, and as soon as it is due; the alarm
-// is never set later than the first.
+// For any sequence of setting and stopping timers, each timer that is not stopped fires once, in order of time, and neither early nor late;
+// the alarm is never later than the earliest timer.
 func TestTimersFireInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, alarm := 1.7e9+rapid.Float64Range(0, 10).Draw(t, "start"), 0.0
@@ -43,7 +43,7 @@
 				for w.isDue(now) {
 					n := w.pop()
 					if !waiting[n] || n.dueAt > now || n.dueAt < last || n.dueAt != earliest() {
-						t.Fatalf("a call of %v comes at %v, after %v; the first is %v", n.dueAt, now, last, earliest())
+						t.Fatalf("a timer for %v fires at %v, after one for %v; the earliest is for %v", n.dueAt, now, last, earliest())
 					}
 					last = n.dueAt
 					delete(waiting, n)
@@ -52,13 +52,13 @@
 				w.arm()
 			}
 			if at := earliest(); at != 0 && (alarm > at || w.alarmAt > at) {
-				t.Fatalf("the alarm is set to %v, and the first call is due at %v", alarm, at)
+				t.Fatalf("the alarm is set to %v, but the earliest timer is due at %v", alarm, at)
 			}
 			if at := earliest(); at != 0 && at <= now && now-at > 0.2 && !w.isDue(now) {
-				t.Fatalf("a call of %v is not due at %v", at, now)
+				t.Fatalf("a timer for %v is not due at %v", at, now)
 			}
 			if w.count != len(waiting) {
-				t.Fatalf("%d calls are counted, %d wait", w.count, len(waiting))
+				t.Fatalf("%d timers are counted, but %d are set", w.count, len(waiting))
 			}
 		}
 	})
--- a/internal/sidecar/upload.go
+++ b/internal/sidecar/upload.go
@@ -8,7 +8,7 @@
 // forwardUpload reads more of a request's body and forwards it.
 func (c *ClientConn) forwardUpload(r *request) {
 	s := c.sidecar
-	if r.isAnswered { // its response is written, or nobody waits for one
+	if r.isAnswered { // its response is written, or the client expects none
 		c.input.Discard(c.input.Len())
 		return
 	}
@@ -42,13 +42,13 @@
 	s.clients.admission.SetBufferedBytes(c.slot, c.requestBytes+c.input.Len())
 }
 
-// failUpload ends a request whose body can't be read to its end.
+// failUpload ends a request whose body is malformed or does not arrive.
 func (s *Sidecar) failUpload(r *request, err error) {
 	s.answerRequest(r, failed, func() { r.client.rejectMalformed(err) })
 	s.pushAbandoned(r)
 }
 
-// forwardBody writes what has arrived of an attempt's request, as far as its server takes it.
+// forwardBody writes the part of a request's body that has arrived, until the server's stream window is full.
 func (b *backendConn) forwardBody(a *attempt) {
 	for !a.exchange.IsRequestAppended() && b.conn.OutboundBuffered() < b.sidecar.streamWindow() {
 		part := a.exchange.AppendBody(b.sidecar.writeBuffer[:0], ChunkBytes)
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -1,18 +1,18 @@
 package sidecar
 
-// ResourceUsage is what a sidecar holds. One that has been idle for a while holds no more than backend connections, its watch, and their
-// timers.
+// ResourceUsage counts the resources that a sidecar holds. After a while without requests these are at most backend connections, the watch,
+// and their timers.
 type ResourceUsage struct {
-	Requests      int // open, or with a client's ID in use
+	Requests      int // open requests, and answered ones that are still tracked
 	ClientConns   int
-	BackendConns  int // including those that are being dialed or carry a probe
-	BufferedBytes int // received and not parsed
+	BackendConns  int // including those that carry a probe
+	BufferedBytes int // received but not parsed
 	Timers        int
 	Events        int // queued for the policy
-	Servers       int // known, each of which may have a connection for probes
+	Servers       int // known servers; each may have a connection for probes
 }
 
-// ResourceUsage returns what is held now. It is for the event loop, between callbacks.
+// ResourceUsage returns the current usage. It must be called on the event loop, between callbacks.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
 	h := ResourceUsage{
 		Requests:     s.requests.len(),
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// watchHeadTimeoutSeconds is how long discovery may take to start its response; it handles calls in turn and drops those that wait too
-	// long.
+	// watchHeadTimeoutSeconds is how long discovery may take to start its response. It handles calls one at a time and drops those that
+	// wait too long.
 	watchHeadTimeoutSeconds = 3.0
-	// watchTimeoutSeconds without a byte end a watch: discovery sends an empty line every 2 s while nothing changes. Danger: what a silent
-	// watch misses counts as delivered 6 s after it fell silent, and within that time another call must be answered.
+	// watchTimeoutSeconds is how long a watch may be silent; discovery sends an empty line every 2 s while nothing changes. A change counts as
+	// delivered 6 s after a watch fell silent, so within that time another call must have been answered.
 	watchTimeoutSeconds = 3.0
-	// maxListBytes bounds one object of discovery.
+	// maxListBytes bounds one list or delta from discovery.
 	maxListBytes = 8 << 20
-	// maxRewatchSeconds bounds the wait before a watch that the policy never asks for is started again.
+	// maxRewatchSeconds bounds the delay before a failed watch is restarted where the policy does not request watches.
 	maxRewatchSeconds = 1.0
-	// rewatchGraceFraction of the time for which a draining server may still be sent requests bounds it too: where lists are pushed, a
-	// change counts as delivered at once, whether or not a watch is open.
+	// rewatchGraceFraction bounds that delay too, as a fraction of the time for which a draining server may still be sent requests: where
+	// lists are pushed, a change counts as delivered at once, even if no watch is open.
 	rewatchGraceFraction = 0.25
 )
 
@@ -39,15 +39,15 @@
 	cancelDial       func()
 	input            http1.Buffer
 	parser           http1.ResponseParser
-	scanner          endpointset.StreamScanner // of the response's body
+	scanner          endpointset.StreamScanner // splits the response's body into objects and heartbeats
 	dataTimer        *timer
-	firstObjectTimer *timer // runs until the first object or heartbeat has arrived
+	firstObjectTimer *timer // runs until the first complete object or heartbeat
 	isOver           bool
 	isUp             bool   // an object or a heartbeat has arrived
-	sinceIndex       uint64 // the list's index that was asked from
+	sinceIndex       uint64 // index of the list when the changes since then were requested
 }
 
-// ensureWatch starts a watch. If one is up, the policy is notified at once.
+// ensureWatch starts a watch, unless there is one. If one is up, or a relay replaces it, the policy is notified at once.
 func (s *Sidecar) ensureWatch() {
 	if s.discovery.relay.isActive {
 		s.pushEndpoints(policy.ListDelta, nil)
@@ -62,7 +62,7 @@
 			s.pushEndpoints(policy.ListDelta, nil)
 			return
 		}
-		// Danger: discovery handles calls in turn. One that is closed and started again goes to the end of the queue.
+		// Discovery handles calls one at a time; a call that is restarted would go to the end of its queue.
 		return
 	}
 	now := s.now()
@@ -70,7 +70,7 @@
 	s.discovery.watcher = w
 	s.counters.Watches++
 	w.dataTimer = s.timers.schedule(now+watchHeadTimeoutSeconds, func() { w.fail(errWatchTimeout) })
-	// Danger: a first object that arrives byte by byte would keep the watch from being up, and from being started again, for ever.
+	// A first object that arrives byte by byte would forever keep the watch from being up and from being restarted.
 	w.firstObjectTimer = s.timers.schedule(now+watchHeadTimeoutSeconds+watchTimeoutSeconds, func() { w.fail(errWatchTimeout) })
 	w.cancelDial = s.connect(s.cfg.Discovery, now+s.cfg.Settings.ConnectTimeoutS, w, w.fail)
 }
@@ -107,7 +107,7 @@
 	if w.isUp {
 		w.sidecar.timers.stop(w.firstObjectTimer)
 	}
-	if err == nil && w.parser.IsHeadComplete() { // an empty line, too, says that the list is as it was
+	if err == nil && w.parser.IsHeadComplete() { // a heartbeat, too, confirms the list
 		w.sidecar.discovery.listReadAt = w.sidecar.now()
 		_, held := w.sidecar.endpoints.Index()
 		w.sidecar.discovery.isListRead = w.sidecar.discovery.isListRead || held && w.isUp
@@ -125,8 +125,8 @@
 	}
 }
 
-// handleBody handles the objects and heartbeats that have arrived completely. A malformed object ends the watch; the present list stays in
-// use.
+// handleBody handles the objects and heartbeats that have arrived completely. The error of a malformed object ends the watch; the present
+// list stays in use.
 func (w *watcher) handleBody() error {
 	for {
 		token, text, rest, err := w.scanner.Next(w.parser.Body)
@@ -147,7 +147,7 @@
 	}
 }
 
-// handleHeartbeat handles an empty line. The first one notifies the policy that the watch is up.
+// handleHeartbeat handles an empty line. If it is the first message of the watch, the policy is notified that the watch is up.
 func (w *watcher) handleHeartbeat() {
 	if !w.isUp {
 		w.isUp = true
@@ -159,7 +159,7 @@
 	}
 }
 
-// handleObject handles an object with a list or with changes. The first one notifies the policy that the watch is up.
+// handleObject applies a list or delta. The policy takes it as a sign that the watch is up.
 func (w *watcher) handleObject(object []byte) error {
 	if w.sidecar.discovery.relay.observer != nil {
 		return w.handleRelayedObject(object)
@@ -168,8 +168,9 @@
 	return w.sidecar.applyListObject(object)
 }
 
-// handleRelayedObject handles an object that is relayed to others. Danger: others may have relayed a later one meanwhile. Changes are in
-// that already; a complete list with a lower index is of a service that counts anew, unless there was no list yet when it was requested.
+// handleRelayedObject handles an object that the observer relays to the fleet. The fleet may have relayed a later list meanwhile, which
+// then includes the changes of an older delta. A complete list with a lower index means that the service has restarted its numbering,
+// unless it was requested since an older index or without a list.
 func (w *watcher) handleRelayedObject(object []byte) error {
 	s := w.sidecar
 	before, held := s.endpoints.Index()
@@ -182,7 +183,7 @@
 		case !snapshot:
 			object = nil
 		case w.sinceIndex != before:
-			return ErrStaleList // it is requested again, from the present index
+			return ErrStaleList // the watch restarts from the present index
 		}
 	}
 	if w.isUp = true; object == nil {
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// stop closes a watch without reporting it.
+// stop closes a watch without reporting its end.
 func (w *watcher) stop() {
 	w.isOver = true
 	w.sidecar.timers.stop(w.dataTimer)
@@ -208,8 +209,7 @@
 	}
 }
 
-// fail ends a watch that brings nothing more. The policy asks for another; if it never does, since lists are pushed, the sidecar starts
-// one.
+// fail ends a watch after an error or its regular end, and requests another unless a relay replaces it.
 func (w *watcher) fail(err error) {
 	if w.isOver {
 		return
@@ -235,7 +235,8 @@
 	s.requestWatch()
 }
 
-// requestWatch makes another watch start in place of one that has ended.
+// requestWatch replaces a watch that has ended. Where lists are requested on demand, the policy decides when; otherwise the sidecar starts
+// one after a delay.
 func (s *Sidecar) requestWatch() {
 	if s.cfg.Settings.Policy.ListOnDemand {
 		s.pushEndpoints(policy.ListFailed, nil)
@@ -244,7 +245,7 @@
 	s.timers.schedule(s.now()+s.rewatchDelay(), s.ensureWatch)
 }
 
-// rewatchDelay returns how long a watch that the policy never asks for stays closed after it has failed, in seconds.
+// rewatchDelay returns the seconds after which a failed watch is restarted where the policy does not request watches.
 func (s *Sidecar) rewatchDelay() float64 {
 	if grace := s.cfg.Settings.Policy.DrainGraceSeconds; grace > 0 {
 		return min(maxRewatchSeconds, rewatchGraceFraction*grace)
