--- a/internal/sidecar/backendconn.go
+++ b/internal/sidecar/backendconn.go
@@ -151,9 +151,9 @@
 	}
 	if err != nil {
 		b.attempt = nil
-		far := b.updateProgress(a)
+		reached := b.updateProgress(a)
 		b.close()
-		b.sidecar.finishAttempt(a, &attemptError{far, malformed, err})
+		b.sidecar.finishAttempt(a, &attemptError{reached, malformed, err})
 		return
 	}
 	if done {
--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -26,13 +26,13 @@
 	return len(s.clients.conns) > s.cfg.Limits.Sockets/s.processes/5
 }
 
-// admissionSettings returns the configured limits, bounded by the available descriptors and memory. newcomers is the number of client
+// admissionSettings returns the configured limits, bounded by the available descriptors and memory. newConns is the number of client
 // connections that are open but not in the admission table yet.
-func (s *Sidecar) admissionSettings(newcomers int) admission.Settings {
+func (s *Sidecar) admissionSettings(newConns int) admission.Settings {
 	a := s.clients.config.Settings
 	a.ReservedForKnown = s.reservedClientSlots()
 	// Descriptors that backend connections use are not available for clients.
-	a.MaxConns = max(min(s.maxClients(), s.maxConns()-s.backendDescriptors()+newcomers), a.ReservedForKnown)
+	a.MaxConns = max(min(s.maxClients(), s.maxConns()-s.backendDescriptors()+newConns), a.ReservedForKnown)
 	if a.MaxBufferedBytes == 0 {
 		a.MaxBufferedBytes = s.cfg.Limits.MemoryMB << 20 / s.processes / 4
 	}
--- a/internal/sidecar/clientinput.go
+++ b/internal/sidecar/clientinput.go
@@ -25,7 +25,7 @@
 		case c.input.Len() > maxInputBytes: // the loop could not pause reading
 			c.sidecar.closeConn(c.conn)
 		case c.input.Len() > maxPipelinedBytes:
-			c.pauseReading(c.pausedEnds())
+			c.pauseReading(c.closePolicyWhilePaused())
 			c.accountHeldBytes(c.input.Len() + c.requestBytes + c.unreadBytes)
 		}
 		return
@@ -39,9 +39,9 @@
 	}
 }
 
-// pausedEnds returns how a close by the client is handled while reading is paused. It is reported at once while the client waits for a
-// response of which nothing is written yet.
-func (c *ClientConn) pausedEnds() netio.ClosePolicy {
+// closePolicyWhilePaused returns how a close by the client is handled while reading is paused. It is reported at once while the client
+// waits for a response of which nothing is written yet.
+func (c *ClientConn) closePolicyWhilePaused() netio.ClosePolicy {
 	if c.request == nil || c.request.isAnswered {
 		return netio.DeferClose
 	}
@@ -137,9 +137,9 @@
 }
 
 // pauseReading leaves received data in the socket. A client that closes while its request is open may have unread bytes before the close.
-// If the close went unnoticed, the request would be run although nobody waits for it; ends says whether it is reported at once.
-func (c *ClientConn) pauseReading(ends netio.ClosePolicy) {
-	c.sidecar.net.PauseReading(c.conn, ends)
+// If the close went unnoticed, the request would be run although nobody waits for it; closePolicy says whether it is reported at once.
+func (c *ClientConn) pauseReading(closePolicy netio.ClosePolicy) {
+	c.sidecar.net.PauseReading(c.conn, closePolicy)
 	c.isPaused = true
 }
 
--- a/internal/sidecar/clients.go
+++ b/internal/sidecar/clients.go
@@ -66,7 +66,7 @@
 // closeStaleClients closes connections that have never sent a byte and, while there are many, those that are idle.
 func (s *Sidecar) closeStaleClients() {
 	now := s.now()
-	old := func(state admission.State, since float64) {
+	closeOlderThan := func(state admission.State, since float64) {
 		for slot := s.clients.admission.Oldest(state); slot != nil; slot = s.clients.admission.Oldest(state) {
 			if _, at := slot.State(); at >= since {
 				return
@@ -74,8 +74,8 @@
 			slot.Owner.(*ClientConn).closeStale()
 		}
 	}
-	if old(admission.StateNew, now-firstByteTimeoutSeconds); s.hasManyClients() {
-		old(admission.StateIdle, now-crowdedIdleTimeoutSeconds)
+	if closeOlderThan(admission.StateNew, now-firstByteTimeoutSeconds); s.hasManyClients() {
+		closeOlderThan(admission.StateIdle, now-crowdedIdleTimeoutSeconds)
 	}
 	s.timers.schedule(now+sweepIntervalSeconds, s.closeStaleClients)
 }
--- a/internal/sidecar/clientstatus.go
+++ b/internal/sidecar/clientstatus.go
@@ -11,7 +11,7 @@
 
 // ClientStatus returns the admission state of client addresses as a line of JSON.
 func (s *Sidecar) ClientStatus() []byte {
-	var all struct {
+	var status struct {
 		Links     int                `json:"links"`
 		Most      int                `json:"most"`
 		Reserve   int                `json:"reserve"`
@@ -19,9 +19,9 @@
 		Clients   []admission.Client `json:"clients"`
 	}
 	settings := s.admissionSettings(0)
-	all.Links, all.Most, all.Reserve = s.clients.admission.Len(), settings.MaxConns, settings.ReservedForKnown
-	all.Clients, all.Addresses = s.clients.admission.Clients(maxShownAddresses)
-	raw, err := json.Marshal(all)
+	status.Links, status.Most, status.Reserve = s.clients.admission.Len(), settings.MaxConns, settings.ReservedForKnown
+	status.Clients, status.Addresses = s.clients.admission.Clients(maxShownAddresses)
+	raw, err := json.Marshal(status)
 	if err != nil { // numbers and names always marshal
 		panic(err)
 	}
--- a/internal/sidecar/counters_form_test.go
+++ b/internal/sidecar/counters_form_test.go
@@ -10,7 +10,7 @@
 )
 
 // Operators' tools read /counters, so with every field set the response must equal the golden file.
-func TestCountersForm(t *testing.T) {
+func TestCountersMatchGoldenFile(t *testing.T) {
 	c := counters{}
 	setFields(reflect.ValueOf(&c).Elem())
 	for i := range c.attemptOutcomes {
--- a/internal/sidecar/endpoints.go
+++ b/internal/sidecar/endpoints.go
@@ -8,8 +8,8 @@
 	"hazelwheel/policy"
 )
 
-// noticeMalformedList logs that discovery has sent a malformed list, unless the previous list failed with the same error.
-func (s *Sidecar) noticeMalformedList(err error) {
+// warnMalformedList logs that discovery has sent a malformed list, unless the previous list failed with the same error.
+func (s *Sidecar) warnMalformedList(err error) {
 	if errors.Is(err, ErrStaleList) || err.Error() == s.discovery.lastListError {
 		return
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -27,8 +27,8 @@
 }
 
 // pushEvent queues an event for the policy. It is handled before the current callback returns.
-func (s *Sidecar) pushEvent(do func(now float64)) {
-	s.turn.events = append(s.turn.events, event{run: do})
+func (s *Sidecar) pushEvent(run func(now float64)) {
+	s.turn.events = append(s.turn.events, event{run: run})
 }
 
 // handleEvents hands the queued events to the policy, including those that handling them adds.
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -162,15 +162,15 @@
 	isAvoided, tracker, settings := s.balancer.Ejected(now), s.maintenance, &s.cfg.Settings.Policy
 	for id := range s.endpoints.Names {
 		endpoint := s.endpoints.Host(id)
-		known := endpoint.Listing()
+		listing := endpoint.Listing()
 		isOut, isKeptInUse := s.endpoints.MaintenanceState(endpoint.Name)
 		status := ServerStatus{
 			Name:          endpoint.Name,
-			Zone:          known.Zone,
-			Type:          known.Type,
-			Weight:        known.Weight,
-			IsListed:      known.IsListed,
-			IsDraining:    known.IsDraining,
+			Zone:          listing.Zone,
+			Type:          listing.Type,
+			Weight:        listing.Weight,
+			IsListed:      listing.IsListed,
+			IsDraining:    listing.IsDraining,
 			IsCordoned:    s.endpoints.IsCordoned(endpoint.Name),
 			IsKeptInUse:   isKeptInUse,
 			InFlight:      inFlight[id] + tracker.openAttempts(id, now),
@@ -179,14 +179,14 @@
 		if !status.IsListed && !isOut && !status.IsCordoned && status.InFlight == 0 {
 			continue
 		}
-		status.IsWarmingUp = settings.SlowStartSeconds > 0 && known.StartedAt > 0 && now-known.StartedAt < settings.SlowStartSeconds
+		status.IsWarmingUp = settings.SlowStartSeconds > 0 && listing.StartedAt > 0 && now-listing.StartedAt < settings.SlowStartSeconds
 		status.IsUnavailable = endpoint.State == policy.Ready && (isAvoided(id) || tracker.isFailing(id, now))
 		r, isReported := tracker.reports[id]
 		status.IsBusy = isReported && now-r.at < reportValidSeconds && r.inflight > 0
 		all = append(all, status)
 	}
-	slices.SortFunc(all, func(a, status ServerStatus) int {
-		if a.Name < status.Name {
+	slices.SortFunc(all, func(a, b ServerStatus) int {
+		if a.Name < b.Name {
 			return -1
 		}
 		return 1
--- a/internal/sidecar/maintenance_test.go
+++ b/internal/sidecar/maintenance_test.go
@@ -18,10 +18,10 @@
 		tracker.recordAttempt(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
 	}
 	r := &request{}
-	broken, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
+	broken, cancelledByPolicy := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
 	record(r, broken)
 	assert.False(t, tracker.isFailing(7, now), "one connection may have broken while idle")
-	record(r, left)
+	record(r, cancelledByPolicy)
 	record(nil, nil)
 	record(r, broken)
 	assert.True(t, tracker.isFailing(7, now))
--- a/internal/sidecar/operators.go
+++ b/internal/sidecar/operators.go
@@ -54,7 +54,7 @@
 func (s *Sidecar) IsDrainedByOperator() bool { return s.lifecycle.isDrained }
 
 // DrainByOperator drains the sidecar: it reports that it is not ready, each response is the last on its connection, and idle connections
-// are closed after newcomerPeriodSeconds. Requests that still arrive are served.
+// are closed after listenGraceSeconds. Requests that still arrive are served.
 func (s *Sidecar) DrainByOperator() error {
 	if s.lifecycle.isShuttingDown {
 		return nil
@@ -70,7 +70,7 @@
 	s.lifecycle.isDrained = on
 	s.log.Info("operator drain changed", "drained", on, "connections", len(s.clients.conns))
 	if on {
-		s.timers.schedule(s.now()+newcomerPeriodSeconds, s.closeIdleWhileDrained)
+		s.timers.schedule(s.now()+listenGraceSeconds, s.closeIdleWhileDrained)
 	}
 }
 
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -33,13 +33,13 @@
 
 // enqueueRequest submits a request to the policy, or queues it behind the pending ones.
 func (s *Sidecar) enqueueRequest(r *request, q policy.Request) {
-	a, now := &s.pending, s.now()
-	if a.queue.Len() == 0 && !a.isScheduled && q.HeldBackSeconds < staleSeconds {
-		if now-a.burstStartedAt > burstWindowSeconds {
-			a.burst, a.burstStartedAt = 0, now
+	p, now := &s.pending, s.now()
+	if p.queue.Len() == 0 && !p.isScheduled && q.HeldBackSeconds < staleSeconds {
+		if now-p.burstStartedAt > burstWindowSeconds {
+			p.burst, p.burstStartedAt = 0, now
 		}
-		if a.burst < maxBurst {
-			a.burst++
+		if p.burst < maxBurst {
+			p.burst++
 			s.pushRequest(r, q)
 			return
 		}
@@ -48,24 +48,24 @@
 	if q.HeldBackSeconds >= staleSeconds { // its delay is the loop's own, which must not count for load shedding
 		from = now
 	}
-	a.queue.Enqueue(admission.QueuedRequest[pendingRequest]{Request: pendingRequest{r, q, now}, Class: q.Class, ArrivedAt: from})
+	p.queue.Enqueue(admission.QueuedRequest[pendingRequest]{Request: pendingRequest{r, q, now}, Class: q.Class, ArrivedAt: from})
 	s.schedulePending()
 }
 
 // schedulePending makes submitPending run once the loop has read its connections.
 func (s *Sidecar) schedulePending() {
-	if a := &s.pending; !a.isScheduled {
-		a.isScheduled = true
+	if p := &s.pending; !p.isScheduled {
+		p.isScheduled = true
 		s.net.Yield(func() { s.runCallback(s.submitPending) })
 	}
 }
 
 // submitPending submits the next requests to the policy. Requests that the queue sheds, since they have waited too long, are throttled.
 func (s *Sidecar) submitPending() {
-	a, now := &s.pending, s.now()
-	a.isScheduled, a.burstStartedAt, a.burst = false, now, 0
-	for a.burst < maxBurst {
-		waiting, isShed, ok := a.queue.Dequeue(now)
+	p, now := &s.pending, s.now()
+	p.isScheduled, p.burstStartedAt, p.burst = false, now, 0
+	for p.burst < maxBurst {
+		waiting, isShed, ok := p.queue.Dequeue(now)
 		if !ok {
 			return
 		}
@@ -80,9 +80,9 @@
 			q.HeldBackSeconds += now - waiting.Request.enqueuedAt
 			s.pushRequest(r, q)
 		}
-		a.burst++
+		p.burst++
 	}
-	if a.queue.Len() > 0 {
+	if p.queue.Len() > 0 {
 		s.schedulePending()
 	}
 }
--- a/internal/sidecar/quotas.go
+++ b/internal/sidecar/quotas.go
@@ -16,13 +16,13 @@
 
 // quotaEnforcer applies the quotas of client groups. It is nil if quotas are off.
 type quotaEnforcer struct {
-	settings   quotas.Settings
-	limiter    *quota.Limiter
-	classifier *quotas.Classifier
-	exempt     []bool                 // by index of the class: not subject to quotas
-	floor      []bool                 // by index of the class: may use the floors of its group
-	snapshots  *quotas.SnapshotWriter // nil if no snapshots are written
-	counters   QuotaCounters
+	settings    quotas.Settings
+	limiter     *quota.Limiter
+	classifier  *quotas.Classifier
+	exempt      []bool                 // by index of the class: not subject to quotas
+	mayUseFloor []bool                 // by index of the class: may use the floors of its group
+	snapshots   *quotas.SnapshotWriter // nil if no snapshots are written
+	counters    QuotaCounters
 }
 
 // QuotaCounters are the counters of quotas. Operators' tools read their JSON names, which must not change.
@@ -65,7 +65,7 @@
 		}
 		return flags
 	}
-	enforcer.exempt, enforcer.floor = classFlags(settings.ExemptClasses), classFlags(settings.FloorClasses)
+	enforcer.exempt, enforcer.mayUseFloor = classFlags(settings.ExemptClasses), classFlags(settings.FloorClasses)
 	if settings.SnapshotDir != "" {
 		s.descriptors.reserved += quotas.WriterDescriptors
 	}
@@ -170,7 +170,7 @@
 		bytes, header = codec.RequestBytes(), codec
 	}
 	group := enforcer.classifier.GroupOf(header, s.cfg.Settings.Policy.Classes[in.Class].Name, clientAddress(c.conn))
-	charge := quotaCharge{request: enforcer.limiter.NewRequest(group, float64(bytes), enforcer.floor[in.Class]), isCharged: true, admittedAt: now}
+	charge := quotaCharge{request: enforcer.limiter.NewRequest(group, float64(bytes), enforcer.mayUseFloor[in.Class]), isCharged: true, admittedAt: now}
 	decision := enforcer.limiter.Admit(now, charge.request)
 	if decision.Allowed {
 		enforcer.counters.Served++
--- a/internal/sidecar/request.go
+++ b/internal/sidecar/request.go
@@ -43,8 +43,8 @@
 	q.ID = r.id
 	// This timer answers the client in time even if the policy does not.
 	s.timers.start(&r.deadlineTimer, r.deadline+s.responseSlackSeconds/2, r)
-	enqueue := func(seconds float64) {
-		q.HeldBackSeconds += seconds
+	enqueue := func(heldSeconds float64) {
+		q.HeldBackSeconds += heldSeconds
 		s.enqueueRequest(r, q)
 	}
 	if !s.applyFault(r, q.Class, enqueue) {
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -3,15 +3,15 @@
 import "math"
 
 // After the shutdown signal, clients still open connections for a while and use those that are open. The sidecar accepts connections for
-// another newcomerPeriodSeconds. Then it stops listening, closes connections that have been idle for drainIdleSeconds, and exits after the
+// another listenGraceSeconds. Then it stops listening, closes connections that have been idle for drainIdleSeconds, and exits after the
 // last response.
 const (
-	newcomerPeriodSeconds     = 0.7
+	listenGraceSeconds        = 0.7
 	drainIdleSeconds          = 0.2
 	drainCheckIntervalSeconds = 0.01
 	// The platform kills the process at the earliest killGraceSeconds after the longest request deadline, of which it counts at most
 	// maxCountedRequestSeconds. So the process exits shutdownGraceSeconds after the longest deadline even if requests are still open, and
-	// requests that arrive after the signal are answered by responseGraceSeconds after it.
+	// requests that arrive after the signal are answered by responseGraceSeconds after that deadline.
 	killGraceSeconds         = 0.7
 	maxCountedRequestSeconds = 3.0
 	shutdownGraceSeconds     = killGraceSeconds - 0.05
@@ -29,7 +29,7 @@
 		s.net.StopListening(s.onListenStopped)
 		return
 	}
-	s.timers.schedule(s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds, func() {
+	s.timers.schedule(s.lifecycle.shutdownStartedAt+listenGraceSeconds, func() {
 		// While connections are accepted, clients replace each one that is closed, so the shutdown would never end.
 		s.net.StopListening(s.onListenStopped)
 	})
@@ -74,13 +74,13 @@
 }
 
 // latestResponseAt returns the time by which a request that arrives now must be answered: before this process exits or, if it arrives more
-// than newcomerPeriodSeconds after the signal, before the platform may kill the process.
+// than listenGraceSeconds after the signal, before the platform may kill the process.
 func (s *Sidecar) latestResponseAt() float64 {
 	if !s.lifecycle.isShuttingDown {
 		return math.Inf(1)
 	}
 	longest := s.maxRequestSeconds()
-	if s.now() > s.lifecycle.shutdownStartedAt+newcomerPeriodSeconds {
+	if s.now() > s.lifecycle.shutdownStartedAt+listenGraceSeconds {
 		longest = min(longest, maxCountedRequestSeconds)
 	}
 	return s.lifecycle.shutdownStartedAt + longest + responseGraceSeconds
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -18,8 +18,8 @@
 )
 
 // An outcome that says that a request has not run lets it be sent again, so it is reported only if that is certain.
-func TestOutcomeClaimsOnlyWhatIsCertain(t *testing.T) {
-	o := func(p progress, c cause) policy.Outcome { return (&attemptError{p, c, nil}).outcome() }
+func TestAttemptErrorOutcome(t *testing.T) {
+	outcomeOf := func(p progress, c cause) policy.Outcome { return (&attemptError{p, c, nil}).outcome() }
 	table := map[cause][4]policy.Outcome{
 		connBroken: {policy.ConnectFailed, policy.ConnectFailed, policy.Reset, policy.HostError},
 		timedOut:   {policy.ConnectFailed, policy.TimedOut, policy.TimedOut, policy.TimedOut},
@@ -29,7 +29,7 @@
 	}
 	for c, row := range table {
 		for p, want := range row {
-			assert.Equal(t, want, o(progress(p), c), "%v, %v", c, progress(p))
+			assert.Equal(t, want, outcomeOf(progress(p), c), "%v, %v", c, progress(p))
 		}
 	}
 	err := &attemptError{responding, connBroken, errUnsolicited}
@@ -173,12 +173,12 @@
 func TestIdleConnIsCheckedBeforeUse(t *testing.T) {
 	s := newTestSidecar(t)
 	h := &endpointset.Host{ID: 7, Address: "a"}
-	sound, _ := newIdleConn(s, h)
+	usable, _ := newIdleConn(s, h)
 	withUnreadData, c := newIdleConn(s, h)
 	c.isQuiet = false
 	fresh, _ := newIdleConn(s, h)
 	fresh.idleSince = s.now() + 1
-	assert.Same(t, sound, s.takeIdleConn(h, nil))
+	assert.Same(t, usable, s.takeIdleConn(h, nil))
 	assert.True(t, withUnreadData.isClosed)
 	s.cfg.Limits.Sockets = 1000
 	assert.Nil(t, s.takeIdleConn(h, nil), "within the reuse delay, a new connection is preferred")
--- a/internal/sidecar/timers.go
+++ b/internal/sidecar/timers.go
@@ -61,8 +61,8 @@
 }
 
 // start sets a timer, which must not be set already.
-func (t *timers) start(n *timer, at float64, who timerTarget) {
-	n.dueAt, n.target = at, who
+func (t *timers) start(n *timer, at float64, target timerTarget) {
+	n.dueAt, n.target = at, target
 	t.insert(n)
 	t.count++
 	if t.setAlarm != nil && (t.alarmAt == 0 || at < t.alarmAt) {
@@ -73,12 +73,12 @@
 
 // insert adds a timer to the wheel or to one of the heaps, depending on its time.
 func (t *timers) insert(n *timer) {
-	switch tick := int64(n.dueAt / slotSeconds); {
-	case tick <= t.currentSlot:
+	switch slot := int64(n.dueAt / slotSeconds); {
+	case slot <= t.currentSlot:
 		n.location = inNearHeap
 		heap.Push(&t.near, n)
-	case tick < t.currentSlot+slotCount:
-		n.location, n.index = inWheel, int(tick%slotCount)
+	case slot < t.currentSlot+slotCount:
+		n.location, n.index = inWheel, int(slot%slotCount)
 		if n.next = t.wheel[n.index]; n.next != nil {
 			n.next.previous = n
 		}
@@ -132,12 +132,12 @@
 }
 
 // advance moves the wheel's timers up to the given slot to the near heap, and far timers that the wheel now covers into the wheel.
-func (t *timers) advance(tick int64) {
-	for t.currentSlot < tick {
-		free := t.emptySlots(int((t.currentSlot + 1) % slotCount))
-		next := t.currentSlot + 1 + int64(free)
-		if free == slotCount || next > tick {
-			t.currentSlot = tick
+func (t *timers) advance(slot int64) {
+	for t.currentSlot < slot {
+		emptyCount := t.emptySlots(int((t.currentSlot + 1) % slotCount))
+		next := t.currentSlot + 1 + int64(emptyCount)
+		if emptyCount == slotCount || next > slot {
+			t.currentSlot = slot
 			break
 		}
 		t.currentSlot = next
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -14,7 +14,7 @@
 
 // ResourceUsage returns the current usage. It must be called on the event loop, between callbacks.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
-	h := ResourceUsage{
+	usage := ResourceUsage{
 		Requests:     s.requests.len(),
 		ClientConns:  len(s.clients.conns),
 		BackendConns: s.descriptors.open - len(s.clients.conns),
@@ -23,11 +23,11 @@
 		Servers:      s.endpoints.Len(),
 	}
 	if w := s.discovery.watcher; w != nil && w.conn != nil {
-		h.BackendConns--
-		h.BufferedBytes += w.input.Len()
+		usage.BackendConns--
+		usage.BufferedBytes += w.input.Len()
 	}
 	for _, c := range s.clients.conns {
-		h.BufferedBytes += c.input.Len()
+		usage.BufferedBytes += c.input.Len()
 	}
-	return h
+	return usage
 }
--- a/internal/sidecar/watch.go
+++ b/internal/sidecar/watch.go
@@ -141,7 +141,7 @@
 			return nil
 		}
 		if err != nil {
-			w.sidecar.noticeMalformedList(err)
+			w.sidecar.warnMalformedList(err)
 			return err
 		}
 	}
