--- a/internal/sidecar/maintenance_test.go
+++ b/internal/sidecar/maintenance_test.go
@@ -8,8 +8,8 @@
 	"hazelwheel/policy"
 )
 
-// A server that breaks connections under requests is failing until it responds, however quickly it breaks them. A client that closed, and a
-// probe that was answered, change nothing.
+// A server whose connections break during requests counts as failing until it responds. An attempt that the policy cancelled and an
+// answered probe change nothing.
 func TestServerWithBrokenConnsIsFailing(t *testing.T) {
 	s := newTestSidecar(t)
 	s.EnableMaintenance()
@@ -18,15 +18,15 @@
 		tracker.recordAttempt(&attempt{serverID: 7, request: request}, err, &policy.Result{}, now)
 	}
 	r := &request{}
-	broken, left := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
+	broken, cancelledByPolicy := &attemptError{fullyWritten, connBroken, errUnsolicited}, &attemptError{fullyWritten, cancelled, nil}
 	record(r, broken)
 	assert.False(t, tracker.isFailing(7, now), "one connection may have broken while idle")
-	record(r, left)
+	record(r, cancelledByPolicy)
 	record(nil, nil)
 	record(r, broken)
 	assert.True(t, tracker.isFailing(7, now))
 	assert.False(t, tracker.isFailing(8, now))
-	assert.False(t, tracker.isFailing(7, now+failingSeconds), "nothing was sent there for long")
+	assert.False(t, tracker.isFailing(7, now+failingSeconds), "the last broken connection is too long ago")
 	record(r, nil)
 	assert.False(t, tracker.isFailing(7, now))
 	record(r, broken)
--- a/internal/sidecar/usage.go
+++ b/internal/sidecar/usage.go
@@ -1,20 +1,20 @@
 package sidecar
 
-// ResourceUsage is what a sidecar holds. One that has been idle for a while holds no more than backend connections, its watch, and their
-// timers.
+// ResourceUsage counts the resources that a sidecar holds. After a while without requests these are at most backend connections, the watch,
+// and their timers.
 type ResourceUsage struct {
-	Requests      int // open, or with a client's ID in use
+	Requests      int // open requests, and answered ones that are still tracked
 	ClientConns   int
-	BackendConns  int // including those that are being dialed or carry a probe
-	BufferedBytes int // received and not parsed
+	BackendConns  int // including those that carry a probe
+	BufferedBytes int // received but not parsed
 	Timers        int
 	Events        int // queued for the policy
-	Servers       int // known, each of which may have a connection for probes
+	Servers       int // known servers; each may have a connection for probes
 }
 
-// ResourceUsage returns what is held now. It is for the event loop, between callbacks.
+// ResourceUsage returns the current usage. It must be called on the event loop, between callbacks.
 func (s *Sidecar) ResourceUsage() ResourceUsage {
-	h := ResourceUsage{
+	usage := ResourceUsage{
 		Requests:     s.requests.len(),
 		ClientConns:  len(s.clients.conns),
 		BackendConns: s.descriptors.open - len(s.clients.conns),
@@ -23,11 +23,11 @@
 		Servers:      s.endpoints.Len(),
 	}
 	if w := s.discovery.watcher; w != nil && w.conn != nil {
-		h.BackendConns--
-		h.BufferedBytes += w.input.Len()
+		usage.BackendConns--
+		usage.BufferedBytes += w.input.Len()
 	}
 	for _, c := range s.clients.conns {
-		h.BufferedBytes += c.input.Len()
+		usage.BufferedBytes += c.input.Len()
 	}
-	return h
+	return usage
 }
