--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -1,5 +1,5 @@
-// Package featureconfig reads the operators' file of optional features. A feature that the file doesn't
-// mention is off. Errors are one line that names the invalid field.
+// Package featureconfig parses the JSON file in which operators enable and configure optional features. A feature
+// that the file doesn't mention is off. Each error is a single line that names the invalid field.
 package featureconfig
 
 import (
@@ -34,15 +34,16 @@
 	Fleet     Fleet
 }
 
-// Admission bounds what clients may hold. Its zero value has no caps and no reserve.
+// Admission limits the connections and buffered bytes that clients may hold. Its zero value has no limits and reserves
+// nothing for known clients.
 type Admission struct{ admission.Settings }
 
-// On reports whether any bound is set.
+// On reports whether any limit is set.
 func (a *Admission) On() bool {
 	return a.ReservedForKnown > 0 || a.MaxPerAddress > 0 || a.MaxBufferedBytes > 0 || len(a.PrefixLimits) > 0 || len(a.KnownPrefixes) > 0
 }
 
-// String lists the features that are on, for the log.
+// String lists the enabled features, for the log.
 func (f *Features) String() string {
 	var on []string
 	if n := len(f.Drills.Faults); n > 0 && len(f.Drills.SecretHash) > 0 {
@@ -83,7 +84,7 @@
 	return strings.Join(on, ", ")
 }
 
-// Load reads the file at path, for the program that c configures.
+// Load parses the feature file at path and validates it against the sidecar's configuration c.
 func Load(path string, c *sidecarconfig.Config) (Features, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return f, nil
 }
 
-// Parse reads the file's text.
+// Parse parses the text of a feature file and validates it against the sidecar's configuration c.
 func Parse(raw []byte, c *sidecarconfig.Config) (f Features, err error) {
 	o, err := readObject("", raw)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return f, o.rest()
 }
 
-// readDrills reads the faults that an operator may inject, and the hash of the secret that starts them.
+// readDrills reads the faults that an operator may inject, and the hash of the secret that authorizes injecting them.
 func (f *Features) readDrills(o *object, c *sidecarconfig.Config) {
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
@@ -130,7 +131,7 @@
 		f.Drills.Faults = append(f.Drills.Faults, d)
 	}
 	var hash string
-	nothing := sha256.Sum256(nil) // a secret that everybody has
+	nothing := sha256.Sum256(nil) // the hash of the empty secret, which anybody could give
 	field(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
 		sum, err := hex.DecodeString(s)
 		f.Drills.SecretHash = sum
@@ -151,7 +152,7 @@
 		})
 		field(e, "name", &r.Name, nameRule, name)
 		e.need("dir", "when", "op", "name")
-		switch r.Op { // elsewhere value and to mean nothing and are unknown
+		switch r.Op { // "value" and "to" are unknown fields for the other operations
 		case rewrite.Add:
 			field(e, "value", &r.Value, "text without control bytes", func(s string) bool {
 				return !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f })
@@ -171,7 +172,7 @@
 	}
 }
 
-// readHealth reads the port and the limits of health checks by other programs.
+// readHealth reads the port that answers health checks of other programs, and the limits beyond which it reports unhealthy.
 func (f *Features) readHealth(o *object, c *sidecarconfig.Config) {
 	f.Health = health.Settings{MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}
 	o.unfold("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
@@ -184,7 +185,8 @@
 	field(o, "health.max_inflight", &f.Health.MaxInflight, "a whole number from 0", func(v int) bool { return v >= 0 })
 }
 
-// readCapture reads the settings of captures. Any field of capture turns it on, also an empty object, which has the defaults.
+// readCapture reads the settings of package capture. Any of its fields enables capturing; an empty object enables it with
+// the defaults.
 func (f *Features) readCapture(o *object, cfg *sidecarconfig.Config) {
 	c := &f.Capture
 	c.MaxBytes, c.Segments = 512<<10, 4
@@ -197,14 +199,14 @@
 	if c.Segments > 0 && c.MaxBytes/c.Segments < capture.MinSegmentBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at least %d for each of capture.files", capture.MinSegmentBytes))
 	}
-	// Danger: the ring is there from the start, and a dump copies it; the sidecar is killed beyond its memory.
+	// Danger: the ring buffer is allocated at startup and a dump copies it. A sidecar that exceeds its memory limit is killed.
 	if maxBytes := cfg.Limits.MemoryMB << 20 / 4; c.Enabled && c.MaxBytes > maxBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at most %d, a quarter of limits.memory_mb", maxBytes))
 	}
 	field(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
 }
 
-// readAdmission reads the bounds on what clients may hold.
+// readAdmission reads the limits on the connections and buffered bytes of clients.
 func (f *Features) readAdmission(o *object, cfg *sidecarconfig.Config) {
 	a := &f.Admission
 	o.unfold("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
@@ -241,7 +243,7 @@
 	}
 }
 
-// parsePrefix parses a prefix, or an address as the prefix that holds it alone.
+// parsePrefix parses an IP prefix. A single address becomes a prefix of full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(a.Unmap(), a.Unmap().BitLen()), nil
@@ -250,7 +252,7 @@
 	return p.Masked(), err
 }
 
-// hasClass reports whether the settings have a class of this name.
+// hasClass reports whether the configuration defines a class of this name.
 func hasClass(c *sidecarconfig.Config, name string) bool {
 	for _, class := range c.Settings.Policy.Classes {
 		if class.Name == name {
@@ -263,7 +265,7 @@
 // maxNameBytes bounds the names that plainName accepts.
 const maxNameBytes = 64
 
-// plainName reports whether a name can stand unquoted in a path, a log line and a metric.
+// plainName reports whether a name can be used without quoting in a path, a log line and a metric.
 func plainName(s string) bool {
 	isForbidden := func(r rune) bool {
 		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
--- a/internal/featureconfig/features_test.go
+++ b/internal/featureconfig/features_test.go
@@ -28,7 +28,7 @@
 	return Parse([]byte(text), &c)
 }
 
-// The page's examples hold, with the defaults that it names.
+// Valid files are parsed, and absent fields get their defaults.
 func TestExamples(t *testing.T) {
 	f, err := read(`{"drills":[{"name":"lag1","class":"latest-reading","share":10,"delay_ms":800},
 		{"name":"x","class":"log-calibration","abort":"503","duration_s":5}],"drills.secret_sha256":"` + hash + `"}`)
@@ -79,12 +79,13 @@
 
 	f, err = read(`{}`)
 	require.NoError(t, err)
-	assert.False(t, f.Drills.Faults != nil || f.Drills.SecretHash != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.Enabled || f.Admission.On() || f.Thrift.On(), "what is not named is off")
+	assert.False(t, f.Drills.Faults != nil || f.Drills.SecretHash != nil || f.Rewrites.On() || f.Health.IsEnabled() || f.Capture.Enabled || f.Admission.On() || f.Thrift.On(), "features that the file doesn't mention are off")
 	_, err = Load(filepath.Join(t.TempDir(), "none.json"), &sidecarconfig.Config{})
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// A fault is one line that begins with the field: whatever an operator mistypes must not quietly mean something else.
+// Each invalid file is rejected with a single line that begins with the field's path, so that a typo in a field or value
+// is never silently ignored.
 func TestFaultsAreNamed(t *testing.T) {
 	d := func(more string) string { return `{"drills":[{"name":"a","class":"latest-reading"` + more + `}]}` }
 	r := func(more string) string { return `{"rewrites":[{"dir":"in","when":{"path_prefix":"/"},` + more + `}]}` }
--- a/internal/featureconfig/fleet.go
+++ b/internal/featureconfig/fleet.go
@@ -8,18 +8,18 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Fleet holds how this sidecar joins others of its fleet. Without a Name it joins none.
+// Fleet holds the settings with which this sidecar joins its fleet. With an empty Name it joins none.
 type Fleet struct {
 	Name      string
 	Listen    string   // address and port for peers
-	Advertise string   // where peers dial it; empty: Listen
-	Join      []string // addresses to begin with
-	Dir       string   // for what must survive a restart; empty: each start is a new sidecar
-	Voters    []string // addresses of 3, 5 or 7 that agree on who owns which job, the same at all; empty: nobody owns any
-	Jobs      []string // that this sidecar can do on behalf of all
+	Advertise string   // address that peers dial; empty: Listen
+	Join      []string // addresses of peers to contact first
+	Dir       string   // folder for state that must survive a restart; empty: the sidecar has a new identity after each start
+	Voters    []string // addresses of the 3, 5 or 7 sidecars that elect the owners of jobs, the same at all sidecars; empty: jobs have no owner
+	Jobs      []string // jobs that this sidecar can run for the fleet
 }
 
-// On reports whether the sidecar looks for others.
+// On reports whether the sidecar joins a fleet.
 func (f *Fleet) On() bool { return f.Name != "" }
 
 // IsVoter reports whether this sidecar is one of the voters.
@@ -27,10 +27,10 @@
 	return slices.ContainsFunc(f.Voters, func(s string) bool { return s == f.Listen && f.Advertise == "" || s == f.Advertise })
 }
 
-// maxJoinAddresses bounds the addresses to begin with.
+// maxJoinAddresses limits the length of Fleet.Join.
 const maxJoinAddresses = 64
 
-// readFleet reads how the sidecar joins its fleet, and which jobs it may hold.
+// readFleet reads the fleet settings.
 func (f *Features) readFleet(o *object, c *sidecarconfig.Config) {
 	if _, on := o.fields["fleet"]; !on {
 		return
--- a/internal/featureconfig/fleet_test.go
+++ b/internal/featureconfig/fleet_test.go
@@ -8,7 +8,7 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Each fault in fleet is one line that names the field.
+// Each invalid fleet setting is reported in one line that names the field.
 func TestFleetFaults(t *testing.T) {
 	c := &sidecarconfig.Config{Listen: "127.0.0.1:3000", Ops: "127.0.0.1:3009"}
 	for text, want := range map[string]string{
--- a/internal/featureconfig/jsonobject.go
+++ b/internal/featureconfig/jsonobject.go
@@ -10,17 +10,18 @@
 	"strings"
 )
 
-// object is a JSON object that is read field by field. It keeps its first error; fields that were never read are unknown ones.
+// object is a JSON object that is read field by field. It keeps the first error. Fields that are never read are reported as
+// unknown by rest.
 type object struct {
-	path     string // in the file, with a dot behind it
+	path     string // of the object in the file, followed by a dot; empty for the top level
 	fields   map[string]json.RawMessage
 	read     map[string]bool
 	children []*object
 	err      error
 }
 
-// readObject splits an object into its fields. Danger: encoding/json accepts a field that comes twice and keeps the last, where the operator may have
-// meant the first; here it is an error.
+// readObject splits an object into its fields. A repeated field is an error: encoding/json would silently keep the last
+// value, where the operator may have meant the first.
 func readObject(path string, raw json.RawMessage) (*object, error) {
 	o := &object{path: path, fields: map[string]json.RawMessage{}, read: map[string]bool{}}
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -40,7 +41,7 @@
 		if err != nil {
 			return o, fmt.Errorf("%s: not JSON: %w", where, err)
 		}
-		key := name.(string) // More is true and no error came, so it is one
+		key := name.(string) // a token between the braces of an object is a key here, and keys are strings
 		if _, twice := o.fields[key]; twice {
 			return o, fmt.Errorf("%s%s: given twice", path, key)
 		}
@@ -62,14 +63,15 @@
 	}
 }
 
-// take returns a field's JSON and marks it as known.
+// take returns a field's raw JSON and marks the field as known.
 func (o *object) take(name string) (json.RawMessage, bool) {
 	raw, ok := o.fields[name]
 	o.read[name] = true
 	return raw, ok
 }
 
-// field decodes a field into v, where the object has it. A value that isValid rejects is an error, whose text says what is expected.
+// field decodes a field into v if the object has it. A value that can't be decoded or that isValid rejects is recorded as
+// an error; expected describes the valid values in its message.
 func field[T any](o *object, name string, v *T, expected string, isValid func(T) bool) {
 	raw, ok := o.take(name)
 	if !ok {
@@ -89,7 +91,7 @@
 	}
 }
 
-// part returns the object in a field; an empty one where it is absent.
+// part returns the object in a field, or an empty one if the field is absent.
 func (o *object) part(name string) *object {
 	raw, ok := o.take(name)
 	if !ok {
@@ -101,7 +103,8 @@
 	return p
 }
 
-// unfold turns the fields of a nested object into fields of this one, named with the object's name and a dot before theirs.
+// unfold moves the known fields of the nested object called name into o as "name.field", so that the file may use either
+// form.
 func (o *object) unfold(name string, known ...string) {
 	raw, ok := o.take(name)
 	if !ok {
@@ -123,7 +126,7 @@
 	}
 }
 
-// list returns the objects of a field that holds a list of them.
+// list returns the objects in a field that holds a list of objects.
 func (o *object) list(name string) []*object {
 	var raws []json.RawMessage
 	field(o, name, &raws, "a list", func([]json.RawMessage) bool { return true })
@@ -137,7 +140,8 @@
 	return parts
 }
 
-// rest returns the first error: of the children, of the object itself, or a field that was never read.
+// rest ends the reading. It returns the first error of the children, else that of the object itself, else an error for a
+// field that was never read.
 func (o *object) rest() error {
 	for _, p := range o.children {
 		if err := p.rest(); err != nil {
--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -9,7 +9,7 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// readQuotas takes the settings of quotas and reads the file of groups that they name.
+// readQuotas reads the quota settings, and the file of groups that they refer to.
 func (f *Features) readQuotas(o *object, cfg *sidecarconfig.Config) {
 	_, isPresent := o.fields["quotas"]
 	for name := range o.fields {
@@ -64,7 +64,7 @@
 	}
 }
 
-// readIdentity takes one rule by which a request's group is known.
+// readIdentity reads one of the rules that assign a request to a quota group.
 func readIdentity(e *object, cfg *sidecarconfig.Config) (r quotas.Rule) {
 	ways := 0
 	for _, way := range []string{"header", "class", "addresses"} {
@@ -83,7 +83,7 @@
 	switch {
 	case ways != 1:
 		e.fail("header", "want one of header, class and addresses")
-	case r.Header == "": // elsewhere a group means nothing and is unknown
+	case r.Header == "": // with "header", the header field names the group, and "group" is an unknown field
 		field(e, "group", &r.Group, "the path of a group", func(s string) bool { return s != "" })
 		e.need("group")
 	}
--- a/internal/featureconfig/thrift.go
+++ b/internal/featureconfig/thrift.go
@@ -10,30 +10,32 @@
 	"hazelwheel/internal/thrift"
 )
 
-// Thrift says how Thrift is spoken; without a Listen it is not.
+// Thrift holds the settings of the Thrift protocol, which is disabled while Listen is empty.
 type Thrift struct {
-	Listen     string        // address and port at which its clients come
-	Only       bool          // servers speak no HTTP, which is left for readiness, counters and drills
-	Port       int           // at which servers speak it; 0: at the listed one
-	Probe      string        // the method that a probe calls, without arguments; "": servers are probed over HTTP
-	NotStarted string        // what the text of a server's TApplicationException begins with if the call has not begun
+	Listen     string        // address and port for Thrift clients
+	Only       bool          // servers speak only Thrift; the sidecar keeps HTTP for readiness, counters and drills
+	Port       int           // on which servers accept Thrift; 0: the port in the endpoint list
+	Probe      string        // method that a probe calls, without arguments; empty: servers are probed over HTTP
+	NotStarted string        // prefix of the message of a server's TApplicationException if the server did not start the call
 	Classes    []ThriftClass // in the file's order
 }
 
-// ThriftClass is what methods of one class have in common. A path may be empty: then no call has what it leads to.
+// ThriftClass maps Thrift methods to a class. The paths locate request attributes among the arguments of a call; with an
+// empty path calls lack that attribute.
 type ThriftClass struct {
 	Class    string
-	Methods  []string // "service:method" where services share a connection
+	Methods  []string // "method", or "service:method" where services share a connection
 	ID       thrift.Path
 	Key      thrift.Path
 	Patience thrift.Path
-	Retry    thrift.Path // to a bool
-	UnitS    float64     // of patience
+	Retry    thrift.Path // leads to a bool
+	UnitS    float64     // seconds in one unit of the value at Patience
 }
 
-// On reports whether Thrift is spoken.
+// On reports whether Thrift is enabled.
 func (t *Thrift) On() bool { return t.Listen != "" }
 
+// readThrift reads the Thrift settings, which map methods to classes.
 func (f *Features) readThrift(o *object, c *sidecarconfig.Config) {
 	if _, on := o.fields["thrift"]; !on {
 		return
@@ -95,12 +97,12 @@
 	}
 }
 
-// methodName reports whether a name can be a method's, with its service's before it.
+// methodName reports whether s is a valid method name, optionally prefixed by its service as in "service:method".
 func methodName(s string) bool {
 	return len(s) > 0 && len(s) <= 128 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
-// parsePath reads field ids with dots between them.
+// parsePath parses field ids separated by dots.
 func parsePath(text string) (p thrift.Path, ok bool) {
 	for id := range strings.SplitSeq(text, ".") {
 		n, err := strconv.ParseInt(id, 10, 16)
