--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -111,7 +111,7 @@
 	f.readThrift(o, c)
 	f.readQuotas(o, c)
 	f.readFleet(o, c)
-	return f, o.rest()
+	return f, o.firstError()
 }
 
 // readDrills reads the faults that an operator may inject, and the hash of the secret that authorizes injecting them.
@@ -119,52 +119,52 @@
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
 		d := faultinjection.Fault{Abort: "none", DurationSeconds: 60}
-		field(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
-			func(s string) bool { return plainName(s) && !names[s] })
-		field(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
-		field(e, "share", &d.Percent, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
-		field(e, "delay_ms", &d.DelayMS, "0 to 3600000", func(v float64) bool { return v >= 0 && v <= 3.6e6 })
-		field(e, "abort", &d.Abort, `"none" or "503"`, func(s string) bool { return s == "none" || s == "503" })
-		field(e, "duration_s", &d.DurationSeconds, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
-		e.need("name", "class")
+		decodeField(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
+			func(s string) bool { return isPlainName(s) && !names[s] })
+		decodeField(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
+		decodeField(e, "share", &d.Percent, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
+		decodeField(e, "delay_ms", &d.DelayMS, "0 to 3600000", func(v float64) bool { return v >= 0 && v <= 3.6e6 })
+		decodeField(e, "abort", &d.Abort, `"none" or "503"`, func(s string) bool { return s == "none" || s == "503" })
+		decodeField(e, "duration_s", &d.DurationSeconds, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
+		e.require("name", "class")
 		names[d.Name] = true
 		f.Drills.Faults = append(f.Drills.Faults, d)
 	}
 	var hash string
-	nothing := sha256.Sum256(nil) // the hash of the empty secret, which anybody could give
-	field(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
+	emptySecretHash := sha256.Sum256(nil) // the hash of the empty secret, which anybody could give
+	decodeField(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
 		sum, err := hex.DecodeString(s)
 		f.Drills.SecretHash = sum
-		return err == nil && len(sum) == sha256.Size && !bytes.Equal(sum, nothing[:])
+		return err == nil && len(sum) == sha256.Size && !bytes.Equal(sum, emptySecretHash[:])
 	})
 }
 
 // readRewrites reads the rules that add, drop and rename header fields.
 func (f *Features) readRewrites(o *object, c *sidecarconfig.Config) {
-	field(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
+	decodeField(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
 	name := func(s string) bool { return http1.IsToken(s) && rewrite.Free(s) }
 	const nameRule = "the name of a header field that is neither protected nor hop-by-hop"
 	for _, e := range o.list("rewrites") {
 		var r rewrite.Rule
-		field(e, "dir", &r.Dir, `"in" or "out"`, func(s string) bool { return s == rewrite.In || s == rewrite.Out })
-		field(e, "op", &r.Op, `"add", "drop" or "rename"`, func(s string) bool {
+		decodeField(e, "dir", &r.Dir, `"in" or "out"`, func(s string) bool { return s == rewrite.In || s == rewrite.Out })
+		decodeField(e, "op", &r.Op, `"add", "drop" or "rename"`, func(s string) bool {
 			return s == rewrite.Add || s == rewrite.Drop || s == rewrite.Rename
 		})
-		field(e, "name", &r.Name, nameRule, name)
-		e.need("dir", "when", "op", "name")
+		decodeField(e, "name", &r.Name, nameRule, name)
+		e.require("dir", "when", "op", "name")
 		switch r.Op { // "value" and "to" are unknown fields for the other operations
 		case rewrite.Add:
-			field(e, "value", &r.Value, "text without control bytes", func(s string) bool {
+			decodeField(e, "value", &r.Value, "text without control bytes", func(s string) bool {
 				return !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f })
 			})
-			e.need("value")
+			e.require("value")
 		case rewrite.Rename:
-			field(e, "to", &r.To, nameRule, name)
-			e.need("to")
+			decodeField(e, "to", &r.To, nameRule, name)
+			e.require("to")
 		}
-		when := e.part("when")
-		field(when, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
-		field(when, "path_prefix", &r.PathPrefix, `a path from its "/"`, func(s string) bool { return strings.HasPrefix(s, "/") })
+		when := e.child("when")
+		decodeField(when, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
+		decodeField(when, "path_prefix", &r.PathPrefix, `a path from its "/"`, func(s string) bool { return strings.HasPrefix(s, "/") })
 		if len(when.fields) == 0 {
 			e.fail("when", "want path_prefix, class or both")
 		}
@@ -175,14 +175,14 @@
 // readHealth reads the port that answers health checks of other programs, and the limits beyond which it reports unhealthy.
 func (f *Features) readHealth(o *object, c *sidecarconfig.Config) {
 	f.Health = health.Settings{MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}
-	o.unfold("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
-	field(o, "health.port", &f.Health.Port, "1 to 65535, and not the port of the listen address", func(v int) bool {
+	o.flatten("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
+	decodeField(o, "health.port", &f.Health.Port, "1 to 65535, and not the port of the listen address", func(v int) bool {
 		listen, err := netip.ParseAddrPort(c.Listen)
 		return v >= 1 && v <= 65535 && (err != nil || int(listen.Port()) != v)
 	})
-	field(o, "health.max_list_age_ms", &f.Health.MaxListAgeMS, "0 or more", func(v float64) bool { return v >= 0 })
-	field(o, "health.min_usable", &f.Health.MinUsable, "a whole number from 0", func(v int) bool { return v >= 0 })
-	field(o, "health.max_inflight", &f.Health.MaxInflight, "a whole number from 0", func(v int) bool { return v >= 0 })
+	decodeField(o, "health.max_list_age_ms", &f.Health.MaxListAgeMS, "0 or more", func(v float64) bool { return v >= 0 })
+	decodeField(o, "health.min_usable", &f.Health.MinUsable, "a whole number from 0", func(v int) bool { return v >= 0 })
+	decodeField(o, "health.max_inflight", &f.Health.MaxInflight, "a whole number from 0", func(v int) bool { return v >= 0 })
 }
 
 // readCapture reads the settings of package capture. Any of its fields enables capturing; an empty object enables it with
@@ -193,9 +193,9 @@
 	for name := range o.fields {
 		c.Enabled = c.Enabled || name == "capture" || strings.HasPrefix(name, "capture.")
 	}
-	o.unfold("capture", "max_bytes", "files", "dir")
-	field(o, "capture.files", &c.Segments, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
-	field(o, "capture.max_bytes", &c.MaxBytes, "a whole number up to 67108864", func(v int) bool { return v <= 64<<20 })
+	o.flatten("capture", "max_bytes", "files", "dir")
+	decodeField(o, "capture.files", &c.Segments, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
+	decodeField(o, "capture.max_bytes", &c.MaxBytes, "a whole number up to 67108864", func(v int) bool { return v <= 64<<20 })
 	if c.Segments > 0 && c.MaxBytes/c.Segments < capture.MinSegmentBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at least %d for each of capture.files", capture.MinSegmentBytes))
 	}
@@ -203,20 +203,20 @@
 	if maxBytes := cfg.Limits.MemoryMB << 20 / 4; c.Enabled && c.MaxBytes > maxBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at most %d, a quarter of limits.memory_mb", maxBytes))
 	}
-	field(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
+	decodeField(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
 }
 
 // readAdmission reads the limits on the connections and buffered bytes of clients.
 func (f *Features) readAdmission(o *object, cfg *sidecarconfig.Config) {
 	a := &f.Admission
-	o.unfold("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
+	o.flatten("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
 	maxReserved := cfg.Limits.Sockets / 4
-	field(o, "admission.reserve", &a.ReservedForKnown, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", maxReserved),
+	decodeField(o, "admission.reserve", &a.ReservedForKnown, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", maxReserved),
 		func(v int) bool { return v >= 1 && v <= maxReserved })
-	field(o, "admission.per_address", &a.MaxPerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
-	field(o, "admission.waiting_bytes", &a.MaxBufferedBytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
+	decodeField(o, "admission.per_address", &a.MaxPerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
+	decodeField(o, "admission.waiting_bytes", &a.MaxBufferedBytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
 	var known []string
-	field(o, "admission.known", &known, "a list of addresses or prefixes", func([]string) bool { return true })
+	decodeField(o, "admission.known", &known, "a list of addresses or prefixes", func([]string) bool { return true })
 	for i, text := range known {
 		p, err := parsePrefix(text)
 		if err != nil {
@@ -228,12 +228,12 @@
 		var text string
 		var c admission.PrefixLimit
 		var err error
-		field(e, "prefix", &text, "an address or a prefix like 10.1.0.0/16", func(s string) bool {
+		decodeField(e, "prefix", &text, "an address or a prefix like 10.1.0.0/16", func(s string) bool {
 			c.Prefix, err = parsePrefix(s)
 			return err == nil
 		})
-		field(e, "links", &c.MaxConns, "a whole number from 1", func(v int) bool { return v >= 1 })
-		e.need("prefix", "links")
+		decodeField(e, "links", &c.MaxConns, "a whole number from 1", func(v int) bool { return v >= 1 })
+		e.require("prefix", "links")
 		for j, other := range a.PrefixLimits {
 			if c.Prefix.IsValid() && other.Prefix.Overlaps(c.Prefix) && other.MaxConns != c.MaxConns {
 				e.fail("prefix", fmt.Sprintf("%s overlaps with admission.caps[%d], %s, which has another cap", c.Prefix, j, other.Prefix))
@@ -262,11 +262,11 @@
 	return false
 }
 
-// maxNameBytes bounds the names that plainName accepts.
+// maxNameBytes bounds the names that isPlainName accepts.
 const maxNameBytes = 64
 
-// plainName reports whether a name can be used without quoting in a path, a log line and a metric.
-func plainName(s string) bool {
+// isPlainName reports whether a name can be used without quoting in a path, a log line and a metric.
+func isPlainName(s string) bool {
 	isForbidden := func(r rune) bool {
 		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		return !isAlphanumeric && !strings.ContainsRune("._-", r)
--- a/internal/featureconfig/fleet.go
+++ b/internal/featureconfig/fleet.go
@@ -35,9 +35,9 @@
 	if _, on := o.fields["fleet"]; !on {
 		return
 	}
-	p := o.part("fleet")
-	field(p, "name", &f.Fleet.Name, "the fleet's name, of at most 64 letters, digits, '.', '_' and '-'", plainName)
-	field(p, "listen", &f.Fleet.Listen, "an address and port of its own, like 10.0.0.7:7946", func(s string) bool {
+	p := o.child("fleet")
+	decodeField(p, "name", &f.Fleet.Name, "the fleet's name, of at most 64 letters, digits, '.', '_' and '-'", isPlainName)
+	decodeField(p, "listen", &f.Fleet.Listen, "an address and port of its own, like 10.0.0.7:7946", func(s string) bool {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil || a.Port() == 0 || int(a.Port()) == f.Health.Port {
 			return false
@@ -49,8 +49,8 @@
 		}
 		return true
 	})
-	field(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", sidecarconfig.Dialable)
-	field(p, "join", &f.Fleet.Join, "a list of at most 64 addresses with their ports", func(all []string) bool {
+	decodeField(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", sidecarconfig.Dialable)
+	decodeField(p, "join", &f.Fleet.Join, "a list of at most 64 addresses with their ports", func(all []string) bool {
 		for _, s := range all {
 			if !sidecarconfig.Dialable(s) {
 				return false
@@ -58,8 +58,8 @@
 		}
 		return len(all) <= maxJoinAddresses
 	})
-	field(p, "dir", &f.Fleet.Dir, "the path of a folder", func(s string) bool { return s != "" })
-	field(p, "electors", &f.Fleet.Voters, "a list of 3, 5 or 7 different addresses with their ports, the same at all sidecars", func(all []string) bool {
+	decodeField(p, "dir", &f.Fleet.Dir, "the path of a folder", func(s string) bool { return s != "" })
+	decodeField(p, "electors", &f.Fleet.Voters, "a list of 3, 5 or 7 different addresses with their ports, the same at all sidecars", func(all []string) bool {
 		for i, s := range all {
 			if !sidecarconfig.Dialable(s) || slices.Contains(all[:i], s) {
 				return false
@@ -67,7 +67,7 @@
 		}
 		return len(all) == 3 || len(all) == 5 || len(all) == 7
 	})
-	field(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(sidecarconfig.Jobs, ", "), func(all []string) bool {
+	decodeField(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(sidecarconfig.Jobs, ", "), func(all []string) bool {
 		for i, s := range all {
 			if !slices.Contains(sidecarconfig.Jobs, s) || slices.Contains(all[:i], s) {
 				return false
@@ -75,7 +75,7 @@
 		}
 		return true
 	})
-	p.need("name", "listen")
+	p.require("name", "listen")
 	if len(f.Fleet.Jobs) > 0 && len(f.Fleet.Voters) == 0 {
 		p.fail("electors", "missing: nobody says who owns the jobs")
 	}
--- a/internal/featureconfig/fleet_test.go
+++ b/internal/featureconfig/fleet_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each invalid fleet setting is reported in one line that names the field.
-func TestFleetFaults(t *testing.T) {
+func TestFleetErrorsNameField(t *testing.T) {
 	c := &sidecarconfig.Config{Listen: "127.0.0.1:3000", Ops: "127.0.0.1:3009"}
 	for text, want := range map[string]string{
 		`{"fleet": {}}`: "fleet.name: missing",
--- a/internal/featureconfig/jsonobject.go
+++ b/internal/featureconfig/jsonobject.go
@@ -11,11 +11,11 @@
 )
 
 // object is a JSON object that is read field by field. It keeps the first error. Fields that are never read are reported as
-// unknown by rest.
+// unknown by firstError.
 type object struct {
 	path     string // of the object in the file, followed by a dot; empty for the top level
 	fields   map[string]json.RawMessage
-	read     map[string]bool
+	known    map[string]bool
 	children []*object
 	err      error
 }
@@ -23,7 +23,7 @@
 // readObject splits an object into its fields. A repeated field is an error: encoding/json would silently keep the last
 // value, where the operator may have meant the first.
 func readObject(path string, raw json.RawMessage) (*object, error) {
-	o := &object{path: path, fields: map[string]json.RawMessage{}, read: map[string]bool{}}
+	o := &object{path: path, fields: map[string]json.RawMessage{}, known: map[string]bool{}}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	where := strings.TrimSuffix(path, ".")
 	if where == "" {
@@ -66,13 +66,13 @@
 // take returns a field's raw JSON and marks the field as known.
 func (o *object) take(name string) (json.RawMessage, bool) {
 	raw, ok := o.fields[name]
-	o.read[name] = true
+	o.known[name] = true
 	return raw, ok
 }
 
-// field decodes a field into v if the object has it. A value that can't be decoded or that isValid rejects is recorded as
+// decodeField decodes a decodeField into v if the object has it. A value that can't be decoded or that isValid rejects is recorded as
 // an error; expected describes the valid values in its message.
-func field[T any](o *object, name string, v *T, expected string, isValid func(T) bool) {
+func decodeField[T any](o *object, name string, v *T, expected string, isValid func(T) bool) {
 	raw, ok := o.take(name)
 	if !ok {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// need records an error for the first of these fields that is missing.
-func (o *object) need(names ...string) {
+// require records an error for the first of these fields that is missing.
+func (o *object) require(names ...string) {
 	for _, name := range names {
 		if _, ok := o.fields[name]; !ok {
 			o.fail(name, "missing")
@@ -91,8 +91,8 @@
 	}
 }
 
-// part returns the object in a field, or an empty one if the field is absent.
-func (o *object) part(name string) *object {
+// child returns the object in a field, or an empty one if the field is absent.
+func (o *object) child(name string) *object {
 	raw, ok := o.take(name)
 	if !ok {
 		raw = json.RawMessage("{}")
@@ -103,9 +103,9 @@
 	return p
 }
 
-// unfold moves the known fields of the nested object called name into o as "name.field", so that the file may use either
+// flatten moves the known fields of the nested object called name into o as "name.field", so that the file may use either
 // form.
-func (o *object) unfold(name string, known ...string) {
+func (o *object) flatten(name string, known ...string) {
 	raw, ok := o.take(name)
 	if !ok {
 		return
@@ -129,7 +129,7 @@
 // list returns the objects in a field that holds a list of objects.
 func (o *object) list(name string) []*object {
 	var raws []json.RawMessage
-	field(o, name, &raws, "a list", func([]json.RawMessage) bool { return true })
+	decodeField(o, name, &raws, "a list", func([]json.RawMessage) bool { return true })
 	var parts []*object
 	for i, raw := range raws {
 		e, err := readObject(fmt.Sprintf("%s%s[%d].", o.path, name, i), raw)
@@ -140,11 +140,11 @@
 	return parts
 }
 
-// rest ends the reading. It returns the first error of the children, else that of the object itself, else an error for a
+// firstError ends the reading. It returns the first error of the children, else that of the object itself, else an error for a
 // field that was never read.
-func (o *object) rest() error {
+func (o *object) firstError() error {
 	for _, p := range o.children {
-		if err := p.rest(); err != nil {
+		if err := p.firstError(); err != nil {
 			return err
 		}
 	}
@@ -152,7 +152,7 @@
 		return o.err
 	}
 	for _, name := range slices.Sorted(maps.Keys(o.fields)) {
-		if !o.read[name] {
+		if !o.known[name] {
 			return errors.New(o.path + name + ": unknown field")
 		}
 	}
--- a/internal/featureconfig/quotas.go
+++ b/internal/featureconfig/quotas.go
@@ -20,20 +20,20 @@
 	}
 	q := &f.Quotas
 	*q = quotas.Defaults()
-	o.unfold("quotas", "file", "identify", "default", "exempt", "floor", "dir", "snapshot_s", "stretch", "repay", "forget_s")
+	o.flatten("quotas", "file", "identify", "default", "exempt", "floor", "dir", "snapshot_s", "stretch", "repay", "forget_s")
 	text := func(s string) bool { return s != "" }
-	field(o, "quotas.file", &q.File, "the path of a file of groups", text)
-	field(o, "quotas.default", &q.DefaultGroup, "the group of requests that no rule of quotas.identify knows", text)
-	field(o, "quotas.dir", &q.SnapshotDir, "the path of a folder", text)
-	field(o, "quotas.snapshot_s", &q.SnapshotIntervalSeconds, "1 to 3600", func(v float64) bool { return v >= 1 && v <= 3600 })
-	field(o, "quotas.stretch", &q.StretchFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
-	field(o, "quotas.repay", &q.RepayFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
-	field(o, "quotas.forget_s", &q.FadeSeconds, "60 to 2678400", func(v float64) bool { return v >= 60 && v <= 31*86400 })
+	decodeField(o, "quotas.file", &q.File, "the path of a file of groups", text)
+	decodeField(o, "quotas.default", &q.DefaultGroup, "the group of requests that no rule of quotas.identify knows", text)
+	decodeField(o, "quotas.dir", &q.SnapshotDir, "the path of a folder", text)
+	decodeField(o, "quotas.snapshot_s", &q.SnapshotIntervalSeconds, "1 to 3600", func(v float64) bool { return v >= 1 && v <= 3600 })
+	decodeField(o, "quotas.stretch", &q.StretchFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
+	decodeField(o, "quotas.repay", &q.RepayFraction, "0 to 0.5", func(v float64) bool { return v >= 0 && v <= 0.5 })
+	decodeField(o, "quotas.forget_s", &q.FadeSeconds, "60 to 2678400", func(v float64) bool { return v >= 60 && v <= 31*86400 })
 	for _, list := range []struct {
 		name    string
 		classes *[]string
 	}{{"quotas.exempt", &q.ExemptClasses}, {"quotas.floor", &q.FloorClasses}} {
-		field(o, list.name, list.classes, "a list of classes of the settings", func(names []string) bool {
+		decodeField(o, list.name, list.classes, "a list of classes of the settings", func(names []string) bool {
 			for _, name := range names {
 				if !hasClass(cfg, name) {
 					return false
@@ -72,10 +72,10 @@
 			ways++
 		}
 	}
-	field(e, "header", &r.Header, "the name of a header field", http1.IsToken)
-	field(e, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(cfg, s) })
+	decodeField(e, "header", &r.Header, "the name of a header field", http1.IsToken)
+	decodeField(e, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(cfg, s) })
 	var text string
-	field(e, "addresses", &text, "an address or a prefix like 10.1.0.0/16", func(s string) (ok bool) {
+	decodeField(e, "addresses", &text, "an address or a prefix like 10.1.0.0/16", func(s string) (ok bool) {
 		var err error
 		r.Addresses, err = parsePrefix(s)
 		return err == nil
@@ -84,8 +84,8 @@
 	case ways != 1:
 		e.fail("header", "want one of header, class and addresses")
 	case r.Header == "": // with "header", the header field names the group, and "group" is an unknown field
-		field(e, "group", &r.Group, "the path of a group", func(s string) bool { return s != "" })
-		e.need("group")
+		decodeField(e, "group", &r.Group, "the path of a group", func(s string) bool { return s != "" })
+		e.require("group")
 	}
 	return r
 }
--- a/internal/featureconfig/thrift.go
+++ b/internal/featureconfig/thrift.go
@@ -40,28 +40,28 @@
 	if _, on := o.fields["thrift"]; !on {
 		return
 	}
-	t, p := &f.Thrift, o.part("thrift")
+	t, p := &f.Thrift, o.child("thrift")
 	t.NotStarted = "not started"
-	field(p, "listen", &t.Listen, "an address and port of its own, like 127.0.0.1:9090", func(s string) bool {
+	decodeField(p, "listen", &t.Listen, "an address and port of its own, like 127.0.0.1:9090", func(s string) bool {
 		a, err := netip.ParseAddrPort(s)
 		listen, _ := netip.ParseAddrPort(c.Listen)
 		return err == nil && a.Port() != 0 && a.Port() != listen.Port() && int(a.Port()) != f.Health.Port
 	})
-	field(p, "only", &t.Only, "true or false", func(bool) bool { return true })
-	field(p, "port", &t.Port, "1 to 65535", func(v int) bool { return v >= 1 && v <= 65535 })
-	field(p, "probe", &t.Probe, "a method's name", methodName)
-	field(p, "not_started", &t.NotStarted, "text", func(s string) bool { return s != "" })
-	p.need("listen", "classes")
+	decodeField(p, "only", &t.Only, "true or false", func(bool) bool { return true })
+	decodeField(p, "port", &t.Port, "1 to 65535", func(v int) bool { return v >= 1 && v <= 65535 })
+	decodeField(p, "probe", &t.Probe, "a method's name", isMethodName)
+	decodeField(p, "not_started", &t.NotStarted, "text", func(s string) bool { return s != "" })
+	p.require("listen", "classes")
 	if t.Only && t.Probe == "" && c.Settings.Policy.ProbesEnabled {
 		p.fail("probe", "missing: the boxes speak no HTTP, and the settings have them probed")
 	}
 	classes, methods := map[string]bool{}, map[string]string{}
 	for _, e := range p.list("classes") {
 		k := ThriftClass{UnitS: 1e-3}
-		field(e, "class", &k.Class, "a class of the settings, once", func(s string) bool { return hasClass(c, s) && !classes[s] })
-		field(e, "methods", &k.Methods, `a list of methods, like "latestReading" or "Readings:latestReading"`, func(names []string) bool {
+		decodeField(e, "class", &k.Class, "a class of the settings, once", func(s string) bool { return hasClass(c, s) && !classes[s] })
+		decodeField(e, "methods", &k.Methods, `a list of methods, like "latestReading" or "Readings:latestReading"`, func(names []string) bool {
 			for _, name := range names {
-				if !methodName(name) {
+				if !isMethodName(name) {
 					return false
 				}
 				if of := methods[name]; of != "" {
@@ -73,7 +73,7 @@
 		})
 		path := func(name string, p *thrift.Path) {
 			var text string
-			field(e, name, &text, `a path of field ids, like "1" or "2.1"`, func(s string) (ok bool) {
+			decodeField(e, name, &text, `a path of field ids, like "1" or "2.1"`, func(s string) (ok bool) {
 				*p, ok = parsePath(s)
 				return ok
 			})
@@ -88,7 +88,7 @@
 			}
 			path("patience_us", &k.Patience)
 		}
-		e.need("class", "methods")
+		e.require("class", "methods")
 		classes[k.Class] = true
 		t.Classes = append(t.Classes, k)
 	}
@@ -97,8 +97,8 @@
 	}
 }
 
-// methodName reports whether s is a valid method name, optionally prefixed by its service as in "service:method".
-func methodName(s string) bool {
+// isMethodName reports whether s is a valid method name, optionally prefixed by its service as in "service:method".
+func isMethodName(s string) bool {
 	return len(s) > 0 && len(s) <= 128 && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
