--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -110,7 +110,7 @@
 	r.Balancer.UpdateHosts(r.now, kind, r.hosts)
 }
 
-// run gives it some random events.
+// run draws random events, records each and passes it to the Balancer.
 func (r *recordedBalancer) run(events int) *recordedBalancer {
 	for range events {
 		r.now += 0.01 * r.rng.ExpFloat64()
@@ -163,7 +163,7 @@
 	return r
 }
 
-// smallSettings are those of a ring that a short run fills several times.
+// smallSettings configure a ring that a short run fills several times.
 var smallSettings = Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 4}
 
 func mustReplay(t *testing.T, text string) (Summary, string) {
@@ -173,8 +173,8 @@
 	return tally, out.String()
 }
 
-// A ring that has dropped its start replays without a difference, since each segment starts with a checkpoint. Dumps stand
-// among the lines of a log, which may come between theirs.
+// A ring that has overwritten its start still replays without a difference, since each segment starts with a checkpoint.
+// Dumps can also be replayed from a log whose other lines stand between those of the dumps.
 func TestWrappedRingReplays(t *testing.T) {
 	r := newRecordedBalancer(t, smallSettings, 9).run(50)
 	early := string(r.Dump(r.now))
@@ -207,7 +207,7 @@
 	assert.Greater(t, all.Compared, tally.Compared)
 }
 
-// A decision that differs, is missing or is too much is printed, and the others still match.
+// A decision that differs, is missing or is superfluous is printed, and the others still match.
 func TestReplayFindsDifferences(t *testing.T) {
 	dump := string(newRecordedBalancer(t, smallSettings, 9).run(5000).Dump(0))
 	lines := strings.SplitAfter(dump, "\n")
@@ -216,7 +216,7 @@
 	for !send(lines[at]) {
 		at++
 	}
-	event := at // the event that led to the decision
+	event := at // line of the input that led to the decision
 	for strings.Contains(lines[event], `"k":"dec"`) {
 		event--
 	}
@@ -242,14 +242,14 @@
 		last--
 	}
 	tally, _ := mustReplay(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
-	assert.Equal(t, 1, tally.Different, "the last decision of a complete dump counts, too")
+	assert.Equal(t, 1, tally.Different, "the last decision of a complete dump is compared, too")
 }
 
-// A line that was cut at either end causes no false difference. If it may have been an input, nothing is compared until the
-// next checkpoint.
+// A line that was truncated at either end causes no false difference. If it may have been an input, nothing is compared until
+// the next checkpoint.
 func TestTornLinesCauseNoDifference(t *testing.T) {
 	lines := strings.SplitAfter(string(newRecordedBalancer(t, smallSettings, 9).run(5000).Dump(0)), "\n")
-	lines = lines[1 : len(lines)-2] // what frames the dump may be cut without a loss
+	lines = lines[1 : len(lines)-2] // without the first and last line of the dump, which replay doesn't need
 	rng := rand.New(rand.NewPCG(9, 9))
 	skipped, torn := 0, 0
 	for range 150 {
@@ -261,7 +261,7 @@
 			piece = whole[min(cut, len(whole)-20):] + "\n"
 		}
 		if !strings.Contains(piece, `":`) && !strings.HasPrefix(linePrefix, strings.TrimSpace(piece)) {
-			continue // too little is left to tell it from a log
+			continue // too short to be told from a log line
 		}
 		changed := strings.Join(lines[:at], "") + piece + strings.Join(lines[at+1:], "")
 		tally, out := mustReplay(t, changed)
@@ -308,15 +308,15 @@
 
 func (n fixedHostName) HostName(uint32) string { return n.name }
 
-// A decision's line has the form of the example in the operators' page.
+// Operators' tools read the line of a decision in this form.
 func TestDecisionLine(t *testing.T) {
 	d := Decision{ID: "9b1f03aa5c7e2d41", Class: "raise-alert", HostName: "s-5be2a07c", Action: ActionSend, Request: 17, Host: 1541578876}
 	assert.Equal(t, `{"t":1718000000123,"k":"dec","id":"9b1f03aa5c7e2d41","class":"raise-alert","to":"s-5be2a07c","do":"send","req":17,"host":1541578876}`+"\n",
 		string(d.append(nil, 1718000000.1235)))
 }
 
-// A checkpoint that would fill half of its segment is left out, which the segment tells; recording goes on, and a replay too as
-// long as nothing before is dropped. An input without room ends its segment.
+// A checkpoint that would fill half of its segment is left out and the segment's head says so. Recording continues, and the
+// record can be replayed as long as no earlier segment was dropped. An input without room ends its segment.
 func TestLinesWithoutRoom(t *testing.T) {
 	r := newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 64 << 10, Segments: 4}, 40)
 	for r.Stats().Segments < 3 {
@@ -359,7 +359,8 @@
 	return names, size
 }
 
-// Files hold the segments, within the bounds together with those of earlier runs, and each can be replayed alone.
+// Segments are written to files, which can each be replayed alone. Together with files of earlier runs they stay within the
+// limits.
 func TestSegmentFiles(t *testing.T) {
 	s := smallSettings
 	s.Dir = filepath.Join(t.TempDir(), "deep", "capture")
@@ -398,7 +399,7 @@
 	assert.Zero(t, r.Stats().DiskErrors+r.Stats().DiskLostBytes)
 }
 
-// countingWriter counts what is logged.
+// countingWriter counts the writes of log lines.
 type countingWriter struct {
 	slog.Handler
 	n *atomic.Int64
@@ -406,7 +407,7 @@
 
 func (w countingWriter) Write(p []byte) (int, error) { w.n.Add(1); return len(p), nil }
 
-// A disk that can't be written to is logged, and one that takes nothing blocks nobody.
+// Failing writes are logged, and a writer that makes no progress does not block the recorder.
 func TestFailingDisk(t *testing.T) {
 	s := smallSettings
 	s.Dir = filepath.Join(t.TempDir(), "file")
--- a/internal/capture/compare.go
+++ b/internal/capture/compare.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// recordedDecision is a decision of the record. A fragment of one matches any decision.
+// recordedDecision is a decision read from the record. A truncated one, of which only a fragment is left, matches any decision.
 type recordedDecision struct {
 	Decision
 	lineNumber int
--- a/internal/capture/decision.go
+++ b/internal/capture/decision.go
@@ -1,6 +1,6 @@
 package capture
 
-// Action is what a decision asked for, in the words of the record.
+// Action is the kind of action that a decision asked for, as written in the record.
 type Action string
 
 // The actions, one for each method of policy.Actions.
--- a/internal/capture/dump.go
+++ b/internal/capture/dump.go
@@ -15,8 +15,8 @@
 	pollInterval = 2 * time.Millisecond
 )
 
-// WriteDump writes a dump in parts of complete lines, between which other writers to the same file can write lines of a log. It
-// blocks until all is written and must not be called by the event loop.
+// WriteDump writes a dump in parts that consist of complete lines, so that other writers can add log lines to the same file in
+// between. It blocks until all is written and must not be called by the event loop.
 //
 // Danger: other writers wait for a write in progress, and a full pipe that nobody reads would block the next log line and with it the
 // event loop. WriteDump therefore leaves half of a pipe or socket buffer free.
--- a/internal/capture/encode.go
+++ b/internal/capture/encode.go
@@ -10,10 +10,10 @@
 	"hazelwheel/policy"
 )
 
-// maxLabelBytes bounds what is kept of a name that comes from outside.
+// maxLabelBytes limits the recorded length of names and texts, some of which clients choose.
 const maxLabelBytes = 128
 
-// appendHead appends the beginning of a line, with the time in milliseconds for people.
+// appendHead appends the beginning of a line, with the time in milliseconds for human readers.
 func appendHead(dst []byte, now float64, kind lineKind) []byte {
 	dst = append(dst, linePrefix...)
 	dst = appendInt(dst, int64(now*1000))
@@ -42,7 +42,7 @@
 	return strconv.AppendFloat(dst, v, 'f', -1, 64)
 }
 
-// appendBool appends a field if it is true.
+// appendBool appends a boolean field if it is true; readers take an absent one as false.
 func appendBool(dst []byte, name string, v bool) []byte {
 	if !v {
 		return dst
@@ -81,7 +81,7 @@
 	return append(dst, '"')
 }
 
-// appendHost appends an entry of an endpoint list, which hostEntry reads.
+// appendHost appends an entry of an endpoint list, in the form that hostEntry decodes.
 func appendHost(dst []byte, h policy.HostInfo, name string) []byte {
 	dst = appendInt(append(dst, `{"id":`...), int64(h.ID))
 	dst = appendString(append(dst, `,"name":`...), truncateLabel(name))
@@ -93,7 +93,7 @@
 	return append(appendFloat(append(dst, `,"since":`...), h.Started), '}')
 }
 
-// appendLabel appends the names of a request.
+// appendLabel appends the label of a request.
 func appendLabel(dst []byte, l Label) []byte {
 	dst = appendString(append(dst, `,"id":`...), truncateLabel(l.ID))
 	return appendString(append(dst, `,"class":`...), truncateLabel(l.Class))
--- a/internal/capture/filewriter.go
+++ b/internal/capture/filewriter.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// chunkBytes and maxChunks bound the queue of what is to be written.
+	// chunkBytes and maxChunks limit the queue of data to write.
 	chunkBytes = 32 << 10
 	maxChunks  = 8
 	// closeTimeout is how long close waits for the last bytes.
 	closeTimeout = 2 * time.Second
-	// WriterDescriptors is how many file descriptors the writer of files holds at most.
+	// WriterDescriptors is the most file descriptors that the file writer holds at a time.
 	WriterDescriptors = 2
 )
 
@@ -28,11 +28,11 @@
 
 // fileWriter writes segments to files in a goroutine of its own.
 //
-// Danger: a disk may be slow, full or gone, and must not stop the event loop. What the writer does not take in time is dropped, to
-// the end of its segment.
+// Danger: a slow, full or failed disk must not block the event loop. If the queue is full, the data and the rest of its segment are
+// dropped.
 type fileWriter struct {
 	dir               string
-	startMilliseconds int64 // first part of the files' names: files of earlier runs sort before
+	startMilliseconds int64 // first part of the file names, so that files of earlier runs sort first
 	maxFiles          int
 	maxBytes          int64
 	log               *slog.Logger
@@ -72,7 +72,7 @@
 	return w
 }
 
-// write queues data of a segment, all or none, so that a file ends with a complete event. It does not block.
+// write queues either all of data or, without room for it, nothing, so that a file ends with a complete event. It does not block.
 func (w *fileWriter) write(segment int, data []byte) {
 	if w.droppedSegment == segment || len(w.freeChunks) < (len(data)+chunkBytes-1)/chunkBytes {
 		w.lostBytes += uint64(len(data))
@@ -90,7 +90,7 @@
 	}
 }
 
-// close ends the goroutine and waits until it has written all, for closeTimeout at most.
+// close stops the goroutine after it has written the queue, and waits for it for at most closeTimeout.
 func (w *fileWriter) close() {
 	close(w.queue)
 	select {
@@ -118,7 +118,7 @@
 	}
 }
 
-// handleError counts and logs an error, if there is one, and gives up the present file.
+// handleError counts and logs an error, if there is one, and stops writing to the current file.
 func (w *fileWriter) handleError(err error) {
 	if err != nil {
 		w.hasFailed = true
@@ -130,7 +130,7 @@
 // openFile creates the file of a segment, after removing old files to make room for it.
 func (w *fileWriter) openFile(segment int) {
 	if w.file != nil {
-		_ = w.file.Close() // an error concerns a file that is written or given up
+		_ = w.file.Close() // the file is complete, or has failed and was reported
 	}
 	w.file = nil
 	w.segment = segment
@@ -146,7 +146,7 @@
 	w.handleError(err)
 }
 
-// segmentFileName matches the names of the files that count against the bounds, of earlier runs too.
+// segmentFileName matches the names of segment files, also of earlier runs; only these count towards the limits and are pruned.
 var segmentFileName = regexp.MustCompile(`^capture-\d{13}-\d{9}\.jsonl$`)
 
 // prune removes the oldest files until one more fits into maxFiles and maxBytes.
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -33,7 +33,7 @@
 // linePrefix begins every line.
 const linePrefix = `{"t":`
 
-// line is a line of any kind as it is read.
+// line is a decoded line of any kind. Only the fields of its kind are set.
 type line struct {
 	Milliseconds int64    `json:"t"`
 	Kind         lineKind `json:"k"`
@@ -66,8 +66,8 @@
 	ReplicaIndex    int         `json:"rank"`
 	Replicas        int         `json:"count"`
 
-	Decision            // its names and numbers are those of inputs, too
-	AfterSeconds number `json:"after"` // hides that of Decision, which cannot be infinite
+	Decision            // inputs use its ID, Class, HostName, Request, Host and Attempt, too
+	AfterSeconds number `json:"after"` // shadows Decision.AfterSeconds, which can't decode an infinite value
 }
 
 // namedHost is the name of a host that the state refers to.
@@ -76,7 +76,7 @@
 	Name string `json:"to"`
 }
 
-// namedRequest is the names of a request that the state refers to.
+// namedRequest is the label of a request that the state refers to.
 type namedRequest struct {
 	Request uint32 `json:"req"`
 	ID      string `json:"id"`
@@ -95,7 +95,7 @@
 	Started number `json:"since"`
 }
 
-// info returns the entry as policy takes it.
+// info converts the entry for policy.
 func (h *hostEntry) info() policy.HostInfo {
 	return policy.HostInfo{
 		ID:      h.ID,
@@ -108,7 +108,7 @@
 	}
 }
 
-// result returns the result of a line of an outcome or a probe.
+// result returns the result of a kindOutcome or kindProbe line.
 func (l *line) result() policy.Result {
 	r := policy.Result{
 		ID:           l.Request,
@@ -126,7 +126,7 @@
 	return r
 }
 
-// request returns the request of a line of one.
+// request returns the request of a kindRequest line.
 func (l *line) request() policy.Request {
 	return policy.Request{
 		ID:              l.Request,
--- a/internal/capture/record.go
+++ b/internal/capture/record.go
@@ -6,7 +6,7 @@
 	"hazelwheel/policy"
 )
 
-// Label is the names of a request: the client's Request-Id and the class.
+// Label identifies a request for people: the client's Request-Id and the name of the class.
 type Label struct{ ID, Class string }
 
 // RecordHosts records an endpoint list. Like the methods for other inputs, it is called before policy gets the input, with the same
@@ -91,7 +91,7 @@
 	c.writeInput(appendInt(append(text, `,"count":`...), int64(replicas)))
 }
 
-// RecordAbandoned records that a request's client has gone.
+// RecordAbandoned records that the client of a request has disconnected.
 func (c *Recorder) RecordAbandoned(now float64, request uint32, l Label) {
 	if c == nil {
 		return
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -16,7 +16,7 @@
 type Settings struct {
 	Enabled  bool
 	MaxBytes int    // of all segments
-	Segments int    // number of segments, at least 1; MaxBytes / Segments is at least MinSegmentBytes
+	Segments int    // at least 1; MaxBytes/Segments must be at least MinSegmentBytes
 	Dir      string // folder for the files; empty: no files
 }
 
@@ -26,7 +26,7 @@
 // lostLineBytes is reserved in each segment for the line that ends it prematurely.
 const lostLineBytes = 64
 
-// Source is the host program, as the Recorder needs it.
+// Source gives the Recorder the state and the names that it writes at the head of a segment.
 type Source interface {
 	// Checkpoint appends the state of policy, as policy.Balancer.Checkpoint does.
 	Checkpoint(dst []byte, maxBytes int) (state []byte, ok bool)
@@ -40,9 +40,9 @@
 // Stats are counters of a recorder.
 type Stats struct {
 	Lines                     uint64 `json:"lines"`
-	LinesLost                 uint64 `json:"lost"`          // without room in their segment
+	LinesLost                 uint64 `json:"lost"`          // lines that had no room in their segment
 	Segments                  int    `json:"segments"`      // started
-	SegmentsWithoutState      uint64 `json:"no_checkpoint"` // whose head would have filled more than half of them
+	SegmentsWithoutState      uint64 `json:"no_checkpoint"` // segments whose head would have filled more than half of them
 	MaxCheckpointMicroseconds int64  `json:"checkpoint_max_us"`
 	Dumps                     uint64 `json:"dumps"`
 	DiskErrors                uint64 `json:"disk_errors"`
@@ -68,7 +68,7 @@
 
 	stats        Stats
 	files        *fileWriter // nil without files
-	flushedBytes int         // of the current segment, given to files
+	flushedBytes int         // bytes of the current segment already passed to files
 }
 
 // New returns a recorder for a policy.Balancer that policy.New has returned for the settings and the seed.
@@ -138,7 +138,8 @@
 	c.stats.MaxCheckpointMicroseconds = max(c.stats.MaxCheckpointMicroseconds, time.Since(startedAt).Microseconds())
 }
 
-// Resume starts a new segment since policy goes on from the state of another process, to which the record so far does not lead.
+// Resume starts a new segment after policy has taken over the state of another process, which can't be reconstructed from
+// the record so far.
 func (c *Recorder) Resume() {
 	if c != nil {
 		c.rotate()
@@ -176,8 +177,8 @@
 	return appendInput(c.lineBuffer[:0], now, kind)
 }
 
-// writeInput completes and writes the line of an input. An eighth of the segment is kept free for the decisions that follow; where
-// it is not, a new segment starts first.
+// writeInput completes and writes the line of an input. If the line would leave less than an eighth of the segment for the
+// decisions that follow, a new segment is started first.
 func (c *Recorder) writeInput(text []byte) {
 	text = append(text, "}\n"...)
 	if c.files != nil && len(c.segments[c.current])-c.flushedBytes >= chunkBytes {
@@ -189,8 +190,8 @@
 	c.writeLine(text)
 }
 
-// writeLine appends a line to the current segment, or cuts the segment off here if there is no room: what follows can't be replayed
-// before the next checkpoint.
+// writeLine appends a line to the current segment. If there is no room, it marks the segment as cut: later lines are dropped
+// until the next segment, since they can't be replayed without the missing one.
 func (c *Recorder) writeLine(text []byte) {
 	segment := c.segments[c.current]
 	switch {
@@ -223,8 +224,8 @@
 // WritesFiles returns whether segments are written to files.
 func (c *Recorder) WritesFiles() bool { return c != nil && c.files != nil }
 
-// Flush gives new lines to the writer of files, if there is one. It is called between events, so that a file ends with a complete
-// one, and returns at once.
+// Flush passes new lines to the file writer, if there is one. It is called between events, so that a file ends with a complete
+// event, and does not block.
 func (c *Recorder) Flush() {
 	if !c.WritesFiles() {
 		return
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -22,7 +22,7 @@
 	Events    int // inputs that were replayed
 	Compared  int // decisions
 	Different int // decisions that differ
-	Truncated int // lines that were torn or of an unknown kind
+	Truncated int // truncated lines, and lines of an unknown kind
 	Skipped   int // lines that were not compared as the state before them is not known
 }
 
@@ -32,8 +32,8 @@
 		"%d lines truncated, %d lines not compared", s.Lines, s.Segments, s.Events, s.Compared, s.Different, s.Truncated, s.Skipped)
 }
 
-// Replay replays the inputs of a record and prints each decision that differs from the recorded one to out. Text that is no line of
-// a record is ignored: a dump may be part of a log. An error is that of reading, or ErrNothingToReplay.
+// Replay replays the inputs of a record and prints each decision that differs from the recorded one to out. Other text is ignored,
+// since a dump may be part of a log. It returns an error of reading in, or ErrNothingToReplay.
 func Replay(in io.Reader, out io.Writer) (Summary, error) {
 	r := &replayer{out: out}
 	lines := bufio.NewReader(in)
@@ -66,7 +66,7 @@
 	segment      int              // number of the last segment
 	now          float64          // time of the last input
 	eventLine    int              // line number of the last input
-	replayed     []Decision       // what followed from it
+	replayed     []Decision       // decisions that the replay made on it
 	recorded     []recordedDecision
 	hostNames    map[uint32]string
 	openRequests map[uint32]Label
@@ -98,8 +98,9 @@
 	r.skipFragment(text)
 }
 
-// isFragment returns whether a text that does not begin like a line is a fragment of one and not of the log around it: it is no log
-// line with a level, and ends with no complete JSON object, whatever a log collector has put before that.
+// isFragment returns whether a text that does not begin like a line of the record is a fragment of one and not a line of the
+// surrounding log: it contains a JSON key, has no log level, and does not end with a complete JSON object, which a log collector
+// may have prefixed.
 func isFragment(text string) bool {
 	if text != "" && strings.HasPrefix(linePrefix, text) {
 		return true
@@ -109,8 +110,8 @@
 	return strings.Contains(text, `":`) && !strings.Contains(text, "level=") && !hasObject
 }
 
-// skipFragment skips a fragment of a line. Danger: if it may be one of an input, the state after it is unknown, and later decisions
-// would differ for that reason alone; so nothing is compared until the next checkpoint.
+// skipFragment skips a fragment of a line. If it may belong to an input, the state after it is unknown and later decisions could
+// differ for that reason alone, so nothing is compared until the next checkpoint.
 func (r *replayer) skipFragment(text string) {
 	r.summary.Truncated++
 	isDecision := strings.Contains(text, `"k":"`+string(kindDecision)+`"`) || strings.Contains(text, `"do":"`)
@@ -170,7 +171,8 @@
 	r.recorded = append(r.recorded, recordedDecision{Decision: d, lineNumber: r.lineNumber, text: text})
 }
 
-// startSegment takes the state from the head of a segment. A segment without state goes on from the one before it, if that is known.
+// startSegment restores the state from the head of a segment. A segment without state continues from the one directly before it,
+// if the state there is known.
 func (r *replayer) startSegment(l *line) {
 	follows := l.Segment == r.segment+1
 	r.segment = l.Segment
@@ -211,7 +213,7 @@
 	return policy.New(*l.Settings, seed, r), nil
 }
 
-// replayInput gives an input to policy. A panic is reported and ends the event, as it does in the sidecar.
+// replayInput passes an input to policy. As in the sidecar, a panic is reported and ends the event only.
 func (r *replayer) replayInput(l *line) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -244,7 +246,7 @@
 	}
 }
 
-// printf prints to out.
+// printf prints to out and ignores write errors.
 func (r *replayer) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.out, format, args...) // the terminal or a buffer; the summary has the result without it
+	_, _ = fmt.Fprintf(r.out, format, args...) // the summary that Replay returns has the result, too
 }
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestRecordFormIsKept records the same events as released versions do, to the byte, and replays what one has recorded: the
-// start with the settings, every kind of input and decision, and segments that start with a checkpoint.
+// TestRecordFormIsKept checks that a fixed sequence of events is recorded byte for byte as in released versions, and that such a
+// record replays: the start with the settings, inputs, decisions, and a segment that starts with a checkpoint.
 func TestRecordFormIsKept(t *testing.T) {
 	r := newRecordedBalancer(t, Settings{Enabled: true, MaxBytes: 128 << 10, Segments: 2}, 5)
 	r.Recorder.source = orderedLabels{r}
@@ -54,7 +54,7 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(want, got), "the same events are recorded by other lines")
+	require.True(t, bytes.Equal(want, got), "the recorded lines differ from testdata/record.jsonl")
 	for _, kind := range []lineKind{kindDump, kindEnd, kindStart, kindState, kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindStall, kindReplica, kindDecision} {
 		assert.True(t, bytes.Contains(want, []byte(`"k":"`+string(kind)+`"`)), kind)
 	}
@@ -64,7 +64,7 @@
 	assert.Greater(t, tally.Compared, 50)
 }
 
-// TestLineFormIsKept writes one line of each input and decision with all fields set.
+// TestLineFormIsKept compares one line of each input and decision, with all fields set, with the golden file.
 func TestLineFormIsKept(t *testing.T) {
 	r := newRecordedBalancer(t, smallSettings, 2)
 	r.now += 0.0625
