--- a/internal/appconfig/appconfig_test.go
+++ b/internal/appconfig/appconfig_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-// filled draws a value for each field of the model that its tags allow.
+// filled sets each field of the model to a random value that its tags allow.
 func filled(t *rapid.T, v reflect.Value) {
 	for _, f := range fieldsOf(v.Type()) {
 		at := v.Field(f.index)
@@ -81,7 +81,7 @@
 	return 0
 }
 
-// What is rendered or written says the same when it is read, whatever it says.
+// Rendering or formatting any configuration and reading it back gives the same configuration.
 func TestReadingWhatIsWrittenIsTheIdentity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, s := NewApp(), NewSite()
@@ -115,7 +115,7 @@
 	})
 }
 
-// A tag that can't be read would be a bound of 0, and let everything pass or nothing.
+// An invalid limit in a tag would be taken as 0, and the field would accept every value or none.
 func TestTagsMakeSense(t *testing.T) {
 	for _, k := range []Kind{AppFile, SiteFile} {
 		for _, f := range Fields(k) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Reading and rendering take whatever comes, and not for long.
+// Reading and rendering handle any input without a panic and within a second.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{"format = \"app/1\"\n[[class]]\nname = \"a\"\naim = 0.6\n", "{\"name\": \"n\", \"settings\": {\"classes\": [{}]}}",
 		"{\"health.port\": 3, \"drills\": [{\"share\": 1e400}]}", "\xef\xbb\xbfa.b.c = [1,\r\n{x = 3}]\n[[a", "[class]\n[class]\nclass.x = '''\n'''\n=\n"} {
@@ -177,13 +177,13 @@
 		if file.App != nil && file.Site != nil {
 			_, _, _ = Render(file.App, file.Site)
 		}
-		if took := time.Since(began); took > time.Second { // how long it may take at most is tested with the checks
+		if took := time.Since(began); took > time.Second { // package lint tests the time more strictly
 			t.Errorf("%d bytes took %s", len(raw), took)
 		}
 	})
 }
 
-// Editors get a schema that takes the examples, and no wrong word, unit or name in them.
+// The schema accepts the example files, and rejects them with a wrong word, unit, type or name.
 func TestSchema(t *testing.T) {
 	for _, kind := range []Kind{AppFile, SiteFile} {
 		text, err := Schema(kind)
--- a/internal/appconfig/decode.go
+++ b/internal/appconfig/decode.go
@@ -8,21 +8,21 @@
 	"strings"
 )
 
-// decoder takes a tree over into the model. It goes on after each fault.
+// decoder decodes a tree into the model. It continues after each fault.
 type decoder struct {
 	f    *File
 	form form
-	side string // before the paths of the model: "app."
+	side string // prefix of paths in the model: "app." or "site."
 }
 
-// object reads the fields of v, a pointer to a struct, from the top of a file.
+// object decodes the top level of a file into v, a pointer to a struct.
 func (d *decoder) object(v any, n *node) {
 	d.fields(reflect.ValueOf(v).Elem(), n, d.side, "")
 }
 
-// fields reads the fields of a struct. path is its place in the model, shown its name in the file, both with a dot behind
-// them. In rendered files the tables of the model are no tables: their fields say where they are from the top, or from
-// the list's element, on.
+// fields decodes the fields of a struct. path is its path in the model and shown its name in the file, both followed by a
+// dot. Rendered files are not divided into the tables of the model: there, fields have paths from the top of the file or,
+// inside a list, from the element.
 func (d *decoder) fields(v reflect.Value, n *node, path, shown string) {
 	for _, f := range fieldsOf(v.Type()) {
 		at, name, s := v.Field(f.index), f.in(d.form), (reflect.Type)(nil)
@@ -65,7 +65,7 @@
 	}
 }
 
-// section reads a table of the model.
+// section decodes a table of the model.
 func (d *decoder) section(at reflect.Value, f *Field, n *node, path, shown string) {
 	field := path + f.name
 	optional := at.Kind() == reflect.Pointer
@@ -119,7 +119,7 @@
 	d.fields(at, n, field+".", shown)
 }
 
-// elements reads a list of tables.
+// elements decodes a list of tables.
 func (d *decoder) elements(at reflect.Value, s reflect.Type, f *Field, e *node, field, where string) {
 	if e.kind != list {
 		wanted := "a list"
@@ -146,7 +146,7 @@
 	}
 }
 
-// value reads a field that is no table. What is at fault keeps its default.
+// value decodes a field that is not a table. An invalid field keeps its default.
 func (d *decoder) value(at reflect.Value, f *Field, e *node, field string) {
 	switch p := at.Addr().Interface().(type) {
 	case *Duration:
@@ -191,7 +191,7 @@
 	}
 }
 
-// placesIn keeps the places within a section whose fields are not known here.
+// placesIn records the positions of all fields within a section that the model doesn't describe.
 func (d *decoder) placesIn(n *node, field, shown string) {
 	for i, e := range n.items {
 		name := "." + e.key
@@ -203,7 +203,7 @@
 	}
 }
 
-// measure reads a time span or a size, in nanoseconds or bytes.
+// measure decodes a time span to nanoseconds, or a size to bytes.
 func (d *decoder) measure(f *Field, e *node, field string, parse func(string) (float64, *unitError)) (float64, bool) {
 	isNumber := e.kind == integer || e.kind == float
 	if d.form != tomlForm {
@@ -244,7 +244,7 @@
 	return 0, false
 }
 
-// meant guesses which time or size a bare number stands for.
+// meant suggests a time or size with a unit for a bare number.
 func meant(e *node, size bool) string {
 	v := e.number
 	short := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
@@ -259,7 +259,7 @@
 	return fmt.Sprintf("%q or %q", short(v)+"ms", short(v)+"s")
 }
 
-// finite returns a number that can be held.
+// finite returns the value of a number, and reports a fault if it is out of range, infinite or NaN.
 func (d *decoder) finite(e *node, field string) (float64, bool) {
 	if e.huge || math.IsNaN(e.number) || math.IsInf(e.number, 0) {
 		d.f.faultField(TooHuge, field, e.text)
--- a/internal/appconfig/diff.go
+++ b/internal/appconfig/diff.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Change is what is otherwise in a second file.
+// Change is a difference between two files.
 type Change struct {
-	Field string // of the model, "class[raise-alert].deadline"
-	Words string // what it means for requests
-	When  string // when a running sidecar takes it in
+	Field string // path in the model, "class[raise-alert].deadline"
+	Words string // what the change means for requests
+	When  string // when a running sidecar applies it: SIGHUP, restart or never
 }
 
-// meaning says what a change of a field means for requests; %[1]v is the old value, %[2]v the new.
+// meaning maps a field to a sentence on what a change of it means for requests; %[1]v is the old value, %[2]v the new.
 var meaning = map[string]string{
 	"class.effect":             "running it twice is taken as %[2]v, not %[1]v any more",
 	"class.group":              "repeats go to boxes of the same group %[2]v, not %[1]v",
@@ -101,7 +101,7 @@
 	"drill.class":              "the drill touches %[2]v, not %[1]v",
 }
 
-// Diff returns what is otherwise in b, in the order of the model. Both must say the same kind of thing.
+// Diff returns the changes from a to b in the order of the model. It compares only fields that both kinds of file can hold.
 func Diff(a, b *File) []Change {
 	var all []Change
 	both := func(f *Field) bool { return a.describes(f) && b.describes(f) }
@@ -114,7 +114,8 @@
 	return all
 }
 
-// says reports whether the file's kind has a field at all. Danger: what a platform's file can't say of features is not switched off.
+// describes reports whether the file's kind can hold a field. A feature that a platform's file has no field for must not be
+// reported as switched off.
 func (f *File) describes(field *Field) bool {
 	switch f.Kind {
 	case PlatformFile:
@@ -162,7 +163,7 @@
 	return all
 }
 
-// shown is a value as a sentence has it.
+// shown returns a value as it is printed in a sentence.
 func shown(v reflect.Value) any {
 	if v.Kind() == reflect.String && v.String() == "" {
 		return "none"
@@ -170,7 +171,7 @@
 	return v.Interface()
 }
 
-// inLists compares the entries of two lists: those with names by their names, others by their numbers.
+// inLists compares two lists, matching entries by name or, without names, by index.
 func inLists(a, b reflect.Value, name, path string, both func(*Field) bool) []Change {
 	var all []Change
 	keys := func(v reflect.Value) []string {
@@ -211,7 +212,7 @@
 	return all
 }
 
-// when says when a running sidecar takes a field in.
+// when returns when a running sidecar applies a change of a field.
 func when(name string) string {
 	switch {
 	case name == "discovery" || strings.HasPrefix(name, "limits."):
--- a/internal/appconfig/fields.go
+++ b/internal/appconfig/fields.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// form is how a text writes the model: which of its names a field goes by, and what stands for time spans.
+// form is the file format in which the model is written. It determines the names of fields and the notation of durations.
 type form byte
 
 const (
@@ -16,15 +16,15 @@
 	featuresForm form = 'f'
 )
 
-// Field describes a field of the model, as its tags say it.
+// Field describes a field of the model, as given by its tags.
 type Field struct {
-	Path    string // among the files that people write, "class.aim"
-	File    string // where it is rendered to, "p:settings/selfIndex"; in a list's element from the element on
-	Unit    string // of a number there
+	Path    string // in the TOML file, "class.aim"
+	File    string // path in the rendered file, "p:settings/selfIndex"; relative to the element inside a list
+	Unit    string // of the number in the rendered file
 	Comment string
 	Default string
 	Need    bool
-	Enum    [][2]string // what people write, what is rendered
+	Enum    [][2]string // pairs of the word in TOML and its rendered form
 
 	least, above, maximum string
 	name                  string
@@ -58,7 +58,7 @@
 	return all
 }
 
-// in returns where a form has the field, "" where it has none.
+// in returns the field's name or path in a form, "" if the form doesn't have it.
 func (f *Field) in(as form) string {
 	if as == tomlForm {
 		return f.name
@@ -69,7 +69,8 @@
 	return ""
 }
 
-// structure returns the struct type that a field's type is made of, and whether it is a list of them; nil for a value.
+// structure returns the struct type of a field that is a struct, a pointer to one or a list of them, and whether it is a
+// list; nil for other fields.
 func structure(t reflect.Type) (reflect.Type, bool) {
 	many := t.Kind() == reflect.Slice
 	if many || t.Kind() == reflect.Pointer {
@@ -81,7 +82,7 @@
 	return nil, many
 }
 
-// Fields returns all fields of a kind of file, in its order, tables before what is in them.
+// Fields returns all fields of a kind of TOML file in the order of the model, each table before its fields.
 func Fields(k Kind) []Field {
 	t := reflect.TypeFor[App]()
 	if k == SiteFile {
@@ -102,7 +103,7 @@
 	return all
 }
 
-// Range says in words which values a field takes.
+// Range describes in words the valid values of a field.
 func (f *Field) Range() string {
 	var parts []string
 	switch f.kind {
@@ -132,7 +133,7 @@
 	return parts[0] + f.bounds()
 }
 
-// bounds says in words how small and how large a value may be.
+// bounds describes in words the limits of a value.
 func (f *Field) bounds() string {
 	out := ""
 	for _, bound := range [][2]string{{"at least ", f.least}, {"above ", f.above}, {"at most ", f.maximum}} {
@@ -143,7 +144,7 @@
 	return out
 }
 
-// Words are what an enumerated field takes.
+// Words returns the words that an enumerated field accepts.
 func (f *Field) Words() []string {
 	var words []string
 	for _, pair := range f.Enum {
@@ -152,7 +153,7 @@
 	return words
 }
 
-// allows reports whether a value, in seconds, bytes or as it is, lies in the field's range.
+// allows reports whether a value is in the field's range. Durations are in nanoseconds and sizes in bytes.
 func (f *Field) allows(v float64) bool {
 	bound := func(s string) float64 {
 		if d, err := parseDuration(s); f.kind == reflect.TypeFor[Duration]() && err == nil {
@@ -161,13 +162,13 @@
 		if b, err := parseSize(s); f.kind == reflect.TypeFor[Size]() && err == nil {
 			return float64(b)
 		}
-		n, _ := strconv.ParseFloat(s, 64) // a tag; the test of tags reads them all
+		n, _ := strconv.ParseFloat(s, 64) // TestTagsMakeSense checks the tags
 		return n
 	}
 	return (f.least == "" || v >= bound(f.least)) && (f.above == "" || v > bound(f.above)) && (f.maximum == "" || v <= bound(f.maximum))
 }
 
-// rate is how many bytes or nanoseconds one of the field's unit in a rendered file is.
+// rate returns the bytes or nanoseconds in one unit of the field's number in a rendered file.
 func (f *Field) rate() float64 {
 	switch f.Unit {
 	case "s":
@@ -180,7 +181,7 @@
 	return 1
 }
 
-// setDefaults gives a struct what holds where a file says nothing.
+// setDefaults sets the fields of a struct to their default values.
 func setDefaults(v reflect.Value) {
 	for _, f := range fieldsOf(v.Type()) {
 		at := v.Field(f.index)
--- a/internal/appconfig/file.go
+++ b/internal/appconfig/file.go
@@ -14,7 +14,7 @@
 	"hazelwheel/internal/diagnostic"
 )
 
-// Kind is which of the files one is.
+// Kind is the kind of a configuration file.
 type Kind string
 
 // The kinds of files.
@@ -23,23 +23,23 @@
 	SiteFile     Kind = "site"
 	PlatformFile Kind = "platform"
 	FeaturesFile Kind = "features"
-	GroupsFile   Kind = "groups" // of quotas; what it holds is read elsewhere
+	GroupsFile   Kind = "groups" // quota groups; package quotas reads the contents
 )
 
-// MaxBytes bounds what is read of a file; the list in a platform's file is by far the largest that one holds.
+// MaxBytes limits the size of a file. The endpoint list in a platform's file is by far the largest part of any file.
 const MaxBytes = 16 << 20
 
-// Place is where something stands: a line and a column from 1, and the field's name as the file has it.
+// Place is a position in a file: a line and a column, both from 1, and the field's name in the file.
 type Place struct {
 	Line   int    `json:"line"`
 	Column int    `json:"column"`
 	Field  string `json:"field"`
 }
 
-// FaultKind is what can be wrong with a file by itself, field by field.
+// FaultKind is the kind of a Fault.
 type FaultKind string
 
-// The kinds of faults, with what their arguments are.
+// The kinds of faults, each with its arguments.
 const (
 	Unreadable     FaultKind = "unreadable"      // why
 	TooLarge       FaultKind = "too large"       // most bytes
@@ -69,7 +69,7 @@
 	OtherTable     FaultKind = "other table"     // the field, where in the file it belongs
 )
 
-// Fault is something wrong with a file by itself.
+// Fault is an error in a file that can be detected without any other file.
 type Fault struct {
 	Kind  FaultKind
 	Place Place
@@ -78,24 +78,24 @@
 	path string // of the field in the model, where there is one
 }
 
-// File is a file that has been read as far as it makes sense.
+// File is a parsed configuration file. Valid parts are in App and Site, invalid ones in Faults.
 type File struct {
 	Name       string
 	Kind       Kind
 	Text       []byte
-	Mode       fs.FileMode // of a file on disk; 0 elsewhere
-	App        *App        // what it says of an application; nil where it says nothing of one
-	Site       *Site       // likewise of a site
+	Mode       fs.FileMode // 0 if it was not read from disk
+	App        *App        // the application's configuration; nil if the file has none
+	Site       *Site       // the site's configuration; nil if the file has none
 	Faults     []Fault
-	Unreadable bool // it could not be read at all
+	Unreadable bool // the file could not be read, or is too large
 
 	lines  diagnostic.Lines
-	lost   []lost           // what was taken out since it made no sense, in order
-	places map[string]Place // of fields of the model: "app.class[0].aim"
-	bad    map[string]bool  // fields that are at fault
+	lost   []lost           // invalid expressions that were removed from the text, by offset
+	places map[string]Place // positions by path in the model: "app.class[0].aim"
+	bad    map[string]bool  // paths of invalid fields
 }
 
-// Open reads a file; "-" is standard input.
+// Open reads and parses a file; "-" is standard input.
 func Open(name string, stdin io.Reader) *File {
 	from, mode := stdin, fs.FileMode(0)
 	if name != "-" {
@@ -132,7 +132,7 @@
 	return f
 }
 
-// Read reads a file's text. It returns what makes sense, and everything that does not.
+// Read parses the text of a file. The result holds the valid parts and all faults.
 func Read(name string, raw []byte) *File {
 	f := &File{Name: name, Text: raw, places: map[string]Place{}, bad: map[string]bool{}}
 	f.lines = diagnostic.NewLines(nil)
@@ -181,7 +181,7 @@
 func (f *File) readTOML() {
 	root := f.parseTOML()
 	if known := knownNames(AppFile).and(knownNames(SiteFile)); !slices.ContainsFunc(root.items, func(e *node) bool { return known[e.key] }) && len(f.Faults) > 0 {
-		return // it is no configuration, and to say what it lacks of one would help nobody
+		return // it is not a configuration file, and a list of missing fields would not help
 	}
 	format := root.get("format")
 	word := ""
@@ -214,7 +214,7 @@
 	d.unknown(root, knownNames(f.Kind))
 }
 
-// guessKind tells which kind a file is by what it holds, where it does not say so.
+// guessKind guesses the kind of a TOML file without a valid format from its top-level names.
 func guessKind(root *node) Kind {
 	score := 0
 	app, site := knownNames(AppFile)[""], knownNames(SiteFile)[""]
@@ -267,7 +267,7 @@
 	d.unknown(root, knownNames(PlatformFile))
 }
 
-// readHome finds the place that a platform's file names by its number.
+// readHome resolves settings.locality of a platform's file, an index into the site's places.
 func (f *File) readHome(root *node) {
 	n := root.walk("settings/locality")
 	if n == nil || n.kind == null {
@@ -287,7 +287,7 @@
 	}
 }
 
-// At returns where a field of the model stands ("app.class[0].aim"), or what it would stand in.
+// At returns the position of a field of the model ("app.class[0].aim") or, if the file lacks it, of the table around it.
 func (f *File) At(path string) Place {
 	for ; path != ""; path = parent(path) {
 		if p, ok := f.places[path]; ok {
@@ -299,13 +299,13 @@
 
 func parent(path string) string { return path[:max(strings.LastIndexAny(path, ".["), 0)] }
 
-// Has reports whether the file gives a field of the model.
+// Has reports whether the file contains a field of the model.
 func (f *File) Has(path string) bool {
 	_, ok := f.places[path]
 	return ok
 }
 
-// Bad reports whether a field, or what it stands in, is at fault: what is said of it would only follow from that.
+// Bad reports whether a field or a table around it is invalid. Further findings on it would only be consequences.
 func (f *File) Bad(path string) bool {
 	for ; path != ""; path = parent(path) {
 		if f.bad[path] {
@@ -343,10 +343,10 @@
 	f.fault(kind, Place{line, column, field}, "", args...)
 }
 
-// faultField adds a fault of a field whose place is known.
+// faultField adds a fault at a field of the model.
 func (f *File) faultField(kind FaultKind, path string, args ...any) {
 	f.fault(kind, f.At(path), path, args...)
 }
 
-// String names a place like a compiler does.
+// String returns "line:column", as compilers print positions.
 func (p Place) String() string { return fmt.Sprintf("%d:%d", p.Line, p.Column) }
--- a/internal/appconfig/jsontree.go
+++ b/internal/appconfig/jsontree.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// maxDepth bounds how deep a JSON text may be nested; no configuration comes near it.
+// maxDepth limits the nesting of a JSON text. Valid configurations are far below it.
 const maxDepth = 64
 
-// listField holds the list of boxes, which the platform writes and nobody else. It is passed over: it may be a hundred times as
-// large as all the rest, and a sidecar checks its file while it starts.
+// listField holds the endpoint list, which only the platform writes. It is skipped: it may be a hundred times as large as the
+// rest of the file, and a sidecar checks its file during startup.
 const listField = "known"
 
 var errDepth = errors.New("nested too deep")
 
-// parseJSON reads a text; nil where it is no JSON. Of a field that is given twice the last counts, as it does for serve.
+// parseJSON parses a JSON text; nil if it is invalid. Of a repeated field the last value counts, as it does in the sidecar.
 func (f *File) parseJSON() *node {
 	var raw json.RawMessage
 	if err := json.Unmarshal(f.Text, &raw); err != nil {
@@ -84,7 +84,7 @@
 				}
 			}
 		}
-		if _, err := d.Token(); err != nil { // its end
+		if _, err := d.Token(); err != nil { // the closing delimiter
 			return nil, err
 		}
 	case string:
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	key, _ := token.(string) // a JSON text that is valid has nothing else here
+	key, _ := token.(string) // always a string, since the text is valid JSON
 	var e *node
 	if depth == 0 && key == listField {
 		var list json.RawMessage
--- a/internal/appconfig/model.go
+++ b/internal/appconfig/model.go
@@ -1,12 +1,13 @@
-// Package appconfig knows the files by which a sidecar is told what it is to do: an application's and a site's, which
-// people write as TOML, and the two that they are rendered to, the platform's JSON and the operators' features.
+// Package appconfig reads and renders the configuration of a sidecar. People write two TOML files, one for an application
+// and one for a site. Both are rendered to the two JSON files that a sidecar reads: the platform's file and the operators'
+// file of features.
 //
-// The tags of the model's fields are the one description of all four. toml is the name in a file that people write; file is
-// the place in what is rendered, p for the platform's file and f for the features, with slashes between names; unit is
-// what a number counts there; least, above and most bound it; enum lists the words with what is rendered for them.
+// The struct tags of the model describe all four files. toml is the name in a TOML file. file is the path in a rendered
+// file, with the prefix p for the platform's file or f for the features, and slashes between names. unit is the unit of
+// the number there. least, above and most limit the value. enum lists the allowed words, each with its rendered form.
 package appconfig
 
-// App is an application: what one instance of it tells the sidecar beside it.
+// App is an application's file: the configuration of one instance and of its sidecar.
 type App struct {
 	Format    string `toml:"format" need:"yes" comment:"what this file is, and the version of its form"`
 	Name      string `toml:"name" file:"p:name" need:"yes" comment:"the instance's name, the same after a restart"`
@@ -34,7 +35,7 @@
 	Fleet     *Fleet         `toml:"fleet,omitempty" file:"f:fleet" comment:"how the sidecar and others of its fleet find each other"`
 }
 
-// Fleet is how sidecars find each other.
+// Fleet configures how the sidecars of a fleet find each other.
 type Fleet struct {
 	Name      string   `toml:"name" file:"f:fleet/name" need:"yes" comment:"of the fleet; sidecars of another are turned away"`
 	Listen    string   `toml:"listen" file:"f:fleet/listen" need:"yes" comment:"address and port for other sidecars"`
@@ -45,14 +46,14 @@
 	Jobs      []string `toml:"jobs,omitempty" file:"f:fleet/jobs" comment:"what this sidecar can do on behalf of all: list, report, drill, works"`
 }
 
-// Limits bound what the process may use.
+// Limits are the resource limits of the sidecar's process.
 type Limits struct {
 	Cores   float64 `toml:"cores" file:"p:limits/cores" above:"0" most:"1024" default:"1" comment:"processor cores"`
 	Memory  Size    `toml:"memory" file:"p:limits/memory_mb" unit:"MiB" least:"16MiB" most:"1024GiB" default:"192MiB" comment:"the process is killed beyond it"`
 	Sockets int     `toml:"sockets" file:"p:limits/sockets" least:"64" most:"10000000" default:"1024" comment:"file descriptors"`
 }
 
-// Client is what the application's client does.
+// Client describes the behaviour of the application's own client. Only the checks use it.
 type Client struct {
 	Waits       Duration `toml:"waits,omitempty" file:"p:expect/client/waits" unit:"s" least:"0s" most:"1d" comment:"how long it waits for an answer in all, over all its tries"`
 	Connections int      `toml:"connections,omitempty" file:"p:expect/client/connections" least:"0" most:"10000000" comment:"the most connections that it opens to the sidecar"`
@@ -61,7 +62,7 @@
 	Rate        float64  `toml:"rate,omitempty" file:"p:expect/client/rate" least:"0" most:"1e9" comment:"requests a second of this instance when it is busy"`
 }
 
-// Class is a class of requests, as an application asks for it or as the boxes of a site serve it.
+// Class is a request class, either as an application uses it or as the servers of a site serve it.
 type Class struct {
 	Name          string   `toml:"name" file:"p:name" need:"yes" comment:"the first part of the path"`
 	Effect        string   `toml:"effect,omitempty" file:"p:effect" enum:"safe=free,keyed=guarded,unsafe=single_shot" comment:"what running it twice does: safe, keyed (a box drops what has a key that it knows) or unsafe"`
@@ -75,7 +76,7 @@
 	Stream        bool     `toml:"stream,omitempty" file:"p:stream" comment:"the answer is a stream"`
 }
 
-// Health is the side port.
+// Health configures the port for health checks.
 type Health struct {
 	Port      int      `toml:"port,omitempty" file:"f:health/port" least:"1" most:"65535" comment:"on the host of the listen address"`
 	ListAge   Duration `toml:"list_age" file:"f:health/max_list_age_ms" unit:"ms" least:"0s" most:"1d" default:"6s" comment:"not ready when nothing has been read from discovery for so long"`
@@ -83,14 +84,14 @@
 	MaxOpen   int      `toml:"max_open" file:"f:health/max_inflight" least:"0" most:"10000000" default:"256" comment:"not ready with more open requests"`
 }
 
-// Capture is the record of what the decisions knew.
+// Capture configures the record of the inputs and decisions of package policy.
 type Capture struct {
 	Bytes Size   `toml:"bytes" file:"f:capture/max_bytes" unit:"B" least:"8KiB" most:"64MiB" default:"512KiB" comment:"held in memory, and again on disk"`
 	Files int    `toml:"files" file:"f:capture/files" least:"1" most:"64" default:"4" comment:"segments; the oldest is dropped"`
 	Dir   string `toml:"dir,omitempty" file:"f:capture/dir" comment:"a folder that the segments are written to, too"`
 }
 
-// Admission is what clients may hold.
+// Admission limits the connections and buffered bytes of clients.
 type Admission struct {
 	Reserve    int      `toml:"reserve,omitempty" file:"f:admission/reserve" least:"1" most:"10000000" comment:"connections kept for known clients"`
 	PerAddress int      `toml:"per_address,omitempty" file:"f:admission/per_address" least:"1" most:"10000000" comment:"the most connections of one address"`
@@ -99,13 +100,13 @@
 	Caps       []Cap    `toml:"cap,omitempty" file:"f:admission/caps" comment:"the most connections of all addresses in a prefix"`
 }
 
-// Cap bounds the connections of a prefix.
+// Cap limits the connections of an address prefix.
 type Cap struct {
 	Prefix string `toml:"prefix" file:"f:prefix" need:"yes" comment:"10.1.0.0/16, or an address"`
 	Links  int    `toml:"links" file:"f:links" need:"yes" least:"1" most:"10000000" comment:"the most connections"`
 }
 
-// Drill is a rehearsal.
+// Drill is a fault that operators may inject: delayed or failed requests of a class.
 type Drill struct {
 	Name     string   `toml:"name" file:"f:name" need:"yes" comment:"letters, digits, '.', '_' and '-'"`
 	Class    string   `toml:"class" file:"f:class" need:"yes" comment:"the class that it touches"`
@@ -115,7 +116,7 @@
 	Duration Duration `toml:"duration" file:"f:duration_s" unit:"s" above:"0s" most:"1d" default:"60s" comment:"how long the drill runs"`
 }
 
-// Rewrite is a change of a header field.
+// Rewrite is a rule that changes a header field.
 type Rewrite struct {
 	Dir        string `toml:"dir" file:"f:dir" need:"yes" enum:"in=in,out=out" comment:"in: requests to a box; out: a box's answers"`
 	Class      string `toml:"class,omitempty" file:"f:when/class" comment:"of requests of this class alone"`
@@ -126,7 +127,7 @@
 	To         string `toml:"to,omitempty" file:"f:to" comment:"the new name of what is renamed"`
 }
 
-// Quotas are shares for groups of clients.
+// Quotas configures request quotas for groups of clients.
 type Quotas struct {
 	File     string     `toml:"file" file:"f:quotas/file" need:"yes" comment:"the file of groups"`
 	Default  string     `toml:"default" file:"f:quotas/default" need:"yes" comment:"the group of requests that no rule knows"`
@@ -140,7 +141,7 @@
 	Identify []Identity `toml:"identify,omitempty" file:"f:quotas/identify" comment:"how a request's group is known; the first rule that fits decides"`
 }
 
-// Identity is one way to know a request's group.
+// Identity is a rule that assigns requests to a quota group.
 type Identity struct {
 	Header    string `toml:"header,omitempty" file:"f:header" comment:"the field whose value is the group's path"`
 	Addresses string `toml:"addresses,omitempty" file:"f:addresses" comment:"the clients' address or prefix"`
@@ -148,7 +149,7 @@
 	Group     string `toml:"group,omitempty" file:"f:group" comment:"the group's path"`
 }
 
-// Site is what holds for every application at a site.
+// Site is a site's file: the configuration that all applications at the site share.
 type Site struct {
 	Format           string   `toml:"format" need:"yes" comment:"what this file is, and the version of its form"`
 	Name             string   `toml:"name,omitempty" file:"p:expect/site/name" comment:"the site's name"`
@@ -169,13 +170,13 @@
 	Classes  []Class  `toml:"class,omitempty" file:"p:expect/site/classes" comment:"the classes that boxes serve, and what running them twice does"`
 }
 
-// List says how the list of boxes comes.
+// List configures how the sidecar gets the list of servers.
 type List struct {
 	Mode             string   `toml:"mode,omitempty" file:"p:settings/discovery" enum:"ask=on_request,push=pushed" comment:"ask: only when asked for; push: by itself"`
 	MaxQueryInterval Duration `toml:"ask_within,omitempty" file:"p:settings/obligations/askWithinS" unit:"s" least:"0s" most:"1d" comment:"who has not asked for so long counts as told"`
 }
 
-// Requests says what is allowed with a request.
+// Requests configures what a sidecar may do with a request.
 type Requests struct {
 	Attempts     int      `toml:"attempts,omitempty" file:"p:settings/limits/sendCap" least:"0" most:"1000" comment:"most attempts at boxes; 0 counts as 1"`
 	Cancel       bool     `toml:"cancel" file:"p:settings/limits/cancel" comment:"an attempt may be called off"`
@@ -184,26 +185,26 @@
 	MaxRetry     Duration `toml:"max_retry_after,omitempty" file:"p:settings/limits/maxRetryAfterS" unit:"s" least:"0s" most:"1d" comment:"the longest such advice that clients follow"`
 }
 
-// Conns are the connections to boxes.
+// Conns configures connections to servers.
 type Conns struct {
 	Timeout Duration `toml:"timeout" file:"p:settings/limits/connectTimeoutS" unit:"s" need:"yes" above:"0s" most:"1h" comment:"a connection that is not up by then has failed"`
 	Idle    Duration `toml:"idle,omitempty" file:"p:settings/limits/connIdleS" unit:"s" least:"0s" most:"1d" comment:"the box's machine closes a connection that has been idle for so long"`
 }
 
-// Probes are questions to boxes.
+// Probes configures probes of servers.
 type Probes struct {
 	Allowed bool     `toml:"allowed" file:"p:settings/limits/probes" comment:"boxes answer them"`
 	Cost    Duration `toml:"cost,omitempty" file:"p:expect/site/probes/cost" unit:"s" least:"0s" most:"1h" comment:"what one takes of a box's time"`
 	Part    float64  `toml:"part,omitempty" file:"p:expect/site/probes/part" least:"0" most:"1" comment:"the most that all probes together may take of a box"`
 }
 
-// Servers is what there is.
+// Servers describes the servers of the site. Only the checks use it.
 type Servers struct {
 	Count       int `toml:"count,omitempty" file:"p:expect/site/boxes/count" least:"0" most:"1000000" comment:"how many boxes on a common day"`
 	Connections int `toml:"connections,omitempty" file:"p:expect/site/boxes/connections" least:"0" most:"10000000" comment:"how many connections a box holds"`
 }
 
-// Rules are the figures of the standing rules.
+// Rules are the parameters of the rules that every sidecar at the site follows.
 type Rules struct {
 	AnswerSlack    Duration `toml:"answer_slack,omitempty" file:"p:settings/obligations/answerSlackS" unit:"s" least:"0s" most:"1h" comment:"an answer so long after the deadline still counts"`
 	DrainGrace     Duration `toml:"drain_grace,omitempty" file:"p:settings/obligations/drainGraceS" unit:"s" least:"0s" most:"1h" comment:"nothing is sent to a box so long after its drain was told"`
@@ -214,26 +215,26 @@
 	OverloadWindow Duration `toml:"cold_window,omitempty" file:"p:settings/obligations/fallS" unit:"s" least:"0s" most:"1h" comment:"for so long falls over"`
 }
 
-// Report is what boxes say of their load.
+// Report configures the load reports of servers.
 type Report struct {
 	How    string   `toml:"how,omitempty" file:"p:settings/report/how" enum:"off=off,on_probe=on_probe,inline=inline" comment:"off, on_probe or inline (with every answer)"`
 	Fields []string `toml:"fields,omitempty" file:"p:settings/report/fields" comment:"the names of the values"`
 }
 
-// Tenant has a share of the boxes.
+// Tenant is one of the parties that share the servers.
 type Tenant struct {
 	Name      string  `toml:"name" file:"p:name" need:"yes" comment:"who"`
 	Allowance float64 `toml:"allowance,omitempty" file:"p:allowancePerS" least:"0" most:"1e9" comment:"requests a second of all sidecars together"`
 	Share     float64 `toml:"share,omitempty" file:"p:share" least:"0" most:"1" comment:"the part of the service that is theirs"`
 }
 
-// The forms of files that people write, as their first field says it.
+// Values of the format field, with which a TOML file begins.
 const (
 	AppFormat  = "app/1"
 	SiteFormat = "site/1"
 )
 
-// elsewhere are fields of the platform's file that the sidecar has no use for; they are known and skipped.
+// elsewhere lists fields of the platform's file that have no counterpart in the model; they are accepted and skipped.
 var elsewhere = []string{"known", "settings.stage", "settings.tiers", "settings.workload", "settings.valueBy", "settings.familyInfo",
 	"settings.clients", "settings.deductions.connection", "settings.deductions.discovery", "settings.deductions.fleet",
 	"settings.deductions.handshake", "settings.deductions.lateFail", "settings.deductions.moves", "settings.deductions.origin",
--- a/internal/appconfig/nearest.go
+++ b/internal/appconfig/nearest.go
@@ -8,11 +8,11 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// maxNameLength bounds the names for which a near one is looked for; the cost grows with the square.
+// maxNameLength limits the length of names for which Nearest searches; its cost grows with the square of the length.
 const maxNameLength = 40
 
-// Nearest returns the known name that somebody may have meant, "" if none is near. A name is near if at most a third of its
-// letters differ, not counting case.
+// Nearest returns the known name that is most similar to name, "" if none is similar. At most a third of the letters may
+// differ, ignoring case.
 func Nearest(name string, known []string) string {
 	if len(name) > maxNameLength || name == "" {
 		return ""
@@ -24,7 +24,7 @@
 		}
 		d := levenshtein.ComputeDistance(strings.ToLower(name), strings.ToLower(k))
 		if d == 2 && letters(name) == letters(k) {
-			d = 1 // two letters have changed places
+			d = 1 // two letters are transposed
 		}
 		if k != name && d < least {
 			best, least = k, d
@@ -33,7 +33,7 @@
 	return best
 }
 
-// letters returns a name's letters in their order.
+// letters returns the letters of a name, sorted.
 func letters(name string) string {
 	all := []rune(strings.ToLower(name))
 	slices.Sort(all)
--- a/internal/appconfig/render.go
+++ b/internal/appconfig/render.go
@@ -11,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Resolve returns the application with what its classes leave to the site filled in from the site's class of their name.
+// Resolve returns a copy of the application in which unset fields of classes are taken from the site's class of the same name.
 func Resolve(a *App, s *Site) *App {
 	out := *a
 	out.Classes = slices.Clone(a.Classes)
@@ -50,14 +50,14 @@
 	return &out
 }
 
-// Render returns the platform's file and the operators' file of features that an application at a site is served by;
-// features is nil where nothing is switched on. It fails where the application's home is none of the site's places.
+// Render returns the platform's file and the operators' file of features for an application at a site. features is nil if
+// no feature is enabled. It fails if the application's home is none of the site's places.
 func Render(a *App, s *Site) (platform, features []byte, err error) {
 	p, f := map[string]any{}, map[string]any{}
 	render(p, reflect.ValueOf(s).Elem(), platformForm)
 	render(p, reflect.ValueOf(Resolve(a, s)).Elem(), platformForm)
 	render(f, reflect.ValueOf(a).Elem(), featuresForm)
-	// Danger: the decisions ask for the list once they have been told of one, and without any they never do.
+	// Danger: policy requests lists only after it has been given one. Without this empty list it never would.
 	put(p, "known", map[string]any{"index": 0, "snapshot": true, "endpoints": []any{}})
 	if a.Home != "" {
 		at := slices.Index(s.Places, a.Home)
@@ -82,7 +82,7 @@
 	return b.Bytes(), err
 }
 
-// render puts the fields of a struct into m. A value that is the same as none at all is left out.
+// render puts the fields of a struct into m. Zero values of fields without a default are left out.
 func render(m map[string]any, v reflect.Value, as form) {
 	for _, f := range fieldsOf(v.Type()) {
 		at, path := v.Field(f.index), f.in(as)
@@ -116,7 +116,7 @@
 	}
 }
 
-// rendered returns a value as a rendered file has it.
+// rendered converts a value to its form in a rendered file.
 func (f *Field) rendered(at reflect.Value) any {
 	switch v := at.Interface().(type) {
 	case Duration:
@@ -136,7 +136,7 @@
 	return at.Interface()
 }
 
-// put sets a value deep in a map; path has slashes.
+// put sets a value in nested maps; path has slashes between keys.
 func put(m map[string]any, path string, v any) {
 	keys := strings.Split(path, "/")
 	for _, key := range keys[:len(keys)-1] {
@@ -161,8 +161,7 @@
 	return tidy(b.Bytes()), nil
 }
 
-// tidy writes texts between double quotes, as people do, where nothing in them would need an escape, and says each comment
-// once.
+// tidy replaces single quotes by double quotes where no escaping is needed, and keeps only the first copy of each comment.
 func tidy(raw []byte) []byte {
 	var out [][]byte
 	seen := map[string]bool{}
@@ -183,7 +182,7 @@
 	return bytes.Join(out, []byte("\n"))
 }
 
-// Import returns what a platform's file, and a file of features if it is not nil, say as files that people write.
+// Import converts a platform's file, and a file of features if it is not nil, to an application and a site.
 func Import(platform, features *File) (*App, *Site) {
 	a, s := *platform.App, *platform.Site
 	if features != nil && features.App != nil {
--- a/internal/appconfig/schema.go
+++ b/internal/appconfig/schema.go
@@ -7,7 +7,7 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Schema returns the JSON Schema of a kind of file, for editors that complete and check what is typed.
+// Schema returns the JSON Schema of a kind of TOML file, for completion and validation in editors.
 func Schema(k Kind) ([]byte, error) {
 	var v any = &App{}
 	if k == SiteFile {
@@ -35,7 +35,7 @@
 	return json.MarshalIndent(s, "", "  ")
 }
 
-// needed lists the fields that must be there.
+// needed returns the names of the required fields of a struct.
 func needed(t reflect.Type) []string {
 	var all []string
 	for _, f := range fieldsOf(t) {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// enumerate adds what the tags say of a struct's fields beyond their types.
+// enumerate adds the allowed words and the ranges from the tags of a struct to its schema.
 func enumerate(t reflect.Type, s *jsonschema.Schema) {
 	for _, f := range fieldsOf(t) {
 		p, ok := s.Properties.Get(f.name)
--- a/internal/appconfig/tomltree.go
+++ b/internal/appconfig/tomltree.go
@@ -11,10 +11,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxRepairs bounds the faults of syntax that are looked for in one text; each costs a reading of it.
+// maxRepairs limits the syntax errors that are reported for one text, since each of them requires parsing the text again.
 const maxRepairs = 20
 
-// maxNames bounds the entries of a table for which the TOML library's own verdict is asked, too; its cost grows with the square.
+// maxNames limits the entries of a table up to which the text is also validated by the TOML library, whose cost grows with
+// the square of the entries.
 const maxNames = 500
 
 var (
@@ -23,8 +24,8 @@
 	headerOfLine    = regexp.MustCompile(`^\s*(\[\[?)\s*([A-Za-z0-9_-]+(\.[A-Za-z0-9_-]+)*)`)
 )
 
-// parseTOML reads a text whole, also where parts of it make no sense. Danger: a fault of syntax hides all that follows it;
-// so what is broken is taken out, with what it names kept as broken, and the text is read again.
+// parseTOML parses a text completely, even if it has syntax errors. Since the parser stops at the first error, the invalid
+// expression is blanked out, its key is kept as a node of kind broken, and the text is parsed again.
 func (f *File) parseTOML() *node {
 	repaired := append([]byte(nil), f.Text...)
 	for range maxRepairs {
@@ -46,7 +47,7 @@
 	return root
 }
 
-// offsetIn returns where a part lies in its text; 0 if it is none of it.
+// offsetIn returns the offset of part, a subslice of text; 0 if it is none.
 func offsetIn(text, part []byte) int {
 	if cap(part) == 0 || cap(part) > cap(text) {
 		return 0
@@ -54,15 +55,15 @@
 	return min(cap(text)-cap(part), len(text))
 }
 
-// lost is what was taken out since it made no sense: a field, or the header of a table.
+// lost is an invalid expression that was removed from the text: a field or a table header.
 type lost struct {
 	offset int
 	keys   []string
 	kind   unstable.Kind
 }
 
-// takeOut replaces the expression that is broken at an offset, and begins behind end, by spaces; what it names is kept as
-// lost. It reports whether there was anything to take out.
+// takeOut replaces the expression that starts after end and has a syntax error at offset at by spaces, and records its key
+// in f.lost. It reports whether there was anything to remove.
 func (f *File) takeOut(text []byte, end, at int) bool {
 	first := lineStart(text, at)
 	from := 0
@@ -105,7 +106,7 @@
 	return at
 }
 
-// lineEnd returns the offset of the line feed that ends the line of an offset, or the text's end.
+// lineEnd returns the offset of the line feed that ends the line at an offset, or the length of the text.
 func lineEnd(text []byte, from int) int {
 	for i := min(from, len(text)); i < len(text); i++ {
 		if text[i] == '\n' {
@@ -115,7 +116,7 @@
 	return len(text)
 }
 
-// treeOf reads a text up to its first fault of syntax; end is how far what makes sense goes.
+// treeOf parses a text up to its first syntax error; end is the end of the valid part.
 func (f *File) treeOf(raw []byte) (root *node, end int, err error) {
 	root = &node{kind: table, header: true}
 	b := &builder{f: f, root: root, at: root}
@@ -128,11 +129,11 @@
 		end = b.end
 	}
 	if err := p.Error(); err != nil {
-		f.Faults = f.Faults[:faults] // they are found again
+		f.Faults = f.Faults[:faults] // the next pass finds them again
 		return root, end, err
 	}
 	b.takeUpLost(len(raw))
-	if faults == 0 && len(f.Faults) == 0 && !b.huge && b.widest < maxNames { // what the builder lets pass: dates that do not exist, tables that are extended wrongly
+	if faults == 0 && len(f.Faults) == 0 && !b.huge && b.widest < maxNames { // for errors that the builder does not detect: dates that do not exist, tables that are extended wrongly
 		var all map[string]any
 		var decode *toml.DecodeError
 		if err := toml.Unmarshal(raw, &all); errors.As(err, &decode) {
@@ -143,20 +144,20 @@
 	return root, end, nil
 }
 
-// builder makes a tree of expressions.
+// builder builds the tree from the parser's expressions.
 type builder struct {
 	f      *File
 	p      unstable.Parser
 	root   *node
 	at     *node // the table that fields go into
-	end    int   // of what has been read
+	end    int   // offset after the last expression that was read
 	widest int   // entries of the largest table
-	huge   bool  // a number can't be held; the decoder will say so
-	lost   int   // how many of what was taken out have been put in
+	huge   bool  // a number is out of range, which the decoder reports
+	lost   int   // number of entries of f.lost that are in the tree already
 }
 
-// takeUpLost puts in what has been taken out before an offset. Danger: fields below a header that is broken would count as
-// those of the table before it, and a field without a value as missing.
+// takeUpLost adds the removed expressions before an offset to the tree. Otherwise fields below an invalid header would be
+// taken as fields of the previous table, and a field with an invalid value would be reported as missing.
 func (b *builder) takeUpLost(before int) {
 	for ; b.lost < len(b.f.lost) && b.f.lost[b.lost].offset < before; b.lost++ {
 		l := &b.f.lost[b.lost]
@@ -196,7 +197,7 @@
 	b.field(b.descend(b.at, keys[:len(keys)-1]), keys[len(keys)-1], e.Value())
 }
 
-// open has the fields that follow go into the table of a header.
+// open makes the table of a header the current one, to which the following fields belong.
 func (b *builder) open(kind unstable.Kind, keys []*node) {
 	last := keys[len(keys)-1]
 	parent := b.descend(b.root, keys[:len(keys)-1])
@@ -216,7 +217,7 @@
 	l.items = append(l.items, b.at)
 }
 
-// field adds a field to a table. One that is there keeps its value: it is the first that the reader has seen.
+// field adds a field to a table. A repeated field is a fault and the first value is kept.
 func (b *builder) field(parent, key *node, value *unstable.Node) {
 	v := b.value(value, key.offset)
 	v.offset = key.offset
@@ -228,7 +229,7 @@
 	b.widest = max(b.widest, len(parent.items))
 }
 
-// descend returns the table that keys lead to, made where it is not there; of a list its last.
+// descend returns the table at a path of keys and creates missing ones. In a list of tables it takes the last.
 func (b *builder) descend(n *node, keys []*node) *node {
 	for _, k := range keys {
 		next := n.get(k.key)
--- a/internal/appconfig/tree.go
+++ b/internal/appconfig/tree.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// kind is what a node of a text is.
+// kind is the type of a node.
 type kind uint8
 
 const (
@@ -17,7 +17,7 @@
 	boolean
 	moment // a date or a time of TOML
 	null
-	broken // its text makes no sense; that has been said already, and nothing more follows from it
+	broken // invalid syntax that was reported already; no further faults are derived from it
 )
 
 var kindNames = [...]string{"a table", "a list", "text", "a whole number", "a number", "true or false", "a date", "null", "nonsense"}
@@ -25,20 +25,20 @@
 // String implements fmt.Stringer.
 func (k kind) String() string { return kindNames[k] }
 
-// node is a value of a text, with its place. It is the same for TOML and JSON.
+// node is a value in the syntax tree of a TOML or JSON file, with its position.
 type node struct {
 	kind    kind
-	key     string // in its table
-	offset  int    // of its key, or of its value in a list
-	text    string // of a text, or as a number is written
+	key     string // in the table that holds it
+	offset  int    // of its key; in a list, of the value
+	text    string // the value of a text, or a number as written
 	integer int64
 	number  float64
-	huge    bool // a number that can't be held
+	huge    bool // a number that doesn't fit into its type
 	truth   bool
 	items   []*node
 	byKey   map[string]*node
-	inline  bool // written whole in one place: nothing may be added to it elsewhere
-	header  bool // a table that has had a header of its own
+	inline  bool // an inline table or array, which TOML doesn't allow to be extended elsewhere
+	header  bool // a table whose own header was read
 }
 
 // get returns a table's entry, nil where there is none.
@@ -49,7 +49,7 @@
 	return n.byKey[key]
 }
 
-// put adds an entry to a table, or takes the place of the one of its name.
+// put adds an entry to a table. Callers check first that its key is not taken.
 func (n *node) put(key string, e *node) {
 	if n.byKey == nil {
 		n.byKey = map[string]*node{}
@@ -59,7 +59,7 @@
 	n.items = append(n.items, e)
 }
 
-// walk follows keys from a table downwards, "a/b". In a file of features a key at the top may be written with dots.
+// walk follows a path of keys like "a/b" from a table. In a file of features "a.b" may also be a single key at the top level.
 func (n *node) walk(path string) *node {
 	if e := n.get(strings.ReplaceAll(path, "/", ".")); e != nil {
 		return e
@@ -76,8 +76,8 @@
 	return n
 }
 
-// fold returns the entry whose name differs in case alone. Danger: the JSON package takes such a field for the one that it
-// knows; a check that did not would look at another configuration than the one that serves.
+// fold returns the entry whose key matches without regard to case. The sidecar reads its files with encoding/json, which
+// accepts such keys; without this, the checks would examine another configuration than the one in use.
 func (n *node) fold(key string) *node {
 	if n == nil || n.kind != table {
 		return nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// gathered returns the table of a name, together with the entries that are written with the name and a dot before theirs.
+// gathered returns the table of a name, including the entries that are written outside it as "name.key".
 func (n *node) gathered(name string) *node {
 	e := n.get(name)
 	all := &node{kind: table, key: name}
@@ -116,7 +116,7 @@
 	return all
 }
 
-// value returns a node as plain Go values, for sections whose fields are not known here.
+// value converts a node to plain Go values, for sections that the model doesn't describe.
 func (n *node) value() any {
 	switch n.kind {
 	case table:
@@ -135,7 +135,7 @@
 		return n.integer
 	case float:
 		if integral := int64(n.number); float64(integral) == n.number && integral > -1<<53 && integral < 1<<53 {
-			return integral // JSON does not tell 1.0 from 1
+			return integral // JSON does not distinguish 1.0 from 1
 		}
 		return n.number
 	case boolean:
--- a/internal/appconfig/units.go
+++ b/internal/appconfig/units.go
@@ -10,16 +10,16 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Duration is a time span. As text it has its unit behind it: "600ms", "12s", "1min30s".
+// Duration is a time span, written with units: "600ms", "12s", "1min30s".
 type Duration time.Duration
 
-// Size is a number of bytes. As text: "64KiB", "192MiB".
+// Size is a number of bytes, written with a unit: "64KiB", "192MiB".
 type Size int64
 
 // S returns a time span in seconds.
 func (d Duration) S() float64 { return float64(d) / 1e9 }
 
-// Seconds returns the time span of so many seconds, to the nanosecond.
+// Seconds converts seconds to a Duration, rounded to nanoseconds.
 func Seconds(s float64) Duration {
 	return Duration(math.Round(min(max(s*1e9, math.MinInt64), math.MaxInt64/2)))
 }
@@ -34,7 +34,7 @@
 	bytes int64
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
-// String writes a time span in the largest unit that divides it.
+// String returns the time span in the largest unit that divides it.
 func (d Duration) String() string {
 	for _, u := range durationUnits {
 		if int64(d)%u.ns == 0 && d != 0 {
@@ -44,7 +44,7 @@
 	return "0s"
 }
 
-// String implements fmt.Stringer: the size in the largest unit in which it is a whole number.
+// String returns the size in the largest unit that divides it.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if int64(s)%u.bytes == 0 && s != 0 {
@@ -54,30 +54,30 @@
 	return "0B"
 }
 
-// MarshalText makes TOML write the unit.
+// MarshalText implements encoding.TextMarshaler, so that TOML has the unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// MarshalText makes TOML write the unit.
+// MarshalText implements encoding.TextMarshaler, so that TOML has the unit.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// JSONSchema says to editors what a time span looks like.
+// JSONSchema describes the notation of a time span to editors.
 func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^(\d+(\.\d+)?(d|h|min|s|ms|us|ns))+$`, Examples: []any{"600ms", "12s"}}
 }
 
-// JSONSchema says to editors what a size looks like.
+// JSONSchema describes the notation of a size to editors.
 func (Size) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^\d+(\.\d+)?(B|KiB|MiB|GiB)$`, Examples: []any{"64KiB", "192MiB"}}
 }
 
-// unitError says what is wrong with a unit and what may be meant; Huge: the number can't be held.
+// unitError is an invalid unit, with a suggestion of what may be meant. huge means that the number is out of range instead.
 type unitError struct {
 	unit, meant string
 	huge        bool
 }
 
-// parseDuration reads a time span. Danger: "480m" is milliseconds in a request's header and minutes elsewhere, so m and u
-// are units here no more than no unit at all is.
+// parseDuration parses a time span. The units m and u are rejected, as is a missing unit: "480m" means milliseconds in a
+// request's header and minutes elsewhere.
 func parseDuration(s string) (Duration, *unitError) {
 	rest, negative := strings.CutPrefix(s, "-")
 	total := 0.0
@@ -146,7 +146,7 @@
 	return "a number with ms, s, min, h or d behind it"
 }
 
-// parseSize reads a number of bytes.
+// parseSize parses a size.
 func parseSize(s string) (Size, *unitError) {
 	digits := s[:len(s)-len(strings.TrimLeft(s, "-0123456789."))]
 	unit := strings.TrimSpace(s[len(digits):])
--- a/internal/appconfig/unknownnames.go
+++ b/internal/appconfig/unknownnames.go
@@ -10,16 +10,16 @@
 	"sync"
 )
 
-// names are the fields that tables of a kind of file have: by the table's name, without the numbers of lists.
+// names maps each table of a kind of file to the names of its fields. Table names have no list indices.
 type names map[string]map[string]bool
 
 var (
 	namesOnce sync.Once
 	namesOf   map[Kind]names
-	modelOf   map[string]string // of a name in a platform's file or one of features: the model's, "app.class[].aim"
+	modelOf   map[string]string // path in the model ("app.class[].aim") by form and path in a rendered file
 )
 
-// knownNames returns the names that a kind of file knows.
+// knownNames returns the fields that a kind of file may contain.
 func knownNames(k Kind) names {
 	namesOnce.Do(func() {
 		app, site := reflect.TypeFor[App](), reflect.TypeFor[Site]()
@@ -37,15 +37,14 @@
 	return namesOf[k]
 }
 
-// and returns the names at the top of both kinds.
+// and returns the union of the top-level names of both kinds.
 func (n names) and(other names) map[string]bool {
 	all := maps.Clone(n[""])
 	maps.Copy(all, other[""])
 	return all
 }
 
-// ModelName returns what a field of a rendered file is called in the files that people write, "" where it is none of them;
-// without the numbers of lists: "settings.classes.objectiveS" is "class.aim".
+// ModelName returns the TOML name of a field of a rendered file, "" if there is none. Neither has list indices: "settings.classes.objectiveS" is "class.aim".
 func ModelName(rendered string) string {
 	knownNames(PlatformFile)
 	for _, as := range []form{platformForm, featuresForm} {
@@ -57,7 +56,7 @@
 	return ""
 }
 
-// path adds a name and all that it stands in, and returns what it is called from the top.
+// path adds a name and the tables around it, and returns its full name.
 func (n names) path(under, path string) string {
 	for _, part := range strings.Split(path, "/") {
 		if n[under] == nil {
@@ -72,7 +71,7 @@
 	return under
 }
 
-// add adds the fields of a struct, below a table and a place in the model.
+// add adds the fields of a struct to the table under; model is the struct's path in the model.
 func (n names) add(t reflect.Type, under, model string, as form) {
 	for _, f := range fieldsOf(t) {
 		s, many := structure(f.kind)
@@ -84,27 +83,27 @@
 			at = n.path(under, name)
 			modelOf[string(as)+at] = field
 			if s == nil && f.kind.Kind() == reflect.Map {
-				n[at] = nil // anything
+				n[at] = nil // any field is allowed
 			}
 		} else if s == nil || many {
 			continue
 		}
 		if s != nil {
 			if as != tomlForm && !many {
-				at = under // fields say where they are from the top on
+				at = under // the file tags of fields are paths from the top
 			}
 			n.add(s, at, field+".", as)
 		}
 	}
 }
 
-// maxNear bounds for how many unknown names a near one is looked for.
+// maxNear limits the faults beyond which no similar names are searched.
 const maxNear = 200
 
-// unknown adds a fault for each name that the file's kind does not have.
+// unknown adds a fault for each name that is unknown in the file's kind.
 func (d *decoder) unknown(n *node, known names) { d.unknownIn(n, known, "", "") }
 
-// unknownIn adds the faults of one table or list. generic is its name without the numbers of lists, shown the one with them.
+// unknownIn adds the faults of one table or list. generic is its name without list indices, shown with them.
 func (d *decoder) unknownIn(n *node, known names, generic, shown string) {
 	if n.kind == list {
 		for i, e := range n.items {
@@ -125,7 +124,7 @@
 		}
 		if first, _, dotted := strings.Cut(e.key, "."); dotted && d.form == featuresForm && generic == "" {
 			if below, ok := known[first]; ok && below == nil {
-				continue // of a section whose fields are not known here
+				continue // field of a section that the model doesn't describe
 			}
 		}
 		if known[generic][e.key] || d.form == platformForm && foldIn(known[generic], e.key) || generic == "" && known.has(e.key) {
@@ -156,7 +155,7 @@
 	}
 }
 
-// meant takes a field for given that a misspelt one stands for: that it is missing would only follow.
+// meant handles a misspelt field as if near had been written, so that near is not also reported as missing.
 func (d *decoder) meant(generic, shown, near string) {
 	if generic != "" {
 		generic, shown = generic+".", shown+"."
@@ -177,7 +176,7 @@
 
 var indices = regexp.MustCompile(`\[\d+\]`)
 
-// has reports whether a name with dots is a field, as features may be written at their file's top.
+// has reports whether a dotted name is a field. Features may be written so at the top of their file.
 func (n names) has(dotted string) bool {
 	under, name, ok := withoutLast(dotted)
 	return ok && n[under][name]
@@ -192,8 +191,8 @@
 	return s[:i], s[i+1:], true
 }
 
-// homeOf says where a field belongs that stands in the wrong table; "" where that is not plain. In TOML all that follows a
-// table's header is the table's, which those who add a field at the end forget.
+// homeOf returns the table that a misplaced field belongs to, "" if that is ambiguous. A common cause is a field appended at
+// the end of a TOML file, where it becomes part of the last table.
 func homeOf(known names, key string) string {
 	home, n := "", 0
 	for under, fields := range known {
@@ -212,7 +211,7 @@
 	return home
 }
 
-// otherKind returns the kind of file that people write which has a field that this kind has not.
+// otherKind returns the other kind of TOML file if that one has the field.
 func otherKind(k Kind, name string) Kind {
 	under, key, _ := withoutLast(name)
 	for _, other := range []Kind{AppFile, SiteFile} {
@@ -223,7 +222,7 @@
 	return ""
 }
 
-// foldIn reports whether a table has a name but for its case.
+// foldIn reports whether a table has a name, ignoring case.
 func foldIn(m map[string]bool, key string) bool {
 	for name := range m {
 		if strings.EqualFold(name, key) {
--- a/internal/featureconfig/jsonobject.go
+++ b/internal/featureconfig/jsonobject.go
@@ -70,7 +70,7 @@
 	return raw, ok
 }
 
-// decodeField decodes a decodeField into v if the object has it. A value that can't be decoded or that isValid rejects is recorded as
+// decodeField decodes the named field into v if the object has it. A value that can't be decoded or that isValid rejects is recorded as
 // an error; expected describes the valid values in its message.
 func decodeField[T any](o *object, name string, v *T, expected string, isValid func(T) bool) {
 	raw, ok := o.take(name)
