--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// readHealth reads the port that answers health checks of other programs, and the limits beyond which it reports unhealthy.
+// readHealth reads the port for health checks by other programs, and the limits beyond which the sidecar reports not ready.
 func (f *Features) readHealth(o *object, c *sidecarconfig.Config) {
 	f.Health = health.Settings{MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}
 	o.flatten("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
--- a/internal/lint/capacity.go
+++ b/internal/lint/capacity.go
@@ -8,19 +8,19 @@
 	"hazelwheel/internal/appconfig"
 )
 
-// What the sidecar itself takes, as it counts it.
+// The sidecar's own needs and the limits that it applies.
 const (
-	spareSockets = 24       // descriptors that are no links
-	clientPart   = 0.75     // of the others, that clients may hold at most
-	segment      = 8 << 10  // the least segment of a capture
-	ownMemory    = 64 << 20 // the process without what the settings add
-	probesPerS   = 1.0      // of one sidecar at a box, at most
+	spareSockets = 24       // descriptors not available for connections
+	clientPart   = 0.75     // the most that clients may use of the other descriptors
+	segment      = 8 << 10  // smallest segment of a capture
+	ownMemory    = 64 << 20 // memory of the process without the configurable buffers
+	probesPerS   = 1.0      // most probes that one sidecar sends to one server
 )
 
-// links is how many descriptors there are for links.
+// links returns the number of descriptors available for connections.
 func (u *unit) links() int { return u.app.Limits.Sockets - spareSockets }
 
-// kept is what the settings keep in memory.
+// kept returns the memory for captures, client buffers and quota groups.
 func (u *unit) kept() appconfig.Size {
 	kept := u.groupsKept()
 	if c := u.features.Capture; c != nil {
--- a/internal/lint/classes.go
+++ b/internal/lint/classes.go
@@ -7,10 +7,10 @@
 	"hazelwheel/internal/appconfig"
 )
 
-// writingWords begin the names of what changes something, as far as names tell.
+// writingWords are first words of class names that suggest that requests change something.
 var writingWords = []string{"log", "raise", "write", "set", "create", "add", "update", "delete", "remove", "post", "put", "send", "pay", "book", "record", "store", "submit"}
 
-// readingWords name what is read, also where a word of writing stands before them.
+// readingWords are words of class names that suggest reading, even after a writing word.
 var readingWords = []string{"get", "list", "read", "latest", "query", "search", "show", "status", "reading", "readings", "history"}
 
 var classChecks = []Check{
@@ -115,7 +115,7 @@
 		Reason: "A reader may take it for a keyed one",
 		Remedy: "Take them out, or write effect = \"keyed\" if boxes drop repeats",
 		class: func(_ *unit, c *class, report reportFunc) {
-			if c.Effect != "safe" && c.Effect != "unsafe" || c.file.Kind == appconfig.PlatformFile { // platforms give all classes both
+			if c.Effect != "safe" && c.Effect != "unsafe" || c.file.Kind == appconfig.PlatformFile { // platforms write both fields for all classes
 				return
 			}
 			for _, field := range []string{"window", "group"} {
@@ -334,10 +334,10 @@
 		}},
 }
 
-// danger orders effects by what running a request twice can do.
+// danger ranks effects by the harm of running a request twice.
 func danger(effect string) int { return slices.Index([]string{"", "safe", "keyed", "unsafe"}, effect) }
 
-// width orders groups by how many boxes they hold; none at all counts as all.
+// width ranks groups by the number of their servers. No group counts as all servers.
 func width(group string) int {
 	if group == "" {
 		group = "all"
--- a/internal/lint/explain.go
+++ b/internal/lint/explain.go
@@ -11,7 +11,7 @@
 
 var numbers = regexp.MustCompile(`\[[^\]]*\]`)
 
-// Explain says what a code or a field means; false where there is no such thing, with the nearest there is.
+// Explain describes a code or a field. If there is none of that name, it returns false and a text with the most similar one.
 func Explain(word string) (string, bool) {
 	if c, ok := Lookup(word); ok {
 		return c.explain(), true
@@ -50,7 +50,7 @@
 
 var verbs = regexp.MustCompile(`%(\[(\d)\])?[.0-9]*[a-z]`)
 
-// sentence shows a format with letters for what is filled in.
+// sentence replaces the verbs of a format by letters: A for the first argument, B for the second.
 func sentence(format string) string {
 	text := verbs.ReplaceAllStringFunc(format, func(verb string) string {
 		if m := verbs.FindStringSubmatch(verb); m[2] != "" {
@@ -92,7 +92,7 @@
 	return b.String()
 }
 
-// Page is the documentation of all codes, as Markdown.
+// Page returns the documentation of all codes as Markdown.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# Codes of the configuration's checks\n\nMade from the table of checks by `hazelwheel config explain --page`; see [configuration](config.md). A, B, C stand for what is\n" +
--- a/internal/lint/facts.go
+++ b/internal/lint/facts.go
@@ -10,10 +10,10 @@
 	"hazelwheel/internal/appconfig"
 )
 
-// usable are the report values that the decisions can use.
+// usable lists the report values that policy can use.
 var usable = []string{"busy_reqs", "pending"}
 
-// reportValues are all that a site can choose from.
+// reportValues lists all values that servers can report.
 var reportValues = []string{"busy_reqs", "pending", "cpu_share", "svc_ms", "served_ps", "failed_ps"}
 
 var factChecks = []Check{
@@ -24,7 +24,7 @@
 		site: func(u *unit, report reportFunc) {
 			r := &u.site.Report
 			if r.How != "off" && r.How != "" && len(r.Fields) > 0 && !slices.ContainsFunc(r.Fields, func(f string) bool {
-				return slices.Contains(usable, f) || !slices.Contains(reportValues, f) // which has a check of its own
+				return slices.Contains(usable, f) || !slices.Contains(reportValues, f) // unknown values are HW111
 			}) {
 				report(u.atSite("report.fields").with(u.atSite("report.how")), strings.Join(r.Fields, ", "))
 			}
@@ -223,7 +223,7 @@
 		}},
 }
 
-// differing calls f with each plain field in which two sites' facts are unlike.
+// differing calls f with each field that differs between two sites, except names and lists of tables.
 func differing(a, b reflect.Value, path string, f func(path string, here, there any)) {
 	for i := range a.NumField() {
 		tag, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("toml"), ",")
--- a/internal/lint/features.go
+++ b/internal/lint/features.go
@@ -14,8 +14,8 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// classRefs says where sections whose fields are not known here name classes: the values of these keys, or lists of them. A
-// section that a feature adds gets a row.
+// classRefs lists the sections that the model doesn't describe and that refer to classes: the texts below these keys are names
+// of classes. Add a row for each such section of a new feature.
 var classRefs = []struct {
 	section string
 	keys    []string
@@ -24,7 +24,7 @@
 	{"thrift", []string{"class"}, func(a *appconfig.App) map[string]any { return a.Thrift }},
 }
 
-// named calls f with each class that features name, and its place.
+// named calls f with each name of a class that the features refer to, and its field.
 func (u *unit) named(f func(name string, at ref)) {
 	for i, d := range u.features.Drills {
 		f(d.Class, u.atFeature("drill[%d].class", i))
@@ -52,7 +52,7 @@
 	}
 }
 
-// namedIn walks a section; inside reports whether all texts in it name classes.
+// namedIn calls f with each name of a class in a section. inside means that v is below one of the keys.
 func namedIn(v any, keys []string, inside bool, path string, f func(name, path string)) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -348,7 +348,7 @@
 	return nil
 }
 
-// prefixes calls f with each address or prefix of the admission.
+// prefixes calls f with each address or prefix of the quota rules and of admission.
 func (u *unit) prefixes(f func(text string, at ref)) {
 	if q := u.features.Quotas; q != nil {
 		for i, r := range q.Identify {
@@ -368,7 +368,7 @@
 	}
 }
 
-// prefix reads a prefix; an address is one of its own.
+// prefix parses an IP prefix, or an address as a prefix of full length; the zero value if it is invalid.
 func prefix(text string) netip.Prefix {
 	if a, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(a.Unmap(), a.Unmap().BitLen())
@@ -377,7 +377,7 @@
 	return p.Masked()
 }
 
-// plain reports whether a name means the same in a path, a log line and a figure.
+// plain reports whether a name can be used without quoting in a path, a log line and a metric.
 func plain(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
--- a/internal/lint/instance.go
+++ b/internal/lint/instance.go
@@ -110,7 +110,7 @@
 					return
 				}
 			}
-			if u.app.Home == "" || u.file.Kind == appconfig.PlatformFile { // whose places are compared whole
+			if u.app.Home == "" || u.file.Kind == appconfig.PlatformFile { // its places are compared with those of the site by HW126
 				return
 			}
 			do := "Write one of " + strings.Join(places, ", ")
@@ -158,7 +158,7 @@
 		}},
 }
 
-// address reads an address and port; the zero value where there is none.
+// address parses an address and port; the zero value if it is invalid.
 func address(text string) netip.AddrPort {
 	a, _ := netip.ParseAddrPort(text)
 	return a
--- a/internal/lint/instances_together.go
+++ b/internal/lint/instances_together.go
@@ -1,6 +1,7 @@
 package lint
 
-// alike tells of every two files that have the same text in a field: the text, and the other file.
+// alike returns a check that reports each pair of files with the same text in a field. Its arguments are the text and the other
+// file.
 func alike(field string, of func(*unit) string) func([]*unit, reportFunc) {
 	return func(units []*unit, report reportFunc) {
 		pairs(units, func(a, b *unit) {
@@ -11,7 +12,7 @@
 	}
 }
 
-// togetherChecks look at several files together.
+// togetherChecks compare several files with each other.
 var togetherChecks = []Check{
 	{Code: "HW160", Severity: Error, Title: "index used twice", Subject: "index, in all files",
 		Format: "the index %[1]d is that of %[2]s, too",
@@ -84,7 +85,7 @@
 		}},
 }
 
-// pairs calls f with each instance and each one after it. Of many that are alike each is told of the first alone.
+// pairs calls f with each pair of instances, the earlier one first.
 func pairs(units []*unit, f func(a, b *unit)) {
 	for j, b := range units {
 		for _, a := range units[:j] {
@@ -95,7 +96,7 @@
 	}
 }
 
-// sameFleet reports whether two instances are taken for replicas of one application.
+// sameFleet reports whether two instances appear to be replicas of one application.
 func sameFleet(a, b *unit) bool {
 	return a.app.Replicas == b.app.Replicas && a.app.Replicas > 1 && a.app.Discovery == b.app.Discovery && sameClasses(a, b)
 }
--- a/internal/lint/lint.go
+++ b/internal/lint/lint.go
@@ -1,5 +1,5 @@
-// Package lint checks configuration files and reports all diagnostics at once: what can't be read, and what is well-formed but can't be
-// intended. Each check is a row of one table, with a code that never changes its meaning.
+// Package lint checks configuration files and reports all diagnostics at once: syntax errors, invalid values, and valid settings that
+// are most likely mistakes. Each check is a row of one table, with a code that never changes its meaning.
 package lint
 
 import (
@@ -14,21 +14,21 @@
 // Severity is how severe a finding is.
 type Severity int
 
-// The severities. A note never makes a file fail; a warning does where it is asked for.
+// The severities. An error makes a check of files fail, a warning does only with --strict, and a note never does.
 const (
 	Note Severity = iota
 	Warning
 	Error
 )
 
-// String returns the word that is printed.
+// String returns the severity as it is printed.
 func (s Severity) String() string { return [...]string{"note", "warning", "error"}[s] }
 
-// MarshalText makes JSON hold the word.
+// MarshalText implements encoding.TextMarshaler, so that JSON has the word.
 func (s Severity) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Check is a row of the table. Format, Reason and Remedy are formats of the arguments that a finding is reported with. Exactly one of
-// the functions is set, or fault.
+// Check is a row of the table. Format, Reason and Remedy are format strings for the arguments of a finding. A check
+// has either a fault or one or more of the functions.
 type Check struct {
 	Code     string
 	Severity Severity
@@ -88,16 +88,16 @@
 // unit is what is checked together: an instance with its features, quota groups and site, as far as files describe them, or a file of
 // features or of a site alone.
 type unit struct {
-	file         *appconfig.File // that names the instance; nil if there is none
+	file         *appconfig.File // the instance's own file; nil if there is none
 	app          *appconfig.App  // with the site's class settings as defaults
 	featuresFile *appconfig.File // nil if there is none
 	features     *appconfig.App
-	groupsFile   *appconfig.File // nil if it is not checked
+	groupsFile   *appconfig.File // file of quota groups; nil if there is none
 	siteFile     *appconfig.File // nil if there is none
 	site         *appconfig.Site
-	siteIsOwn    bool // the site's facts stand in the file itself, as they do in a platform's file
+	siteIsOwn    bool // the site's settings are in the instance's own file, a platform's file
 	ownClasses   []*class
-	alone        bool // there is nothing but the file of the site, or of features
+	alone        bool // the unit consists of a site's file or a file of features only
 }
 
 func (u *unit) at(format string, args ...any) ref {
@@ -158,11 +158,11 @@
 	return nil
 }
 
-// maxFindingsPerCheck bounds the findings of one check in one file, and with it the time that a file full of faults takes.
+// maxFindingsPerCheck limits the findings of one check in one file, and with it the time for a file with many faults.
 const maxFindingsPerCheck = 500
 
 // Run checks files that belong together and returns the findings in the order of the files. against is the site's file that all of
-// them are checked with; if it is nil, a site's file among them is, if there is one.
+// them are checked against. If it is nil, the first site's file among files is used, if there is one.
 func Run(files []*appconfig.File, against *appconfig.File) []Finding {
 	var found []Finding
 	order := map[*appconfig.File]int{}
@@ -240,7 +240,7 @@
 	return args
 }
 
-// run checks a unit, if the unit has what the check needs.
+// run calls those functions of the check whose input the unit has.
 func (c *Check) run(u *unit, report reportFunc) {
 	if c.app != nil && u.app != nil {
 		c.app(u, report)
@@ -261,7 +261,7 @@
 	}
 }
 
-// finding makes a finding of the check's formats and the arguments.
+// finding returns a finding with the check's formats applied to the arguments.
 func (c *Check) finding(f *appconfig.File, at appconfig.Place, args []any) Finding {
 	parts := []string{formatted(c.Format, args)}
 	for _, part := range []string{formatted(c.Reason, args), formatted(c.Remedy, args)} {
@@ -279,7 +279,7 @@
 	return Finding{c, f.Name, at, message}
 }
 
-// formatted fills arguments into a format, which may leave some out if it numbers them: %[1].
+// formatted applies a format to arguments. A format with indexed verbs (%[1]s) need not use all of them.
 func formatted(format string, args []any) string {
 	if !strings.Contains(strings.ReplaceAll(format, "%%", ""), "%") {
 		return strings.ReplaceAll(format, "%%", "%")
@@ -287,7 +287,7 @@
 	return fmt.Sprintf(format, args...)
 }
 
-// groupUnits puts the files together that belong to one instance. A file of features belongs to the instance's file before it, or to the
+// groupUnits groups the files that belong to one instance. A file of features belongs to the instance's file before it, or to the
 // first after it.
 func groupUnits(files []*appconfig.File, against *appconfig.File) []*unit {
 	var units []*unit
@@ -348,7 +348,7 @@
 // Checks returns the table, in the order of codes.
 func Checks() []Check { return slices.Clone(table) }
 
-// Lookup returns the check of a code.
+// Lookup returns the check with a code, ignoring case.
 func Lookup(code string) (Check, bool) {
 	at := slices.IndexFunc(table, func(c Check) bool { return strings.EqualFold(c.Code, code) })
 	if at < 0 {
@@ -357,7 +357,7 @@
 	return table[at], true
 }
 
-// table holds all checks. Codes are never given twice, nor given anew when a check goes.
+// table holds all checks, ordered by code. Codes are unique, and the code of a removed check is not reused.
 var table = slices.SortedFunc(slices.Values(slices.Concat(readingChecks, nameChecks, classChecks, siteClassChecks, instanceChecks, capacityChecks,
 	factChecks, featureChecks, rewriteChecks, quotaChecks, togetherChecks)), func(a, b Check) int { return strings.Compare(a.Code, b.Code) })
 
@@ -371,7 +371,7 @@
 	return m
 }()
 
-// Worst returns the worst severity among findings, -1 where there are none.
+// Worst returns the highest severity among findings, -1 if there are none.
 func Worst(all []Finding) Severity {
 	worst := Severity(-1)
 	for _, f := range all {
--- a/internal/lint/lint_test.go
+++ b/internal/lint/lint_test.go
@@ -20,15 +20,15 @@
 	"hazelwheel/internal/appconfig"
 )
 
-var update = flag.Bool("update", false, "write down what is found in place of comparing it")
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 const (
 	goodSite = "../../example/site.toml"
 	goodCore = "../../example/config.json"
 )
 
-// sets are the broken files, each with those that are checked with it: by folder, alone, against the example's site, as features
-// of the example's instance, or all of a folder together.
+// sets returns the files to check together for each broken file or folder. The folder decides: a file alone, against the
+// example's site, as features of the example's instance, or all files of the folder together.
 func sets(t *testing.T) map[string][]string {
 	all := map[string][]string{}
 	require.NoError(t, filepath.WalkDir("testdata/broken", func(path string, e fs.DirEntry, err error) error {
@@ -46,7 +46,7 @@
 	return all
 }
 
-// check checks a set; with another text in the place of a file's, if changed is not nil.
+// check runs the checks on a set. changed replaces the text of some of its files.
 func check(set string, paths []string, changed map[string][]byte) []Finding {
 	var files []*appconfig.File
 	for _, path := range paths {
@@ -63,7 +63,7 @@
 	return Run(files, against)
 }
 
-// Every broken file gets the messages that are written down for it, and no others.
+// Every broken file gets exactly the findings in WANT.txt.
 func TestBrokenFiles(t *testing.T) {
 	all := sets(t)
 	var got strings.Builder
@@ -86,12 +86,12 @@
 	assert.Equal(t, strings.Split(string(want), "\n"), strings.Split(got.String(), "\n"))
 }
 
-// Each check has a file that triggers it and a near miss that does not: testdata/near.txt says which text of which file makes
-// the difference.
+// Each check has a file that triggers it and a near miss that does not. testdata/near.txt lists the file, and the text to
+// replace in it for the near miss.
 func TestEachCheckHasATriggerAndANearMiss(t *testing.T) {
 	raw, err := os.ReadFile("testdata/near.txt")
 	require.NoError(t, err)
-	all, tried := sets(t), map[string]bool{"HW001": true, "HW002": true, "HW103": true, "HW104": true} // TestFilesOnDisk has these
+	all, tried := sets(t), map[string]bool{"HW001": true, "HW002": true, "HW103": true, "HW104": true} // covered by TestFilesOnDisk
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		parts := strings.Split(line, "\t")
 		require.Len(t, parts, 4, line)
@@ -126,7 +126,7 @@
 	return false
 }
 
-// The table itself: codes in order and given once, every sentence there.
+// The table has unique codes in order, and no check lacks a text.
 func TestTable(t *testing.T) {
 	all := Checks()
 	assert.GreaterOrEqual(t, len(all), 70)
@@ -140,7 +140,7 @@
 	}
 }
 
-// What is on disk and can't be read, or can be read by too many.
+// Files on disk that can't be read, or have too wide permissions, are reported.
 func TestFilesOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -176,7 +176,7 @@
 	assert.Equal(t, appconfig.PlatformFile, stdin.Kind)
 }
 
-// The examples are sound, and what is found in them is known.
+// The example files have no findings other than the expected notes and the warning.
 func TestExamples(t *testing.T) {
 	open := func(names ...string) (files []*appconfig.File) {
 		for _, name := range names {
@@ -189,10 +189,10 @@
 	assert.Empty(t, Run(open("config.json"), nil))
 	assert.Empty(t, Run(open("quotas.json"), nil))
 	assert.Equal(t, Note, Worst(Run(open("app.toml", "site.toml"), nil)))
-	assert.Equal(t, Warning, Worst(Run(open("config.json", "features.json"), nil)), "its secret is known to all")
+	assert.Equal(t, Warning, Worst(Run(open("config.json", "features.json"), nil)), "the example's drill secret is public")
 }
 
-// What a library that many programs use makes of the report for build servers.
+// A widely used SARIF library reads the report and gets the same findings.
 func TestSARIF(t *testing.T) {
 	all := sets(t)
 	var b bytes.Buffer
@@ -210,7 +210,7 @@
 	}
 }
 
-// The page of codes is what the table says.
+// The page of codes in the documentation is up to date with the table.
 func TestPageOfCodes(t *testing.T) {
 	const path = "../../docs/operators/config-codes.md"
 	if *update {
@@ -218,7 +218,7 @@
 	}
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
-	assert.Equal(t, string(raw), Page(), "write it anew: go test ./internal/lint -update")
+	assert.Equal(t, string(raw), Page(), "update it by go test ./internal/lint -update")
 }
 
 func TestExplain(t *testing.T) {
--- a/internal/lint/mutation_test.go
+++ b/internal/lint/mutation_test.go
@@ -20,7 +20,7 @@
 	"hazelwheel/internal/appconfig"
 )
 
-// mutations spoil a line of a good file; "" where there is nothing of the kind to spoil in it.
+// mutations introduce a mistake into a line of a valid file. They return "" if they don't apply to the line.
 var mutations = []struct {
 	kind string
 	of   func(rng *rand.Rand, lines []string, i int) string
@@ -81,7 +81,7 @@
 	return line[:at[2]] + f(line[at[2]:at[3]]) + line[at[3]:]
 }
 
-// harmless says why a change that is not caught does no harm: by the field, which the line begins with.
+// harmless explains, by the field at the start of the line, why an undetected change does no harm.
 var harmless = map[string]string{
 	"worth":         "owners alone know what an answer is worth; other than 0 any order may be meant",
 	"late_worth":    "owners alone know what a late answer is worth",
@@ -110,8 +110,8 @@
 	"cold_window":   "a site's rule; none at all is caught",
 }
 
-// A thousand good files that are spoilt: how many are caught, and why the others do no harm. What neither is caught nor has
-// a reason wants a new check.
+// Introduces mistakes into valid files a thousand times and compares the rates of detection with the golden file. A change
+// that is neither detected nor known as harmless fails the test: it needs a new check.
 func TestSpoiltFilesAreCaught(t *testing.T) {
 	rng := rand.New(rand.NewPCG(15, 15))
 	good := map[string]string{}
@@ -168,7 +168,7 @@
 		}
 	}
 	assert.Empty(t, open, "neither caught nor harmless")
-	assert.Equal(t, slices.Sorted(maps.Keys(harmless)), slices.Sorted(maps.Keys(reasons)), "a reason that nothing needs would hide what comes later")
+	assert.Equal(t, slices.Sorted(maps.Keys(harmless)), slices.Sorted(maps.Keys(reasons)), "an unused reason would hide later gaps")
 	var got strings.Builder
 	fmt.Fprintf(&got, "%-24s %7s %7s %7s %10s %9s\n", "spoilt by", "files", "caught", "share", "no change", "harmless")
 	all := count{}
@@ -190,14 +190,14 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// newer reports whether something is found that the good files do not have.
+// newer reports whether there is a finding that the valid files do not have.
 func newer(found, usual []Finding) bool {
 	return slices.ContainsFunc(found, func(f Finding) bool {
 		return !slices.ContainsFunc(usual, func(u Finding) bool { return u.Code == f.Code && u.Message == f.Message })
 	})
 }
 
-// Checking takes whatever comes, and not for long.
+// Checks handle any input without a panic and within a second.
 func FuzzRun(f *testing.F) {
 	for _, name := range []string{"app.toml", "site.toml", "config.json", "features.json"} {
 		raw, err := os.ReadFile("../../example/" + name)
@@ -217,7 +217,7 @@
 	})
 }
 
-// The longest that 64 KiB take: texts that have something wrong in every line.
+// Files of 64 KiB with a fault in every line are checked within 100 ms.
 func TestChecksAreQuick(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -247,7 +247,7 @@
 	}
 }
 
-// ownTime is how long this thread has worked. Danger: on a machine that others use the time of day measures them, too.
+// ownTime returns the CPU time of this thread. Wall-clock time would include other processes on a shared machine.
 func ownTime(t *testing.T) time.Duration {
 	var used unix.Rusage
 	require.NoError(t, unix.Getrusage(unix.RUSAGE_THREAD, &used))
--- a/internal/lint/names.go
+++ b/internal/lint/names.go
@@ -10,8 +10,8 @@
 	"golang.org/x/text/unicode/norm"
 )
 
-// ownPaths are the first parts of paths that the sidecar answers itself. Danger: a class of that name takes them over, and
-// whoever asks whether the sidecar is ready gets a box's answer.
+// ownPaths are the first path segments that the sidecar answers itself. Danger: a class of that name takes precedence, so that
+// for example a readiness check would get the response of a server.
 var ownPaths = []string{"ready", "counters", "clients", "drills"}
 
 var nameChecks = []Check{
@@ -115,7 +115,7 @@
 		}},
 }
 
-// eachTwice calls f with each number whose key is there before, and with the first number of that key.
+// eachTwice calls f with each index whose key occurred before, and the first index with that key.
 func eachTwice(n int, key func(int) string, f func(i, first int)) {
 	seen := map[string]int{}
 	for i := range n {
@@ -128,10 +128,10 @@
 	}
 }
 
-// folded is what two names have in common that look the same.
+// folded returns a form of a name that is equal for names that differ only in case, width or composition.
 func folded(name string) string { return cases.Fold().String(norm.NFKC.String(name)) }
 
-// hidden names the first character that is not seen, "" if there is none.
+// hidden returns the first invisible character as "U+200B", "" if there is none.
 func hidden(name string) string {
 	for _, r := range name {
 		if unicode.Is(unicode.Cf, r) || unicode.Is(unicode.Zs, r) && r != ' ' {
@@ -141,7 +141,7 @@
 	return ""
 }
 
-// scripts returns the scripts of a name's letters that are easily taken for one another.
+// scripts returns those scripts in a name whose letters are easily confused with others.
 func scripts(name string) []string {
 	var found []string
 	for _, s := range []string{"Latin", "Greek", "Cyrillic", "Armenian", "Cherokee", "Arabic", "Hebrew"} {
--- a/internal/lint/output.go
+++ b/internal/lint/output.go
@@ -10,10 +10,10 @@
 	"slices"
 )
 
-// colours of a terminal.
+// colours are the terminal escape sequences of severities.
 var colours = map[Severity]string{Error: "\x1b[31m", Warning: "\x1b[33m", Note: "\x1b[36m"}
 
-// WriteText writes a line for each finding and one that counts them.
+// WriteText writes a line for each finding and a last one with their numbers.
 func WriteText(w io.Writer, all []Finding, colour bool) error {
 	on, off := "", ""
 	counts := map[Severity]int{}
@@ -51,8 +51,8 @@
 	return writeJSON(w, lines)
 }
 
-// sarifText is SARIF 2.1.0, as much of it as is said here. Danger: the library for it would add a tenth to what the sidecar,
-// which carries this tool, holds at its start; it reads what is written here in the tests.
+// sarifText is the part of SARIF 2.1.0 that WriteSARIF uses. The usual library would add a tenth to the sidecar's memory at
+// startup, since the sidecar's binary includes this tool; only the tests use it, to read the output.
 type sarifText struct {
 	Schema  string     `json:"$schema"`
 	Version string     `json:"version"`
@@ -96,8 +96,8 @@
 	} `json:"locations"`
 }
 
-// WriteSARIF writes the findings as SARIF, which editors and build servers show beside the lines. The rules are those that
-// have found something.
+// WriteSARIF writes the findings as SARIF, which editors and build servers show beside the lines. Its rules are the checks
+// that have findings.
 func WriteSARIF(w io.Writer, all []Finding) error {
 	run := sarifRun{Results: []sarifResult{}}
 	run.Tool.Driver.Name, run.Tool.Driver.Rules = "hazelwheel", []sarifRule{}
--- a/internal/lint/quotas.go
+++ b/internal/lint/quotas.go
@@ -11,10 +11,10 @@
 	"hazelwheel/internal/quotas"
 )
 
-// groupBytes is what a group takes for each limit.
+// groupBytes is the memory that a quota group needs for each limit.
 const groupBytes = 380
 
-// tree returns the groups of quotas, if their file is among those that are checked and makes sense.
+// tree parses the file of quota groups; nil if f is no such file.
 func tree(f *appconfig.File) (*quota.Tree, error) {
 	if f == nil || f.Kind != appconfig.GroupsFile {
 		return nil, nil
@@ -22,7 +22,7 @@
 	return quotas.Parse(f.Text)
 }
 
-// groupsKept is the memory that groups take.
+// groupsKept returns the memory that the quota groups need.
 func (u *unit) groupsKept() appconfig.Size {
 	t, err := tree(u.groupsFile)
 	if t == nil || err != nil || u.features == nil || u.features.Quotas == nil {
--- a/internal/lint/reading.go
+++ b/internal/lint/reading.go
@@ -2,7 +2,7 @@
 
 import "hazelwheel/internal/appconfig"
 
-// readingChecks are what is found while a file is read.
+// readingChecks report the faults that appconfig finds while it parses a file.
 var readingChecks = []Check{
 	{Code: "HW001", Severity: Error, fault: appconfig.Unreadable, Title: "file can't be read", Subject: "the file",
 		Format: "can't be read: %[1]s",
--- a/internal/lint/rewrites.go
+++ b/internal/lint/rewrites.go
@@ -151,14 +151,14 @@
 	}
 }
 
-// covers reports whether a rule is for all requests that another is for. A path begins with its class.
+// covers reports whether rule a matches all requests that rule b matches. The first segment of a path is the request's class.
 func covers(a, b *appconfig.Rewrite) bool {
 	first, _, isCompleteSegment := strings.Cut(strings.TrimPrefix(b.PathPrefix, "/"), "/")
 	class := a.Class == "" || a.Class == b.Class || isCompleteSegment && a.Class == first
 	return class && (strings.HasPrefix(b.PathPrefix, a.PathPrefix) || b.Class != "" && strings.HasPrefix("/"+b.Class, a.PathPrefix))
 }
 
-// restored reports whether one of the rules may bring the field back that another is about.
+// restored reports whether one of the rules may add the field of rule b again.
 func restored(rules []appconfig.Rewrite, b *appconfig.Rewrite) bool {
 	for _, r := range rules {
 		if r.Dir == b.Dir && (r.Op == "add" && strings.EqualFold(r.Name, b.Name) || r.Op == "rename" && strings.EqualFold(r.To, b.Name)) {
