--- a/internal/lint/capacity.go
+++ b/internal/lint/capacity.go
@@ -10,19 +10,19 @@
 
 // The sidecar's own needs and the limits that it applies.
 const (
-	spareSockets = 24       // descriptors not available for connections
-	clientPart   = 0.75     // the most that clients may use of the other descriptors
-	segment      = 8 << 10  // smallest segment of a capture
-	ownMemory    = 64 << 20 // memory of the process without the configurable buffers
-	probesPerS   = 1.0      // most probes that one sidecar sends to one server
+	reservedSockets = 24       // descriptors not available for connections
+	clientShare     = 0.75     // the most that clients may use of the other descriptors
+	segment         = 8 << 10  // smallest segment of a capture
+	baseMemoryBytes = 64 << 20 // memory of the process without the configurable buffers
+	probesPerSecond = 1.0      // most probes that one sidecar sends to one server
 )
 
-// links returns the number of descriptors available for connections.
-func (u *unit) links() int { return u.app.Limits.Sockets - spareSockets }
+// maxConnections returns the number of descriptors available for connections.
+func (u *unit) maxConnections() int { return u.app.Limits.Sockets - reservedSockets }
 
-// kept returns the memory for captures, client buffers and quota groups.
-func (u *unit) kept() appconfig.Size {
-	kept := u.groupsKept()
+// bufferBytes returns the memory for captures, client buffers and quota groups.
+func (u *unit) bufferBytes() appconfig.Size {
+	kept := u.groupsBytes()
 	if c := u.features.Capture; c != nil {
 		kept += c.Bytes
 	}
@@ -40,7 +40,7 @@
 		Reason: "Connections beyond that are refused, first on the busiest day",
 		Remedy: "Write a larger limits.sockets, or have the client open fewer",
 		app: func(u *unit, report reportFunc) {
-			if limit := int(clientPart * float64(u.links())); u.app.Client.Connections > limit {
+			if limit := int(clientShare * float64(u.maxConnections())); u.app.Client.Connections > limit {
 				report(u.at("client.connections").with(u.at("limits.sockets")), u.app.Client.Connections, u.app.Limits.Sockets, limit)
 			}
 		}},
@@ -50,7 +50,7 @@
 		Remedy: "Write a larger limits.sockets, or have the client open fewer",
 		app: func(u *unit, report reportFunc) {
 			n := u.app.Client.Connections
-			if n > u.app.Limits.Sockets/5 && n <= int(clientPart*float64(u.links())) {
+			if n > u.app.Limits.Sockets/5 && n <= int(clientShare*float64(u.maxConnections())) {
 				report(u.at("client.connections").with(u.at("limits.sockets")), n, u.app.Limits.Sockets)
 			}
 		}},
@@ -59,8 +59,8 @@
 		Reason: "Executions wait for a descriptor, and requests are late though boxes are idle",
 		Remedy: "Write a larger limits.sockets",
 		against: func(u *unit, report reportFunc) {
-			if need := 2*u.site.Servers.Count + u.app.Client.Connections; need > u.links() {
-				report(u.at("limits.sockets").with(u.at("client.connections"), u.atSite("boxes.count")), u.site.Servers.Count, u.app.Client.Connections, u.links())
+			if need := 2*u.site.Servers.Count + u.app.Client.Connections; need > u.maxConnections() {
+				report(u.at("limits.sockets").with(u.at("client.connections"), u.atSite("boxes.count")), u.site.Servers.Count, u.app.Client.Connections, u.maxConnections())
 			}
 		}},
 	{Code: "HW093", Severity: Warning, Title: "probes that take too much of a box", Subject: "replicas, probes.cost, probes.part",
@@ -69,7 +69,7 @@
 		Remedy: "Have fewer replicas share a site, or ask those who run the boxes for a cheaper probe",
 		against: func(u *unit, report reportFunc) {
 			p := &u.site.Probes
-			if load := float64(u.app.Replicas) * probesPerS * p.Cost.S(); p.Allowed && p.Part > 0 && load > p.Part {
+			if load := float64(u.app.Replicas) * probesPerSecond * p.Cost.S(); p.Allowed && p.Part > 0 && load > p.Part {
 				report(u.at("replicas").with(u.atSite("probes.cost"), u.atSite("probes.part")), u.app.Replicas, p.Cost, 100*load, 100*p.Part)
 			}
 		}},
@@ -105,8 +105,8 @@
 		Reason: "The sidecar is killed beyond its memory, with all requests in it",
 		Remedy: "Write a larger limits.memory, or smaller capture.bytes and admission.waiting, or fewer groups",
 		features: func(u *unit, report reportFunc) {
-			if u.app != nil && u.kept()+ownMemory > u.app.Limits.Memory {
-				report(u.at("limits.memory").with(u.atFeature("capture.bytes"), u.atFeature("admission.waiting")), u.kept(), u.app.Limits.Memory)
+			if u.app != nil && u.bufferBytes()+baseMemoryBytes > u.app.Limits.Memory {
+				report(u.at("limits.memory").with(u.atFeature("capture.bytes"), u.atFeature("admission.waiting")), u.bufferBytes(), u.app.Limits.Memory)
 			}
 		}},
 	{Code: "HW098", Severity: Error, Title: "memory that is no whole MiB", Subject: "limits.memory",
@@ -174,10 +174,10 @@
 		Format: "everybody on the machine may write the file (mode %[1]s)",
 		Reason: "SIGHUP takes in whatever stands there, also another discovery",
 		Remedy: "chmod o-w the file",
-		app:    func(u *unit, report reportFunc) { reportUnwritable(u.file, report) },
+		app:    func(u *unit, report reportFunc) { reportWorldWritable(u.file, report) },
 		features: func(u *unit, report reportFunc) {
 			if u.featuresFile != u.file {
-				reportUnwritable(u.featuresFile, report)
+				reportWorldWritable(u.featuresFile, report)
 			}
 		}},
 	{Code: "HW105", Severity: Warning, Title: "folder that moves", Subject: "capture.dir, quotas.dir",
@@ -202,7 +202,7 @@
 		}},
 }
 
-func reportUnwritable(f *appconfig.File, report reportFunc) {
+func reportWorldWritable(f *appconfig.File, report reportFunc) {
 	if f.Mode.IsRegular() && f.Mode != 0 && f.Mode.Perm()&0o002 != 0 && f.Mode&fs.ModeType == 0 {
 		report(ref{file: f, path: "-"}, f.Mode.Perm())
 	}
--- a/internal/lint/classes.go
+++ b/internal/lint/classes.go
@@ -213,7 +213,7 @@
 		Remedy: "Write effect = %[3]q",
 		against: func(u *unit, report reportFunc) {
 			for i, c := range u.app.Classes {
-				if o := u.siteClass(c.Name); o != nil && danger(o.Effect) > danger(c.Effect) && c.Effect != "" {
+				if o := u.siteClass(c.Name); o != nil && harmOf(o.Effect) > harmOf(c.Effect) && c.Effect != "" {
 					report(u.at("class[%d].effect", i).with(o.at("effect")), c.Name, c.Effect, o.Effect)
 				}
 			}
@@ -224,7 +224,7 @@
 		Remedy: "Write effect = %[3]q, or have the site's file put right",
 		against: func(u *unit, report reportFunc) {
 			for i, c := range u.app.Classes {
-				if o := u.siteClass(c.Name); o != nil && o.Effect != "" && danger(o.Effect) < danger(c.Effect) {
+				if o := u.siteClass(c.Name); o != nil && o.Effect != "" && harmOf(o.Effect) < harmOf(c.Effect) {
 					report(u.at("class[%d].effect", i).with(o.at("effect")), c.Name, c.Effect, o.Effect)
 				}
 			}
@@ -265,7 +265,7 @@
 		Remedy: "Write group = %[2]q",
 		against: func(u *unit, report reportFunc) {
 			for i, c := range u.app.Classes {
-				if o := u.siteClass(c.Name); o != nil && c.Effect == "keyed" && o.Effect == "keyed" && width(c.Group) > width(o.Group) && o.Group != "" {
+				if o := u.siteClass(c.Name); o != nil && c.Effect == "keyed" && o.Effect == "keyed" && groupRank(c.Group) > groupRank(o.Group) && o.Group != "" {
 					report(u.at("class[%d].group", i).with(o.at("group")), c.Group, o.Group)
 				}
 			}
@@ -276,7 +276,7 @@
 		Remedy: "Write group = %[2]q",
 		against: func(u *unit, report reportFunc) {
 			for i, c := range u.app.Classes {
-				if o := u.siteClass(c.Name); o != nil && c.Effect == "keyed" && o.Effect == "keyed" && width(c.Group) < width(o.Group) && c.Group != "" {
+				if o := u.siteClass(c.Name); o != nil && c.Effect == "keyed" && o.Effect == "keyed" && groupRank(c.Group) < groupRank(o.Group) && c.Group != "" {
 					report(u.at("class[%d].group", i).with(o.at("group")), c.Group, o.Group)
 				}
 			}
@@ -334,11 +334,11 @@
 		}},
 }
 
-// danger ranks effects by the harm of running a request twice.
-func danger(effect string) int { return slices.Index([]string{"", "safe", "keyed", "unsafe"}, effect) }
+// harmOf ranks effects by the harm of running a request twice.
+func harmOf(effect string) int { return slices.Index([]string{"", "safe", "keyed", "unsafe"}, effect) }
 
-// width ranks groups by the number of their servers. No group counts as all servers.
-func width(group string) int {
+// groupRank ranks groups by the number of their servers. No group counts as all servers.
+func groupRank(group string) int {
 	if group == "" {
 		group = "all"
 	}
--- a/internal/lint/facts.go
+++ b/internal/lint/facts.go
@@ -72,7 +72,7 @@
 			if len(f) > 4 {
 				report(u.atSite("report.fields"), fmt.Sprintf("%d values", len(f)))
 			}
-			eachTwice(len(f), func(i int) string { return f[i] }, func(i, _ int) { report(u.atSite("report.fields[%d]", i), f[i]+" twice") })
+			eachDuplicate(len(f), func(i int) string { return f[i] }, func(i, _ int) { report(u.atSite("report.fields[%d]", i), f[i]+" twice") })
 		}},
 	{Code: "HW115", Severity: Warning, Title: "drain without grace", Subject: "rules.drain_grace",
 		Format: "a drain binds at once",
@@ -195,7 +195,7 @@
 			if u.file.Site == nil || u.file.Site == u.site {
 				return
 			}
-			differing(reflect.ValueOf(*u.file.Site), reflect.ValueOf(*u.site), "", func(path string, here, there any) {
+			eachDifference(reflect.ValueOf(*u.file.Site), reflect.ValueOf(*u.site), "", func(path string, here, there any) {
 				if u.file.Has("site."+path) && u.siteFile.Has("site."+path) {
 					report(ref{file: u.file, path: "site." + path}.with(u.atSite("%s", path)), here, there)
 				}
@@ -223,15 +223,15 @@
 		}},
 }
 
-// differing calls f with each field that differs between two sites, except names and lists of tables.
-func differing(a, b reflect.Value, path string, f func(path string, here, there any)) {
+// eachDifference calls f with each field that differs between two sites, except names and lists of tables.
+func eachDifference(a, b reflect.Value, path string, f func(path string, here, there any)) {
 	for i := range a.NumField() {
 		tag, _, _ := strings.Cut(a.Type().Field(i).Tag.Get("toml"), ",")
 		x, y := a.Field(i), b.Field(i)
 		switch {
 		case tag == "format" || tag == "name" || tag == "class" || tag == "tenant":
 		case x.Kind() == reflect.Struct:
-			differing(x, y, path+tag+".", f)
+			eachDifference(x, y, path+tag+".", f)
 		case !reflect.DeepEqual(x.Interface(), y.Interface()):
 			f(path+tag, x.Interface(), y.Interface())
 		}
--- a/internal/lint/features.go
+++ b/internal/lint/features.go
@@ -24,8 +24,8 @@
 	{"thrift", []string{"class"}, func(a *appconfig.App) map[string]any { return a.Thrift }},
 }
 
-// named calls f with each name of a class that the features refer to, and its field.
-func (u *unit) named(f func(name string, at ref)) {
+// eachClassName calls f with each name of a class that the features refer to, and its field.
+func (u *unit) eachClassName(f func(name string, at ref)) {
 	for i, d := range u.features.Drills {
 		f(d.Class, u.atFeature("drill[%d].class", i))
 	}
@@ -48,20 +48,20 @@
 		}
 	}
 	for _, r := range classRefs {
-		namedIn(r.of(u.features), r.keys, false, r.section, func(name, path string) { f(name, u.atFeature("%s", path)) })
+		eachClassNameIn(r.of(u.features), r.keys, false, r.section, func(name, path string) { f(name, u.atFeature("%s", path)) })
 	}
 }
 
-// namedIn calls f with each name of a class in a section. inside means that v is below one of the keys.
-func namedIn(v any, keys []string, inside bool, path string, f func(name, path string)) {
+// eachClassNameIn calls f with each name of a class in a section. inside means that v is below one of the keys.
+func eachClassNameIn(v any, keys []string, inside bool, path string, f func(name, path string)) {
 	switch v := v.(type) {
 	case map[string]any:
 		for key, e := range v {
-			namedIn(e, keys, inside || slices.Contains(keys, key), path+"."+key, f)
+			eachClassNameIn(e, keys, inside || slices.Contains(keys, key), path+"."+key, f)
 		}
 	case []any:
 		for i, e := range v {
-			namedIn(e, keys, inside, fmt.Sprintf("%s[%d]", path, i), f)
+			eachClassNameIn(e, keys, inside, fmt.Sprintf("%s[%d]", path, i), f)
 		}
 	case string:
 		if inside {
@@ -83,7 +83,7 @@
 			for _, c := range u.app.Classes {
 				names = append(names, c.Name)
 			}
-			u.named(func(name string, at ref) {
+			u.eachClassName(func(name string, at ref) {
 				if !slices.Contains(names, name) {
 					do := "Write one of " + strings.Join(names, ", ")
 					if near := appconfig.Nearest(name, names); near != "" {
@@ -130,11 +130,11 @@
 		features: func(u *unit, report reportFunc) {
 			all := u.features.Drills
 			for i, d := range all {
-				if !plain(d.Name) {
+				if !isPlainName(d.Name) {
 					report(u.atFeature("drill[%d].name", i), d.Name)
 				}
 			}
-			eachTwice(len(all), func(i int) string { return all[i].Name }, func(i, _ int) { report(u.atFeature("drill[%d].name", i), all[i].Name) })
+			eachDuplicate(len(all), func(i int) string { return all[i].Name }, func(i, _ int) { report(u.atFeature("drill[%d].name", i), all[i].Name) })
 		}},
 	{Code: "HW135", Severity: Warning, Title: "drill that does nothing", Subject: "drill.share, drill.delay, drill.abort",
 		Format: "the drill %[1]q touches no request, or changes nothing about it",
@@ -184,7 +184,7 @@
 		Reason: "The sidecar refuses to start",
 		Remedy: "Write it like 10.1.2.3 or 10.1.0.0/16",
 		features: func(u *unit, report reportFunc) {
-			u.prefixes(func(text string, at ref) {
+			u.eachPrefix(func(text string, at ref) {
 				if !prefix(text).IsValid() {
 					report(at, text)
 				}
@@ -230,7 +230,7 @@
 			if a == nil || u.app == nil {
 				return
 			}
-			limit := int(clientPart * float64(u.links()))
+			limit := int(clientShare * float64(u.maxConnections()))
 			if a.PerAddress > limit {
 				report(u.atFeature("admission.per_address").with(u.at("limits.sockets")), a.PerAddress, limit)
 			}
@@ -348,8 +348,8 @@
 	return nil
 }
 
-// prefixes calls f with each address or prefix of the quota rules and of admission.
-func (u *unit) prefixes(f func(text string, at ref)) {
+// eachPrefix calls f with each address or prefix of the quota rules and of admission.
+func (u *unit) eachPrefix(f func(text string, at ref)) {
 	if q := u.features.Quotas; q != nil {
 		for i, r := range q.Identify {
 			if r.Addresses != "" {
@@ -377,8 +377,8 @@
 	return p.Masked()
 }
 
-// plain reports whether a name can be used without quoting in a path, a log line and a metric.
-func plain(s string) bool {
+// isPlainName reports whether a name can be used without quoting in a path, a log line and a metric.
+func isPlainName(s string) bool {
 	odd := func(r rune) bool {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		return !letter && !strings.ContainsRune("._-", r)
--- a/internal/lint/instances_together.go
+++ b/internal/lint/instances_together.go
@@ -1,10 +1,10 @@
 package lint
 
-// alike returns a check that reports each pair of files with the same text in a field. Its arguments are the text and the other
+// checkEqualField returns a check that reports each pair of files with the same text in a field. Its arguments are the text and the other
 // file.
-func alike(field string, of func(*unit) string) func([]*unit, reportFunc) {
+func checkEqualField(field string, of func(*unit) string) func([]*unit, reportFunc) {
 	return func(units []*unit, report reportFunc) {
-		pairs(units, func(a, b *unit) {
+		eachPair(units, func(a, b *unit) {
 			if of(a) == of(b) && of(a) != "" {
 				report(b.at("%s", field).with(a.at("%s", field)), of(b), a.file.Name)
 			}
@@ -19,7 +19,7 @@
 		Reason: "Which boxes an instance uses follows from its index: two take the same ones, and some boxes get nothing",
 		Remedy: "Give each instance an index of its own, from 0 on",
 		all: func(units []*unit, report reportFunc) {
-			pairs(units, func(a, b *unit) {
+			eachPair(units, func(a, b *unit) {
 				if sameFleet(a, b) && a.app.Index == b.app.Index {
 					report(b.at("index").with(a.at("index")), b.app.Index, a.file.Name)
 				}
@@ -29,23 +29,23 @@
 		Format: "the seed is that of %[2]s, too",
 		Reason: "Both instances draw the same, so they go to the same boxes at the same moment",
 		Remedy: "Write seeds that differ, or none",
-		all:    alike("seed", func(u *unit) string { return u.app.Seed })},
+		all:    checkEqualField("seed", func(u *unit) string { return u.app.Seed })},
 	{Code: "HW162", Severity: Error, Title: "listen address taken twice", Subject: "listen, in all files",
 		Format: "%[1]s is the listen address of %[2]s, too",
 		Reason: "On one machine only one of the two can start",
 		Remedy: "Give each instance an address or a port of its own",
-		all:    alike("listen", func(u *unit) string { return u.app.Listen })},
+		all:    checkEqualField("listen", func(u *unit) string { return u.app.Listen })},
 	{Code: "HW163", Severity: Error, Title: "name used twice", Subject: "name, in all files",
 		Format: "%[1]q is the name of %[2]s, too",
 		Reason: "Logs and counters of the two can't be told apart",
 		Remedy: "Give each instance a name of its own",
-		all:    alike("name", func(u *unit) string { return u.app.Name })},
+		all:    checkEqualField("name", func(u *unit) string { return u.app.Name })},
 	{Code: "HW164", Severity: Error, Title: "replicas that differ", Subject: "replicas, in all files",
 		Format: "there are %[1]d replicas here, and %[2]d in %[3]s",
 		Reason: "Which boxes an instance uses follows from how many there are: the parts would overlap or leave boxes out",
 		Remedy: "Write the same number in all files of an application",
 		all: func(units []*unit, report reportFunc) {
-			pairs(units, func(a, b *unit) {
+			eachPair(units, func(a, b *unit) {
 				if a.app.Replicas != b.app.Replicas && sameClasses(a, b) && a.app.Discovery == b.app.Discovery {
 					report(b.at("replicas").with(a.at("replicas")), b.app.Replicas, a.app.Replicas, a.file.Name)
 				}
@@ -56,7 +56,7 @@
 		Reason: "What may run twice must not depend on which instance takes the request",
 		Remedy: "Write the same in all files",
 		all: func(units []*unit, report reportFunc) {
-			pairs(units, func(a, b *unit) {
+			eachPair(units, func(a, b *unit) {
 				for i, c := range b.app.Classes {
 					if o := a.classOf(c.Name); o != nil && o.Effect != c.Effect && o.Effect != "" && c.Effect != "" {
 						report(b.at("class[%d].effect", i).with(a.at("class")), c.Name, "effect", a.file.Name)
@@ -69,7 +69,7 @@
 		Reason: "On one machine only one of the two can start",
 		Remedy: "Give each instance a port of its own",
 		all: func(units []*unit, report reportFunc) {
-			pairs(units, func(a, b *unit) {
+			eachPair(units, func(a, b *unit) {
 				la, lb := address(a.app.Listen), address(b.app.Listen)
 				if b.features == nil || b.features.Health == nil || b.features.Health.Port == 0 || la.Addr() != lb.Addr() {
 					return
@@ -85,8 +85,8 @@
 		}},
 }
 
-// pairs calls f with each pair of instances, the earlier one first.
-func pairs(units []*unit, f func(a, b *unit)) {
+// eachPair calls f with each pair of instances, the earlier one first.
+func eachPair(units []*unit, f func(a, b *unit)) {
 	for j, b := range units {
 		for _, a := range units[:j] {
 			if a.app != nil && b.app != nil && a.file != b.file {
--- a/internal/lint/lint_test.go
+++ b/internal/lint/lint_test.go
@@ -23,8 +23,8 @@
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
 const (
-	goodSite = "../../example/site.toml"
-	goodCore = "../../example/config.json"
+	exampleSiteFile     = "../../example/site.toml"
+	examplePlatformFile = "../../example/config.json"
 )
 
 // sets returns the files to check together for each broken file or folder. The folder decides: a file alone, against the
@@ -35,7 +35,7 @@
 		switch dir := filepath.Base(filepath.Dir(path)); {
 		case err != nil || e.IsDir() || filepath.Ext(path) == ".txt":
 		case dir == "features":
-			all[path] = []string{goodCore, path}
+			all[path] = []string{examplePlatformFile, path}
 		case dir == "alone" || dir == "against":
 			all[path] = []string{path}
 		default:
@@ -58,7 +58,7 @@
 	}
 	var against *appconfig.File
 	if strings.Contains(filepath.ToSlash(set), "/against/") {
-		against = appconfig.Open(goodSite, nil)
+		against = appconfig.Open(exampleSiteFile, nil)
 	}
 	return Run(files, against)
 }
@@ -144,7 +144,7 @@
 func TestFilesOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
-	good, err := os.ReadFile(goodCore)
+	good, err := os.ReadFile(examplePlatformFile)
 	require.NoError(t, err)
 	require.NoError(t, os.Symlink(path("round"), path("round")))
 	big, err := os.Create(path("big"))
--- a/internal/lint/mutation_test.go
+++ b/internal/lint/mutation_test.go
@@ -28,10 +28,10 @@
 	{"drop a line", func(_ *rand.Rand, _ []string, i int) string { return "\x00" }},
 	{"double a line", func(_ *rand.Rand, lines []string, i int) string { return lines[i] + "\n" + lines[i] }},
 	{"misspell a name", func(rng *rand.Rand, lines []string, i int) string {
-		return inPart(lines[i], nameIn, func(s string) string { at := rng.IntN(len(s)); return s[:at] + s[at+1:] })
+		return replaceMatch(lines[i], nameIn, func(s string) string { at := rng.IntN(len(s)); return s[:at] + s[at+1:] })
 	}},
 	{"change a unit", func(rng *rand.Rand, lines []string, i int) string {
-		return inPart(lines[i], unitIn, func(s string) string {
+		return replaceMatch(lines[i], unitIn, func(s string) string {
 			units := []string{"ms", "s", "min", "KiB", "MiB", "m", "MB", ""}
 			for _, other := range rng.Perm(len(units)) {
 				if units[other] != s {
@@ -42,17 +42,17 @@
 		})
 	}},
 	{"change a number", func(rng *rand.Rand, lines []string, i int) string {
-		return inPart(lines[i], numberIn, func(s string) string {
+		return replaceMatch(lines[i], numberIn, func(s string) string {
 			return []string{"0", "-" + s, s + "0", s + "00", "1e400", `"` + s + `"`}[rng.IntN(6)]
 		})
 	}},
 	{"change a word", func(rng *rand.Rand, lines []string, i int) string {
 		words := []string{"safe", "unsafe", "keyed", "all", "place", "cell", "ask", "push", "off", "inline", "on_probe", "rough", "live", "true", "false", "yes"}
-		return inPart(lines[i], wordIn, func(string) string { return words[rng.IntN(len(words))] })
+		return replaceMatch(lines[i], wordIn, func(string) string { return words[rng.IntN(len(words))] })
 	}},
 	{"swap classes", func(rng *rand.Rand, lines []string, i int) string {
 		classes := []string{"latest-reading", "log-calibration", "raise-alert"}
-		return inPart(lines[i], classIn, func(s string) string { return classes[(slices.Index(classes, s)+1+rng.IntN(2))%3] })
+		return replaceMatch(lines[i], classIn, func(s string) string { return classes[(slices.Index(classes, s)+1+rng.IntN(2))%3] })
 	}},
 	{"swap two lines' values", func(rng *rand.Rand, lines []string, i int) string {
 		other := lines[rng.IntN(len(lines))]
@@ -73,7 +73,7 @@
 	classIn  = regexp.MustCompile(`name = "(latest-reading|log-calibration|raise-alert)"`)
 )
 
-func inPart(line string, where *regexp.Regexp, f func(string) string) string {
+func replaceMatch(line string, where *regexp.Regexp, f func(string) string) string {
 	at := where.FindStringSubmatchIndex(line)
 	if at == nil {
 		return ""
@@ -156,7 +156,7 @@
 		}
 		c.all++
 		switch {
-		case newer(found, usual):
+		case hasNewFinding(found, usual):
 			c.caught++
 		case reflect.DeepEqual(appconfig.Resolve(a.App, s.Site), appconfig.Resolve(goodApp.App, goodSite.Site)) && reflect.DeepEqual(s.Site, goodSite.Site):
 			c.same++
@@ -190,8 +190,8 @@
 	assert.Equal(t, string(want), got.String())
 }
 
-// newer reports whether there is a finding that the valid files do not have.
-func newer(found, usual []Finding) bool {
+// hasNewFinding reports whether there is a finding that the valid files do not have.
+func hasNewFinding(found, usual []Finding) bool {
 	return slices.ContainsFunc(found, func(f Finding) bool {
 		return !slices.ContainsFunc(usual, func(u Finding) bool { return u.Code == f.Code && u.Message == f.Message })
 	})
@@ -204,7 +204,7 @@
 		require.NoError(f, err)
 		f.Add(raw)
 	}
-	site := appconfig.Open(goodSite, nil)
+	site := appconfig.Open(exampleSiteFile, nil)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		raw = raw[:min(len(raw), 64<<10)]
 		began := time.Now()
@@ -236,19 +236,19 @@
 		}
 		best := time.Hour
 		for range 5 {
-			began := ownTime(t)
+			began := threadCPUTime(t)
 			Run([]*appconfig.File{appconfig.Read("x", []byte(text.String())[:64<<10])}, nil)
-			best = min(best, ownTime(t)-began)
+			best = min(best, threadCPUTime(t)-began)
 		}
 		t.Logf("%s: %s", name, best)
-		if !raceOn {
+		if !raceEnabled {
 			assert.Less(t, best, 100*time.Millisecond, name)
 		}
 	}
 }
 
-// ownTime returns the CPU time of this thread. Wall-clock time would include other processes on a shared machine.
-func ownTime(t *testing.T) time.Duration {
+// threadCPUTime returns the CPU time of this thread. Wall-clock time would include other processes on a shared machine.
+func threadCPUTime(t *testing.T) time.Duration {
 	var used unix.Rusage
 	require.NoError(t, unix.Getrusage(unix.RUSAGE_THREAD, &used))
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
--- a/internal/lint/names.go
+++ b/internal/lint/names.go
@@ -20,7 +20,7 @@
 		Reason: "A request of it could be meant for either, and the sidecar refuses to start",
 		Remedy: "Give each class a name of its own, or take one out",
 		app: func(u *unit, report reportFunc) {
-			eachTwice(len(u.app.Classes), func(i int) string { return u.app.Classes[i].Name }, func(i, _ int) {
+			eachDuplicate(len(u.app.Classes), func(i int) string { return u.app.Classes[i].Name }, func(i, _ int) {
 				report(u.at("class[%d].name", i), u.app.Classes[i].Name)
 			})
 		}},
@@ -29,7 +29,7 @@
 		Reason: "Paths are compared byte by byte, so clients will meet the wrong one of the two or a 404",
 		Remedy: "Use one spelling",
 		app: func(u *unit, report reportFunc) {
-			eachTwice(len(u.app.Classes), func(i int) string { return folded(u.app.Classes[i].Name) }, func(i, j int) {
+			eachDuplicate(len(u.app.Classes), func(i int) string { return foldName(u.app.Classes[i].Name) }, func(i, j int) {
 				if a, b := u.app.Classes[i].Name, u.app.Classes[j].Name; a != b {
 					report(u.at("class[%d].name", i), a, b)
 				}
@@ -52,7 +52,7 @@
 		Reason: "Clients send them as %%XX in a path, and the sidecar compares bytes, so their requests would get 404",
 		Remedy: "Use a name of ASCII letters, digits, '-', '_' and '.'",
 		class: func(_ *unit, c *class, report reportFunc) {
-			if strings.ContainsFunc(c.Name, func(r rune) bool { return r > unicode.MaxASCII }) && hidden(c.Name) == "" && len(scripts(c.Name)) < 2 {
+			if strings.ContainsFunc(c.Name, func(r rune) bool { return r > unicode.MaxASCII }) && invisibleCharacter(c.Name) == "" && len(scripts(c.Name)) < 2 {
 				report(c.at("name"), c.Name)
 			}
 		}},
@@ -61,20 +61,20 @@
 		Reason: "It looks like another name and is none; whoever compares the two by eye looks for hours",
 		Remedy: "Type the name anew",
 		class: func(_ *unit, c *class, report reportFunc) {
-			if h := hidden(c.Name); h != "" {
+			if h := invisibleCharacter(c.Name); h != "" {
 				report(c.at("name"), c.Name, h)
 			}
 		},
 		app: func(u *unit, report reportFunc) {
 			for field, text := range map[string]string{"name": u.app.Name, "home": u.app.Home} {
-				if h := hidden(text); h != "" {
+				if h := invisibleCharacter(text); h != "" {
 					report(u.at("%s", field), text, h)
 				}
 			}
 		},
 		site: func(u *unit, report reportFunc) {
 			for i, text := range u.site.Places {
-				if h := hidden(text); h != "" {
+				if h := invisibleCharacter(text); h != "" {
 					report(u.atSite("places[%d]", i), text, h)
 				}
 			}
@@ -107,16 +107,16 @@
 		Remedy: "Take one of them out",
 		site: func(u *unit, report reportFunc) {
 			for field, all := range map[string][]string{"places": u.site.Places, "box_kinds": u.site.ServerKinds} {
-				eachTwice(len(all), func(i int) string { return all[i] }, func(i, _ int) { report(u.atSite("%s[%d]", field, i), all[i]) })
+				eachDuplicate(len(all), func(i int) string { return all[i] }, func(i, _ int) { report(u.atSite("%s[%d]", field, i), all[i]) })
 			}
 			t, c := u.site.Tenants, u.site.Classes
-			eachTwice(len(t), func(i int) string { return t[i].Name }, func(i, _ int) { report(u.atSite("tenant[%d].name", i), t[i].Name) })
-			eachTwice(len(c), func(i int) string { return c[i].Name }, func(i, _ int) { report(u.atSite("class[%d].name", i), c[i].Name) })
+			eachDuplicate(len(t), func(i int) string { return t[i].Name }, func(i, _ int) { report(u.atSite("tenant[%d].name", i), t[i].Name) })
+			eachDuplicate(len(c), func(i int) string { return c[i].Name }, func(i, _ int) { report(u.atSite("class[%d].name", i), c[i].Name) })
 		}},
 }
 
-// eachTwice calls f with each index whose key occurred before, and the first index with that key.
-func eachTwice(n int, key func(int) string, f func(i, first int)) {
+// eachDuplicate calls f with each index whose key occurred before, and the first index with that key.
+func eachDuplicate(n int, key func(int) string, f func(i, first int)) {
 	seen := map[string]int{}
 	for i := range n {
 		k := key(i)
@@ -128,11 +128,11 @@
 	}
 }
 
-// folded returns a form of a name that is equal for names that differ only in case, width or composition.
-func folded(name string) string { return cases.Fold().String(norm.NFKC.String(name)) }
+// foldName returns a form of a name that is equal for names that differ only in case, width or composition.
+func foldName(name string) string { return cases.Fold().String(norm.NFKC.String(name)) }
 
-// hidden returns the first invisible character as "U+200B", "" if there is none.
-func hidden(name string) string {
+// invisibleCharacter returns the first invisible character as "U+200B", "" if there is none.
+func invisibleCharacter(name string) string {
 	for _, r := range name {
 		if unicode.Is(unicode.Cf, r) || unicode.Is(unicode.Zs, r) && r != ' ' {
 			return fmt.Sprintf("U+%04X", r)
--- a/internal/lint/norace_test.go
+++ b/internal/lint/norace_test.go
@@ -2,4 +2,4 @@
 
 package lint
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/lint/quotas.go
+++ b/internal/lint/quotas.go
@@ -14,17 +14,17 @@
 // groupBytes is the memory that a quota group needs for each limit.
 const groupBytes = 380
 
-// tree parses the file of quota groups; nil if f is no such file.
-func tree(f *appconfig.File) (*quota.Tree, error) {
+// parseGroups parses the file of quota groups; nil if f is no such file.
+func parseGroups(f *appconfig.File) (*quota.Tree, error) {
 	if f == nil || f.Kind != appconfig.GroupsFile {
 		return nil, nil
 	}
 	return quotas.Parse(f.Text)
 }
 
-// groupsKept returns the memory that the quota groups need.
-func (u *unit) groupsKept() appconfig.Size {
-	t, err := tree(u.groupsFile)
+// groupsBytes returns the memory that the quota groups need.
+func (u *unit) groupsBytes() appconfig.Size {
+	t, err := parseGroups(u.groupsFile)
 	if t == nil || err != nil || u.features == nil || u.features.Quotas == nil {
 		return 0
 	}
@@ -37,7 +37,7 @@
 		Reason: "The sidecar refuses to start, or keeps its old quotas at SIGHUP",
 		Remedy: "Put the group or the field right that is named",
 		groups: func(f *appconfig.File, report reportFunc) {
-			if _, err := tree(f); err != nil {
+			if _, err := parseGroups(f); err != nil {
 				report(ref{file: f, path: "-"}, err.Error())
 			}
 		}},
@@ -113,7 +113,7 @@
 		Reason: "The sidecar refuses to start",
 		Remedy: "Write the path of a group without others below it, with dots",
 		features: func(u *unit, report reportFunc) {
-			t, err := tree(u.groupsFile)
+			t, err := parseGroups(u.groupsFile)
 			if q := u.features.Quotas; q != nil && t != nil && err == nil {
 				s := quotas.Settings{DefaultGroup: q.Default}
 				if err := s.Validate(t); err != nil {
--- a/internal/lint/race_test.go
+++ b/internal/lint/race_test.go
@@ -2,4 +2,4 @@
 
 package lint
 
-const raceOn = true
+const raceEnabled = true
