--- a/internal/appconfig/appconfig_test.go
+++ b/internal/appconfig/appconfig_test.go
@@ -16,24 +16,24 @@
 	"pgregory.net/rapid"
 )
 
-// filled sets each field of the model to a random value that its tags allow.
-func filled(t *rapid.T, v reflect.Value) {
+// fillRandom sets each field of the model to a random value that its tags allow.
+func fillRandom(t *rapid.T, v reflect.Value) {
 	for _, f := range fieldsOf(v.Type()) {
 		at := v.Field(f.index)
 		switch p := at.Addr().Interface().(type) {
 		case *Duration:
-			*p = drawn(t, &f, func() Duration {
+			*p = drawInRange(t, &f, func() Duration {
 				unit := rapid.SampledFrom([]Duration{1, 1e3, 1e6, 1e9, 60e9}).Draw(t, "unit")
 				return Duration(rapid.IntRange(0, 1000).Draw(t, f.name)) * unit
 			})
 		case *Size:
-			*p = drawn(t, &f, func() Size {
+			*p = drawInRange(t, &f, func() Size {
 				return Size(rapid.IntRange(0, 4096).Draw(t, f.name)) << rapid.SampledFrom([]int{0, 10, 20}).Draw(t, "unit")
 			})
 		case *int:
-			*p = drawn(t, &f, func() int { return rapid.IntRange(0, 70000).Draw(t, f.name) })
+			*p = drawInRange(t, &f, func() int { return rapid.IntRange(0, 70000).Draw(t, f.name) })
 		case *float64:
-			*p = drawn(t, &f, func() float64 { return rapid.Float64Range(0, 100).Draw(t, f.name) })
+			*p = drawInRange(t, &f, func() float64 { return rapid.Float64Range(0, 100).Draw(t, f.name) })
 		case *bool:
 			*p = rapid.Bool().Draw(t, f.name)
 		case *string:
@@ -50,11 +50,11 @@
 		default:
 			switch {
 			case at.Kind() == reflect.Struct:
-				filled(t, at)
+				fillRandom(t, at)
 			case at.Kind() == reflect.Pointer && rapid.Bool().Draw(t, f.name):
 				at.Set(reflect.New(at.Type().Elem()))
 				setDefaults(at.Elem())
-				filled(t, at.Elem())
+				fillRandom(t, at.Elem())
 			case at.Kind() == reflect.Slice:
 				n := rapid.IntRange(0, 3).Draw(t, f.name)
 				if f.Need {
@@ -62,7 +62,7 @@
 				}
 				for range n {
 					e := reflect.New(at.Type().Elem()).Elem()
-					filled(t, e)
+					fillRandom(t, e)
 					at.Set(reflect.Append(at, e))
 				}
 			}
@@ -70,8 +70,8 @@
 	}
 }
 
-// drawn draws until a value lies in the field's range.
-func drawn[T int | float64 | Duration | Size](t *rapid.T, f *Field, draw func() T) T {
+// drawInRange draws until a value lies in the field's range.
+func drawInRange[T int | float64 | Duration | Size](t *rapid.T, f *Field, draw func() T) T {
 	for range 50 {
 		if v := draw(); f.allows(float64(v)) {
 			return v
@@ -85,8 +85,8 @@
 func TestReadingWhatIsWrittenIsTheIdentity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, s := NewApp(), NewSite()
-		filled(t, reflect.ValueOf(a).Elem())
-		filled(t, reflect.ValueOf(s).Elem())
+		fillRandom(t, reflect.ValueOf(a).Elem())
+		fillRandom(t, reflect.ValueOf(s).Elem())
 		a.Format, s.Format = AppFormat, SiteFormat
 		a.Home = rapid.SampledFrom(s.Places).Draw(t, "home")
 		platform, features, err := Render(a, s)
--- a/internal/appconfig/decode.go
+++ b/internal/appconfig/decode.go
@@ -39,7 +39,7 @@
 		case d.form == tomlForm:
 			e = n.get(name)
 		case f.kind.Kind() == reflect.Map:
-			e = n.gathered(name)
+			e = n.gather(name)
 		default:
 			e = n.walk(name)
 		}
@@ -215,7 +215,7 @@
 		if !ok {
 			return 0, false
 		}
-		v = math.Round(v * f.rate())
+		v = math.Round(v * f.unitFactor())
 		return v, d.inRange(f, v, e.text, field)
 	}
 	size := f.kind == reflect.TypeFor[Size]()
--- a/internal/appconfig/diff.go
+++ b/internal/appconfig/diff.go
@@ -14,8 +14,8 @@
 	When  string // when a running sidecar applies it: SIGHUP, restart or never
 }
 
-// meaning maps a field to a sentence on what a change of it means for requests; %[1]v is the old value, %[2]v the new.
-var meaning = map[string]string{
+// changeTexts maps a field to a sentence on what a change of it means for requests; %[1]v is the old value, %[2]v the new.
+var changeTexts = map[string]string{
 	"class.effect":             "running it twice is taken as %[2]v, not %[1]v any more",
 	"class.group":              "repeats go to boxes of the same group %[2]v, not %[1]v",
 	"class.window":             "requests may be sent again for %[2]v after the first attempt, not %[1]v",
@@ -140,39 +140,39 @@
 		s, many := structure(f.kind)
 		switch {
 		case s != nil && many:
-			all = append(all, inLists(x, y, name, at, both)...)
+			all = append(all, listChanges(x, y, name, at, both)...)
 		case s != nil && x.Kind() == reflect.Pointer && (x.IsNil() || y.IsNil()):
 			word := "is switched on"
 			if y.IsNil() {
 				word = "is switched off"
 			}
-			all = append(all, Change{at, f.Comment + ": " + word, when(name)})
+			all = append(all, Change{at, f.Comment + ": " + word, appliedAt(name)})
 		case s != nil:
 			all = append(all, changes(reflect.Indirect(x), reflect.Indirect(y), name+".", at+".", both)...)
 		default:
-			words := meaning[name]
+			words := changeTexts[name]
 			if words == "" {
 				words = f.Comment + ": %[2]v, not %[1]v"
 			}
 			if strings.Contains(words, "%") {
-				words = fmt.Sprintf(words, shown(x), shown(y))
+				words = fmt.Sprintf(words, printable(x), printable(y))
 			}
-			all = append(all, Change{at, words, when(name)})
+			all = append(all, Change{at, words, appliedAt(name)})
 		}
 	}
 	return all
 }
 
-// shown returns a value as it is printed in a sentence.
-func shown(v reflect.Value) any {
+// printable returns a value as it is printed in a sentence.
+func printable(v reflect.Value) any {
 	if v.Kind() == reflect.String && v.String() == "" {
 		return "none"
 	}
 	return v.Interface()
 }
 
-// inLists compares two lists, matching entries by name or, without names, by index.
-func inLists(a, b reflect.Value, name, path string, both func(*Field) bool) []Change {
+// listChanges compares two lists, matching entries by name or, without names, by index.
+func listChanges(a, b reflect.Value, name, path string, both func(*Field) bool) []Change {
 	var all []Change
 	keys := func(v reflect.Value) []string {
 		var keys []string
@@ -191,9 +191,9 @@
 		if j := slices.Index(after, key); j >= 0 {
 			all = append(all, changes(a.Index(i), b.Index(j), name+".", at+".", both)...)
 		} else if name == "class" {
-			all = append(all, Change{at, "requests of this class get 404", when(name)})
+			all = append(all, Change{at, "requests of this class get 404", appliedAt(name)})
 		} else {
-			all = append(all, Change{at, "is gone", when(name)})
+			all = append(all, Change{at, "is gone", appliedAt(name)})
 		}
 	}
 	for _, key := range after {
@@ -204,16 +204,16 @@
 		if name == "class" {
 			words = "requests of this class are served; before they got 404"
 		}
-		all = append(all, Change{fmt.Sprintf("%s[%s]", path, key), words, when(name)})
+		all = append(all, Change{fmt.Sprintf("%s[%s]", path, key), words, appliedAt(name)})
 	}
 	if len(all) == 0 {
-		all = append(all, Change{path, "the order is otherwise", when(name)})
+		all = append(all, Change{path, "the order is otherwise", appliedAt(name)})
 	}
 	return all
 }
 
-// when returns when a running sidecar applies a change of a field.
-func when(name string) string {
+// appliedAt returns when a running sidecar applies a change of a field.
+func appliedAt(name string) string {
 	switch {
 	case name == "discovery" || strings.HasPrefix(name, "limits."):
 		return "SIGHUP"
--- a/internal/appconfig/fields.go
+++ b/internal/appconfig/fields.go
@@ -88,16 +88,16 @@
 	if k == SiteFile {
 		t = reflect.TypeFor[Site]()
 	}
-	return under(t, "")
+	return fieldsUnder(t, "")
 }
 
-func under(t reflect.Type, path string) []Field {
+func fieldsUnder(t reflect.Type, path string) []Field {
 	var all []Field
 	for _, f := range fieldsOf(t) {
 		f.Path = path + f.name
 		all = append(all, f)
 		if s, _ := structure(f.kind); s != nil {
-			all = append(all, under(s, f.Path+".")...)
+			all = append(all, fieldsUnder(s, f.Path+".")...)
 		}
 	}
 	return all
@@ -168,8 +168,8 @@
 	return (f.least == "" || v >= bound(f.least)) && (f.above == "" || v > bound(f.above)) && (f.maximum == "" || v <= bound(f.maximum))
 }
 
-// rate returns the bytes or nanoseconds in one unit of the field's number in a rendered file.
-func (f *Field) rate() float64 {
+// unitFactor returns the bytes or nanoseconds in one unit of the field's number in a rendered file.
+func (f *Field) unitFactor() float64 {
 	switch f.Unit {
 	case "s":
 		return 1e9
--- a/internal/appconfig/file.go
+++ b/internal/appconfig/file.go
@@ -323,7 +323,7 @@
 	return Place{line, column, field}
 }
 
-func (f *File) lineOf(offset int) int {
+func (f *File) lineAt(offset int) int {
 	line, _ := f.lines.At(offset)
 	return line
 }
--- a/internal/appconfig/jsontree.go
+++ b/internal/appconfig/jsontree.go
@@ -125,7 +125,7 @@
 	}
 	e.offset = at
 	if old := n.get(key); old != nil {
-		f.faultAt(Twice, at, key, f.lineOf(old.offset))
+		f.faultAt(Twice, at, key, f.lineAt(old.offset))
 		*old = *e
 		old.key = key
 		return nil
--- a/internal/appconfig/model.go
+++ b/internal/appconfig/model.go
@@ -234,8 +234,8 @@
 	SiteFormat = "site/1"
 )
 
-// elsewhere lists fields of the platform's file that have no counterpart in the model; they are accepted and skipped.
-var elsewhere = []string{"known", "settings.stage", "settings.tiers", "settings.workload", "settings.valueBy", "settings.familyInfo",
+// ignoredPlatformFields lists fields of the platform's file that have no counterpart in the model; they are accepted and skipped.
+var ignoredPlatformFields = []string{"known", "settings.stage", "settings.tiers", "settings.workload", "settings.valueBy", "settings.familyInfo",
 	"settings.clients", "settings.deductions.connection", "settings.deductions.discovery", "settings.deductions.fleet",
 	"settings.deductions.handshake", "settings.deductions.lateFail", "settings.deductions.moves", "settings.deductions.origin",
 	"settings.deductions.peer", "settings.deductions.probe", "settings.deductions.waste", "settings.scoringMix", "settings.overShareWorth", "settings.locality",
--- a/internal/appconfig/render.go
+++ b/internal/appconfig/render.go
@@ -120,12 +120,12 @@
 func (f *Field) rendered(at reflect.Value) any {
 	switch v := at.Interface().(type) {
 	case Duration:
-		return float64(v) / f.rate()
+		return float64(v) / f.unitFactor()
 	case Size:
-		if v%Size(f.rate()) == 0 {
-			return int64(v) / int64(f.rate())
+		if v%Size(f.unitFactor()) == 0 {
+			return int64(v) / int64(f.unitFactor())
 		}
-		return float64(v) / f.rate()
+		return float64(v) / f.unitFactor()
 	case string:
 		for _, pair := range f.Enum {
 			if pair[0] == v {
--- a/internal/appconfig/schema.go
+++ b/internal/appconfig/schema.go
@@ -22,21 +22,21 @@
 		}}
 	s := r.Reflect(v)
 	s.Title = "hazelwheel " + string(k)
-	s.Required = needed(reflect.TypeOf(v).Elem())
-	enumerate(reflect.TypeOf(v).Elem(), s)
-	for _, f := range under(reflect.TypeOf(v).Elem(), "") {
+	s.Required = requiredFields(reflect.TypeOf(v).Elem())
+	addConstraints(reflect.TypeOf(v).Elem(), s)
+	for _, f := range fieldsUnder(reflect.TypeOf(v).Elem(), "") {
 		if t, _ := structure(f.kind); t != nil {
 			if d := s.Definitions[t.Name()]; d != nil {
-				d.Required = needed(t)
-				enumerate(t, d)
+				d.Required = requiredFields(t)
+				addConstraints(t, d)
 			}
 		}
 	}
 	return json.MarshalIndent(s, "", "  ")
 }
 
-// needed returns the names of the required fields of a struct.
-func needed(t reflect.Type) []string {
+// requiredFields returns the names of the required fields of a struct.
+func requiredFields(t reflect.Type) []string {
 	var all []string
 	for _, f := range fieldsOf(t) {
 		if f.Need {
@@ -46,8 +46,8 @@
 	return all
 }
 
-// enumerate adds the allowed words and the ranges from the tags of a struct to its schema.
-func enumerate(t reflect.Type, s *jsonschema.Schema) {
+// addConstraints adds the allowed words and the ranges from the tags of a struct to its schema.
+func addConstraints(t reflect.Type, s *jsonschema.Schema) {
 	for _, f := range fieldsOf(t) {
 		p, ok := s.Properties.Get(f.name)
 		if !ok {
--- a/internal/appconfig/tomltree.go
+++ b/internal/appconfig/tomltree.go
@@ -29,7 +29,7 @@
 func (f *File) parseTOML() *node {
 	repaired := append([]byte(nil), f.Text...)
 	for range maxRepairs {
-		root, end, err := f.treeOf(repaired)
+		root, end, err := f.parseTree(repaired)
 		if err == nil {
 			return root
 		}
@@ -39,11 +39,11 @@
 			at, why = max(offsetIn(repaired, parse.Highlight), end), parse.Message
 		}
 		f.faultAt(Syntax, at, "", strings.TrimPrefix(why, "toml: "))
-		if !f.takeOut(repaired, end, at) {
+		if !f.blankOut(repaired, end, at) {
 			return root
 		}
 	}
-	root, _, _ := f.treeOf(repaired)
+	root, _, _ := f.parseTree(repaired)
 	return root
 }
 
@@ -62,9 +62,9 @@
 	kind   unstable.Kind
 }
 
-// takeOut replaces the expression that starts after end and has a syntax error at offset at by spaces, and records its key
+// blankOut replaces the expression that starts after end and has a syntax error at offset at by spaces, and records its key
 // in f.lost. It reports whether there was anything to remove.
-func (f *File) takeOut(text []byte, end, at int) bool {
+func (f *File) blankOut(text []byte, end, at int) bool {
 	first := lineStart(text, at)
 	from := 0
 	if end > 0 {
@@ -116,8 +116,8 @@
 	return len(text)
 }
 
-// treeOf parses a text up to its first syntax error; end is the end of the valid part.
-func (f *File) treeOf(raw []byte) (root *node, end int, err error) {
+// parseTree parses a text up to its first syntax error; end is the end of the valid part.
+func (f *File) parseTree(raw []byte) (root *node, end int, err error) {
 	root = &node{kind: table, header: true}
 	b := &builder{f: f, root: root, at: root}
 	p := &b.p
@@ -132,7 +132,7 @@
 		f.Faults = f.Faults[:faults] // the next pass finds them again
 		return root, end, err
 	}
-	b.takeUpLost(len(raw))
+	b.restoreLost(len(raw))
 	if faults == 0 && len(f.Faults) == 0 && !b.huge && b.widest < maxNames { // for errors that the builder does not detect: dates that do not exist, tables that are extended wrongly
 		var all map[string]any
 		var decode *toml.DecodeError
@@ -156,9 +156,9 @@
 	lost   int   // number of entries of f.lost that are in the tree already
 }
 
-// takeUpLost adds the removed expressions before an offset to the tree. Otherwise fields below an invalid header would be
+// restoreLost adds the removed expressions before an offset to the tree. Otherwise fields below an invalid header would be
 // taken as fields of the previous table, and a field with an invalid value would be reported as missing.
-func (b *builder) takeUpLost(before int) {
+func (b *builder) restoreLost(before int) {
 	for ; b.lost < len(b.f.lost) && b.f.lost[b.lost].offset < before; b.lost++ {
 		l := &b.f.lost[b.lost]
 		var keys []*node
@@ -189,7 +189,7 @@
 	if len(keys) == 0 {
 		return
 	}
-	b.takeUpLost(keys[0].offset)
+	b.restoreLost(keys[0].offset)
 	if e.Kind != unstable.KeyValue {
 		b.open(e.Kind, keys)
 		return
@@ -210,7 +210,7 @@
 		l = &node{kind: list, offset: last.offset}
 		parent.put(last.key, l)
 	} else if l.kind != list || l.inline {
-		b.f.faultAt(Twice, last.offset, last.key, b.f.lineOf(l.offset))
+		b.f.faultAt(Twice, last.offset, last.key, b.f.lineAt(l.offset))
 		l = &node{kind: list}
 	}
 	b.at = &node{kind: table, offset: last.offset, header: true}
@@ -222,7 +222,7 @@
 	v := b.value(value, key.offset)
 	v.offset = key.offset
 	if old := parent.get(key.key); old != nil {
-		b.f.faultAt(Twice, key.offset, key.key, b.f.lineOf(old.offset))
+		b.f.faultAt(Twice, key.offset, key.key, b.f.lineAt(old.offset))
 		return
 	}
 	parent.put(key.key, v)
@@ -240,7 +240,7 @@
 		case next.kind == list && len(next.items) > 0 && next.items[len(next.items)-1].kind == table:
 			next = next.items[len(next.items)-1]
 		case next.kind != table || next.inline:
-			b.f.faultAt(Twice, k.offset, k.key, b.f.lineOf(next.offset))
+			b.f.faultAt(Twice, k.offset, k.key, b.f.lineAt(next.offset))
 			next = &node{kind: table}
 		}
 		n = next
@@ -255,7 +255,7 @@
 		t = &node{kind: table, offset: key.offset}
 		parent.put(key.key, t)
 	case t.kind != table || t.inline || t.header:
-		b.f.faultAt(Twice, key.offset, key.key, b.f.lineOf(t.offset))
+		b.f.faultAt(Twice, key.offset, key.key, b.f.lineAt(t.offset))
 		t = &node{kind: table}
 	}
 	t.header = true
--- a/internal/appconfig/tree.go
+++ b/internal/appconfig/tree.go
@@ -67,7 +67,7 @@
 	for _, key := range strings.Split(path, "/") {
 		next := n.get(key)
 		if next == nil {
-			next = n.fold(key)
+			next = n.getFolded(key)
 		}
 		if n = next; n == nil {
 			return nil
@@ -76,9 +76,9 @@
 	return n
 }
 
-// fold returns the entry whose key matches without regard to case. The sidecar reads its files with encoding/json, which
+// getFolded returns the entry whose key matches without regard to case. The sidecar reads its files with encoding/json, which
 // accepts such keys; without this, the checks would examine another configuration than the one in use.
-func (n *node) fold(key string) *node {
+func (n *node) getFolded(key string) *node {
 	if n == nil || n.kind != table {
 		return nil
 	}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// gathered returns the table of a name, including the entries that are written outside it as "name.key".
-func (n *node) gathered(name string) *node {
+// gather returns the table of a name, including the entries that are written outside it as "name.key".
+func (n *node) gather(name string) *node {
 	e := n.get(name)
 	all := &node{kind: table, key: name}
 	if e != nil {
--- a/internal/appconfig/unknownnames.go
+++ b/internal/appconfig/unknownnames.go
@@ -30,7 +30,7 @@
 		namesOf[FeaturesFile].add(app, "", "app.", featuresForm)
 		namesOf[PlatformFile].add(app, "", "app.", platformForm)
 		namesOf[PlatformFile].add(site, "", "site.", platformForm)
-		for _, path := range elsewhere {
+		for _, path := range ignoredPlatformFields {
 			namesOf[PlatformFile].path("", strings.ReplaceAll(path, ".", "/"))
 		}
 	})
@@ -127,7 +127,7 @@
 				continue // field of a section that the model doesn't describe
 			}
 		}
-		if known[generic][e.key] || d.form == platformForm && foldIn(known[generic], e.key) || generic == "" && known.has(e.key) {
+		if known[generic][e.key] || d.form == platformForm && hasFolded(known[generic], e.key) || generic == "" && known.has(e.key) {
 			continue
 		}
 		near := ""
@@ -142,7 +142,7 @@
 		case d.form == platformForm:
 			kind = UnknownNear
 		default:
-			if home := homeOf(known, e.key); home != "" && d.form == tomlForm && near == "" {
+			if home := owningTable(known, e.key); home != "" && d.form == tomlForm && near == "" {
 				kind, args = OtherTable, []any{where, home}
 			} else if other := otherKind(d.f.Kind, name); other != "" && near == "" {
 				kind, args = OtherFileField, []any{where, string(other)}
@@ -191,9 +191,9 @@
 	return s[:i], s[i+1:], true
 }
 
-// homeOf returns the table that a misplaced field belongs to, "" if that is ambiguous. A common cause is a field appended at
+// owningTable returns the table that a misplaced field belongs to, "" if that is ambiguous. A common cause is a field appended at
 // the end of a TOML file, where it becomes part of the last table.
-func homeOf(known names, key string) string {
+func owningTable(known names, key string) string {
 	home, n := "", 0
 	for under, fields := range known {
 		if !fields[key] {
@@ -222,8 +222,8 @@
 	return ""
 }
 
-// foldIn reports whether a table has a name, ignoring case.
-func foldIn(m map[string]bool, key string) bool {
+// hasFolded reports whether a table has a name, ignoring case.
+func hasFolded(m map[string]bool, key string) bool {
 	for name := range m {
 		if strings.EqualFold(name, key) {
 			return true
