--- a/internal/featureconfig/features.go
+++ b/internal/featureconfig/features.go
@@ -1,5 +1,5 @@
-// Package featureconfig reads the operators' file of optional features. A feature that the file doesn't
-// mention is off. Errors are one line that names the invalid field.
+// Package featureconfig parses the JSON file in which operators enable and configure optional features. A feature
+// that the file doesn't mention is off. Each error is a single line that names the invalid field.
 package featureconfig
 
 import (
@@ -34,15 +34,16 @@
 	Fleet     Fleet
 }
 
-// Admission bounds what clients may hold. Its zero value has no caps and no reserve.
+// Admission limits the connections and buffered bytes that clients may hold. Its zero value has no limits and reserves
+// nothing for known clients.
 type Admission struct{ admission.Settings }
 
-// On reports whether any bound is set.
+// On reports whether any limit is set.
 func (a *Admission) On() bool {
 	return a.ReservedForKnown > 0 || a.MaxPerAddress > 0 || a.MaxBufferedBytes > 0 || len(a.PrefixLimits) > 0 || len(a.KnownPrefixes) > 0
 }
 
-// String lists the features that are on, for the log.
+// String lists the enabled features, for the log.
 func (f *Features) String() string {
 	var on []string
 	if n := len(f.Drills.Faults); n > 0 && len(f.Drills.SecretHash) > 0 {
@@ -83,7 +84,7 @@
 	return strings.Join(on, ", ")
 }
 
-// Load reads the file at path, for the program that c configures.
+// Load parses the feature file at path and validates it against the sidecar's configuration c.
 func Load(path string, c *sidecarconfig.Config) (Features, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return f, nil
 }
 
-// Parse reads the file's text.
+// Parse parses the text of a feature file and validates it against the sidecar's configuration c.
 func Parse(raw []byte, c *sidecarconfig.Config) (f Features, err error) {
 	o, err := readObject("", raw)
 	if err != nil {
@@ -110,60 +111,60 @@
 	f.readThrift(o, c)
 	f.readQuotas(o, c)
 	f.readFleet(o, c)
-	return f, o.rest()
+	return f, o.firstError()
 }
 
-// readDrills reads the faults that an operator may inject, and the hash of the secret that starts them.
+// readDrills reads the faults that an operator may inject, and the hash of the secret that authorizes injecting them.
 func (f *Features) readDrills(o *object, c *sidecarconfig.Config) {
 	names := map[string]bool{}
 	for _, e := range o.list("drills") {
 		d := faultinjection.Fault{Abort: "none", DurationSeconds: 60}
-		field(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
-			func(s string) bool { return plainName(s) && !names[s] })
-		field(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
-		field(e, "share", &d.Percent, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
-		field(e, "delay_ms", &d.DelayMS, "0 to 3600000", func(v float64) bool { return v >= 0 && v <= 3.6e6 })
-		field(e, "abort", &d.Abort, `"none" or "503"`, func(s string) bool { return s == "none" || s == "503" })
-		field(e, "duration_s", &d.DurationSeconds, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
-		e.need("name", "class")
+		decodeField(e, "name", &d.Name, "a name of its own, of at most 64 letters, digits, '.', '_' and '-'",
+			func(s string) bool { return isPlainName(s) && !names[s] })
+		decodeField(e, "class", &d.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
+		decodeField(e, "share", &d.Percent, "0 to 100", func(v float64) bool { return v >= 0 && v <= 100 })
+		decodeField(e, "delay_ms", &d.DelayMS, "0 to 3600000", func(v float64) bool { return v >= 0 && v <= 3.6e6 })
+		decodeField(e, "abort", &d.Abort, `"none" or "503"`, func(s string) bool { return s == "none" || s == "503" })
+		decodeField(e, "duration_s", &d.DurationSeconds, "more than 0, at most 86400", func(v float64) bool { return v > 0 && v <= 86400 })
+		e.require("name", "class")
 		names[d.Name] = true
 		f.Drills.Faults = append(f.Drills.Faults, d)
 	}
 	var hash string
-	nothing := sha256.Sum256(nil) // a secret that everybody has
-	field(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
+	emptySecretHash := sha256.Sum256(nil) // the hash of the empty secret, which anybody could give
+	decodeField(o, "drills.secret_sha256", &hash, "the 64 hexadecimal digits of a secret's SHA-256", func(s string) bool {
 		sum, err := hex.DecodeString(s)
 		f.Drills.SecretHash = sum
-		return err == nil && len(sum) == sha256.Size && !bytes.Equal(sum, nothing[:])
+		return err == nil && len(sum) == sha256.Size && !bytes.Equal(sum, emptySecretHash[:])
 	})
 }
 
 // readRewrites reads the rules that add, drop and rename header fields.
 func (f *Features) readRewrites(o *object, c *sidecarconfig.Config) {
-	field(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
+	decodeField(o, "rewrites.forwarded", &f.Rewrites.Forwarded, "true or false", func(bool) bool { return true })
 	name := func(s string) bool { return http1.IsToken(s) && rewrite.Free(s) }
 	const nameRule = "the name of a header field that is neither protected nor hop-by-hop"
 	for _, e := range o.list("rewrites") {
 		var r rewrite.Rule
-		field(e, "dir", &r.Dir, `"in" or "out"`, func(s string) bool { return s == rewrite.In || s == rewrite.Out })
-		field(e, "op", &r.Op, `"add", "drop" or "rename"`, func(s string) bool {
+		decodeField(e, "dir", &r.Dir, `"in" or "out"`, func(s string) bool { return s == rewrite.In || s == rewrite.Out })
+		decodeField(e, "op", &r.Op, `"add", "drop" or "rename"`, func(s string) bool {
 			return s == rewrite.Add || s == rewrite.Drop || s == rewrite.Rename
 		})
-		field(e, "name", &r.Name, nameRule, name)
-		e.need("dir", "when", "op", "name")
-		switch r.Op { // elsewhere value and to mean nothing and are unknown
+		decodeField(e, "name", &r.Name, nameRule, name)
+		e.require("dir", "when", "op", "name")
+		switch r.Op { // "value" and "to" are unknown fields for the other operations
 		case rewrite.Add:
-			field(e, "value", &r.Value, "text without control bytes", func(s string) bool {
+			decodeField(e, "value", &r.Value, "text without control bytes", func(s string) bool {
 				return !strings.ContainsFunc(s, func(c rune) bool { return c < ' ' || c == 0x7f })
 			})
-			e.need("value")
+			e.require("value")
 		case rewrite.Rename:
-			field(e, "to", &r.To, nameRule, name)
-			e.need("to")
+			decodeField(e, "to", &r.To, nameRule, name)
+			e.require("to")
 		}
-		when := e.part("when")
-		field(when, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
-		field(when, "path_prefix", &r.PathPrefix, `a path from its "/"`, func(s string) bool { return strings.HasPrefix(s, "/") })
+		when := e.child("when")
+		decodeField(when, "class", &r.Class, "a class of the settings", func(s string) bool { return hasClass(c, s) })
+		decodeField(when, "path_prefix", &r.PathPrefix, `a path from its "/"`, func(s string) bool { return strings.HasPrefix(s, "/") })
 		if len(when.fields) == 0 {
 			e.fail("when", "want path_prefix, class or both")
 		}
@@ -171,50 +172,51 @@
 	}
 }
 
-// readHealth reads the port and the limits of health checks by other programs.
+// readHealth reads the port for health checks by other programs, and the limits beyond which the sidecar reports not ready.
 func (f *Features) readHealth(o *object, c *sidecarconfig.Config) {
 	f.Health = health.Settings{MaxListAgeMS: 6000, MinUsable: 1, MaxInflight: 256}
-	o.unfold("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
-	field(o, "health.port", &f.Health.Port, "1 to 65535, and not the port of the listen address", func(v int) bool {
+	o.flatten("health", "port", "max_list_age_ms", "min_usable", "max_inflight")
+	decodeField(o, "health.port", &f.Health.Port, "1 to 65535, and not the port of the listen address", func(v int) bool {
 		listen, err := netip.ParseAddrPort(c.Listen)
 		return v >= 1 && v <= 65535 && (err != nil || int(listen.Port()) != v)
 	})
-	field(o, "health.max_list_age_ms", &f.Health.MaxListAgeMS, "0 or more", func(v float64) bool { return v >= 0 })
-	field(o, "health.min_usable", &f.Health.MinUsable, "a whole number from 0", func(v int) bool { return v >= 0 })
-	field(o, "health.max_inflight", &f.Health.MaxInflight, "a whole number from 0", func(v int) bool { return v >= 0 })
+	decodeField(o, "health.max_list_age_ms", &f.Health.MaxListAgeMS, "0 or more", func(v float64) bool { return v >= 0 })
+	decodeField(o, "health.min_usable", &f.Health.MinUsable, "a whole number from 0", func(v int) bool { return v >= 0 })
+	decodeField(o, "health.max_inflight", &f.Health.MaxInflight, "a whole number from 0", func(v int) bool { return v >= 0 })
 }
 
-// readCapture reads the settings of captures. Any field of capture turns it on, also an empty object, which has the defaults.
+// readCapture reads the settings of package capture. Any of its fields enables capturing; an empty object enables it with
+// the defaults.
 func (f *Features) readCapture(o *object, cfg *sidecarconfig.Config) {
 	c := &f.Capture
 	c.MaxBytes, c.Segments = 512<<10, 4
 	for name := range o.fields {
 		c.Enabled = c.Enabled || name == "capture" || strings.HasPrefix(name, "capture.")
 	}
-	o.unfold("capture", "max_bytes", "files", "dir")
-	field(o, "capture.files", &c.Segments, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
-	field(o, "capture.max_bytes", &c.MaxBytes, "a whole number up to 67108864", func(v int) bool { return v <= 64<<20 })
+	o.flatten("capture", "max_bytes", "files", "dir")
+	decodeField(o, "capture.files", &c.Segments, "1 to 64", func(v int) bool { return v >= 1 && v <= 64 })
+	decodeField(o, "capture.max_bytes", &c.MaxBytes, "a whole number up to 67108864", func(v int) bool { return v <= 64<<20 })
 	if c.Segments > 0 && c.MaxBytes/c.Segments < capture.MinSegmentBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at least %d for each of capture.files", capture.MinSegmentBytes))
 	}
-	// Danger: the ring is there from the start, and a dump copies it; the sidecar is killed beyond its memory.
+	// Danger: the ring buffer is allocated at startup and a dump copies it. A sidecar that exceeds its memory limit is killed.
 	if maxBytes := cfg.Limits.MemoryMB << 20 / 4; c.Enabled && c.MaxBytes > maxBytes {
 		o.fail("capture.max_bytes", fmt.Sprintf("want at most %d, a quarter of limits.memory_mb", maxBytes))
 	}
-	field(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
+	decodeField(o, "capture.dir", &c.Dir, "the path of a folder", func(s string) bool { return s != "" })
 }
 
-// readAdmission reads the bounds on what clients may hold.
+// readAdmission reads the limits on the connections and buffered bytes of clients.
 func (f *Features) readAdmission(o *object, cfg *sidecarconfig.Config) {
 	a := &f.Admission
-	o.unfold("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
+	o.flatten("admission", "reserve", "per_address", "waiting_bytes", "caps", "known")
 	maxReserved := cfg.Limits.Sockets / 4
-	field(o, "admission.reserve", &a.ReservedForKnown, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", maxReserved),
+	decodeField(o, "admission.reserve", &a.ReservedForKnown, fmt.Sprintf("a whole number from 1 to %d, a quarter of limits.sockets", maxReserved),
 		func(v int) bool { return v >= 1 && v <= maxReserved })
-	field(o, "admission.per_address", &a.MaxPerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
-	field(o, "admission.waiting_bytes", &a.MaxBufferedBytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
+	decodeField(o, "admission.per_address", &a.MaxPerAddress, "a whole number from 1", func(v int) bool { return v >= 1 })
+	decodeField(o, "admission.waiting_bytes", &a.MaxBufferedBytes, "a whole number from 65536", func(v int) bool { return v >= 64<<10 })
 	var known []string
-	field(o, "admission.known", &known, "a list of addresses or prefixes", func([]string) bool { return true })
+	decodeField(o, "admission.known", &known, "a list of addresses or prefixes", func([]string) bool { return true })
 	for i, text := range known {
 		p, err := parsePrefix(text)
 		if err != nil {
@@ -226,12 +228,12 @@
 		var text string
 		var c admission.PrefixLimit
 		var err error
-		field(e, "prefix", &text, "an address or a prefix like 10.1.0.0/16", func(s string) bool {
+		decodeField(e, "prefix", &text, "an address or a prefix like 10.1.0.0/16", func(s string) bool {
 			c.Prefix, err = parsePrefix(s)
 			return err == nil
 		})
-		field(e, "links", &c.MaxConns, "a whole number from 1", func(v int) bool { return v >= 1 })
-		e.need("prefix", "links")
+		decodeField(e, "links", &c.MaxConns, "a whole number from 1", func(v int) bool { return v >= 1 })
+		e.require("prefix", "links")
 		for j, other := range a.PrefixLimits {
 			if c.Prefix.IsValid() && other.Prefix.Overlaps(c.Prefix) && other.MaxConns != c.MaxConns {
 				e.fail("prefix", fmt.Sprintf("%s overlaps with admission.caps[%d], %s, which has another cap", c.Prefix, j, other.Prefix))
@@ -241,7 +243,7 @@
 	}
 }
 
-// parsePrefix parses a prefix, or an address as the prefix that holds it alone.
+// parsePrefix parses an IP prefix. A single address becomes a prefix of full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if a, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(a.Unmap(), a.Unmap().BitLen()), nil
@@ -250,7 +252,7 @@
 	return p.Masked(), err
 }
 
-// hasClass reports whether the settings have a class of this name.
+// hasClass reports whether the configuration defines a class of this name.
 func hasClass(c *sidecarconfig.Config, name string) bool {
 	for _, class := range c.Settings.Policy.Classes {
 		if class.Name == name {
@@ -260,11 +262,11 @@
 	return false
 }
 
-// maxNameBytes bounds the names that plainName accepts.
+// maxNameBytes bounds the names that isPlainName accepts.
 const maxNameBytes = 64
 
-// plainName reports whether a name can stand unquoted in a path, a log line and a metric.
-func plainName(s string) bool {
+// isPlainName reports whether a name can be used without quoting in a path, a log line and a metric.
+func isPlainName(s string) bool {
 	isForbidden := func(r rune) bool {
 		isAlphanumeric := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 		return !isAlphanumeric && !strings.ContainsRune("._-", r)
--- a/internal/featureconfig/fleet.go
+++ b/internal/featureconfig/fleet.go
@@ -8,18 +8,18 @@
 	"hazelwheel/internal/sidecarconfig"
 )
 
-// Fleet holds how this sidecar joins others of its fleet. Without a Name it joins none.
+// Fleet holds the settings with which this sidecar joins its fleet. With an empty Name it joins none.
 type Fleet struct {
 	Name      string
 	Listen    string   // address and port for peers
-	Advertise string   // where peers dial it; empty: Listen
-	Join      []string // addresses to begin with
-	Dir       string   // for what must survive a restart; empty: each start is a new sidecar
-	Voters    []string // addresses of 3, 5 or 7 that agree on who owns which job, the same at all; empty: nobody owns any
-	Jobs      []string // that this sidecar can do on behalf of all
+	Advertise string   // address that peers dial; empty: Listen
+	Join      []string // addresses of peers to contact first
+	Dir       string   // folder for state that must survive a restart; empty: the sidecar has a new identity after each start
+	Voters    []string // addresses of the 3, 5 or 7 sidecars that elect the owners of jobs, the same at all sidecars; empty: jobs have no owner
+	Jobs      []string // jobs that this sidecar can run for the fleet
 }
 
-// On reports whether the sidecar looks for others.
+// On reports whether the sidecar joins a fleet.
 func (f *Fleet) On() bool { return f.Name != "" }
 
 // IsVoter reports whether this sidecar is one of the voters.
@@ -27,17 +27,17 @@
 	return slices.ContainsFunc(f.Voters, func(s string) bool { return s == f.Listen && f.Advertise == "" || s == f.Advertise })
 }
 
-// maxJoinAddresses bounds the addresses to begin with.
+// maxJoinAddresses limits the length of Fleet.Join.
 const maxJoinAddresses = 64
 
-// readFleet reads how the sidecar joins its fleet, and which jobs it may hold.
+// readFleet reads the fleet settings.
 func (f *Features) readFleet(o *object, c *sidecarconfig.Config) {
 	if _, on := o.fields["fleet"]; !on {
 		return
 	}
-	p := o.part("fleet")
-	field(p, "name", &f.Fleet.Name, "the fleet's name, of at most 64 letters, digits, '.', '_' and '-'", plainName)
-	field(p, "listen", &f.Fleet.Listen, "an address and port of its own, like 10.0.0.7:7946", func(s string) bool {
+	p := o.child("fleet")
+	decodeField(p, "name", &f.Fleet.Name, "the fleet's name, of at most 64 letters, digits, '.', '_' and '-'", isPlainName)
+	decodeField(p, "listen", &f.Fleet.Listen, "an address and port of its own, like 10.0.0.7:7946", func(s string) bool {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil || a.Port() == 0 || int(a.Port()) == f.Health.Port {
 			return false
@@ -49,8 +49,8 @@
 		}
 		return true
 	})
-	field(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", sidecarconfig.Dialable)
-	field(p, "join", &f.Fleet.Join, "a list of at most 64 addresses with their ports", func(all []string) bool {
+	decodeField(p, "advertise", &f.Fleet.Advertise, "the address and port at which others reach it", sidecarconfig.Dialable)
+	decodeField(p, "join", &f.Fleet.Join, "a list of at most 64 addresses with their ports", func(all []string) bool {
 		for _, s := range all {
 			if !sidecarconfig.Dialable(s) {
 				return false
@@ -58,8 +58,8 @@
 		}
 		return len(all) <= maxJoinAddresses
 	})
-	field(p, "dir", &f.Fleet.Dir, "the path of a folder", func(s string) bool { return s != "" })
-	field(p, "electors", &f.Fleet.Voters, "a list of 3, 5 or 7 different addresses with their ports, the same at all sidecars", func(all []string) bool {
+	decodeField(p, "dir", &f.Fleet.Dir, "the path of a folder", func(s string) bool { return s != "" })
+	decodeField(p, "electors", &f.Fleet.Voters, "a list of 3, 5 or 7 different addresses with their ports, the same at all sidecars", func(all []string) bool {
 		for i, s := range all {
 			if !sidecarconfig.Dialable(s) || slices.Contains(all[:i], s) {
 				return false
@@ -67,7 +67,7 @@
 		}
 		return len(all) == 3 || len(all) == 5 || len(all) == 7
 	})
-	field(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(sidecarconfig.Jobs, ", "), func(all []string) bool {
+	decodeField(p, "jobs", &f.Fleet.Jobs, "a list of jobs, each once: "+strings.Join(sidecarconfig.Jobs, ", "), func(all []string) bool {
 		for i, s := range all {
 			if !slices.Contains(sidecarconfig.Jobs, s) || slices.Contains(all[:i], s) {
 				return false
@@ -75,7 +75,7 @@
 		}
 		return true
 	})
-	p.need("name", "listen")
+	p.require("name", "listen")
 	if len(f.Fleet.Jobs) > 0 && len(f.Fleet.Voters) == 0 {
 		p.fail("electors", "missing: nobody says who owns the jobs")
 	}
