--- a/internal/sidecar/clientadmission.go
+++ b/internal/sidecar/clientadmission.go
@@ -15,8 +15,8 @@
 // maxClients returns the limit on client connections that leaves enough descriptors for backend connections.
 func (s *Sidecar) maxClients() int { return s.maxConns() * 3 / 4 }
 
-// maxOverLimitClients returns how many connections beyond the limit are accepted so that their requests can be throttled rather than reset.
-// Each uses a descriptor that an attempt may need.
+// maxOverLimitClients returns how many connections beyond the limit are accepted, so that their requests are throttled instead of the
+// connections being closed. The number is small, since each uses a descriptor that an attempt may need.
 func (s *Sidecar) maxOverLimitClients() int { return s.maxConns() / 16 }
 
 // hasManyClients reports whether there are so many client connections that idle ones are not kept; each response is then the last on its
--- a/internal/sidecar/clientresponse.go
+++ b/internal/sidecar/clientresponse.go
@@ -91,7 +91,7 @@
 	c.sidecar.clients.admission.SetState(c.sidecar.now(), c.slot, admission.StateIdle)
 	c.input.ReleaseMemory()
 	c.accountHeldBytes(c.input.Len())
-	// The next request may be in the buffer; it is handled as an event of its own.
+	// The next request may already be in the buffer; it is handled as a separate event.
 	if c.conn == nil {
 		return
 	}
--- a/internal/sidecar/maintenance.go
+++ b/internal/sidecar/maintenance.go
@@ -28,7 +28,7 @@
 
 var _ MaintainedServers = (*Sidecar)(nil)
 
-// ServerStatus is one server as a sidecar knows it.
+// ServerStatus is the state of a server as seen by this sidecar.
 type ServerStatus struct {
 	Name, Zone, Type string
 	Weight           float64
@@ -43,7 +43,7 @@
 	IsBusy           bool // according to its last load report, if that is recent
 }
 
-// maintenanceTracker records what ServerStatus needs.
+// maintenanceTracker records data about attempts and load reports for ServerStatus.
 type maintenanceTracker struct {
 	inflightField     int               // index of the number of requests in flight in load reports; negative if it is absent
 	maxAttemptSeconds float64           // how long an abandoned attempt may keep running on its server
--- a/internal/sidecar/pending.go
+++ b/internal/sidecar/pending.go
@@ -12,7 +12,7 @@
 	// burstWindowSeconds is the length of a burst: a request that arrives later starts a new one.
 	burstWindowSeconds = 0.001
 	// staleSeconds is how long a request must have been in its socket for the loop to read its connections once more before submitting it. The
-	// client's close may be unread behind the request, and a process that stalled would forward requests that nobody waits for.
+	// client's close may be unread behind the request: otherwise a process that stalled would forward requests that nobody waits for.
 	staleSeconds = 0.05
 )
 
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -188,7 +188,7 @@
 	})
 }
 
-// Counters returns the counters as a line of JSON. It is for the event loop, and for any goroutine once the loop has ended.
+// Counters returns the counters as a line of JSON. It must be called on the event loop or after the loop has ended.
 func (s *Sidecar) Counters() []byte {
 	s.counters.Descriptors = s.descriptors.inUse()
 	s.counters.FaultHits, s.counters.Capture = s.faults.HitCounts(), s.capture.Stats()
