--- a/internal/peers/transport.go
+++ b/internal/peers/transport.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// A process may use one in descriptorsPerLink of its descriptors for links, within these limits. minLinks is enough for a member to monitor
+	// A process may have one link per linkDivisor descriptors, within these limits. minLinks is enough for a member to monitor
 	// others and to be monitored.
 	minLinks, maxLinks = 12, 48
-	descriptorsPerLink = 6
+	linkDivisor        = 6
 	// extraDescriptors are reserved for the listener and for connections that are being closed.
 	extraDescriptors = 4
 	// helloTimeoutSeconds limits how long a link may take from the dial, or from being accepted, to the peer's hello.
@@ -31,9 +31,7 @@
 )
 
 // MaxLinks returns how many links a process with a number of descriptors may have.
-func MaxLinks(descriptors int) int {
-	return min(max(descriptors/descriptorsPerLink, minLinks), maxLinks)
-}
+func MaxLinks(descriptors int) int { return min(max(descriptors/linkDivisor, minLinks), maxLinks) }
 
 // Descriptors returns how many descriptors must be reserved for a number of links.
 func Descriptors(links int) int { return links + extraDescriptors }
@@ -46,7 +44,7 @@
 	LinkUp(l *Link, h frames.Hello) bool
 	// LinkDown is called when a link that was up has been closed other than by CloseLink.
 	LinkDown(l *Link, err error)
-	// DialFailed is called when a dialed link was closed before it was up, other than by CloseLink.
+	// DialFailed is called when Dial did not lead to a link that is up, unless CloseLink was called for it.
 	DialFailed(address string, err error)
 	// HandleFrame handles a frame of a link that is up. After an error the link is closed, and LinkDown follows.
 	HandleFrame(l *Link, topic frames.Topic, body []byte) error
