--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -168,9 +168,9 @@
 
 func mustReplay(t *testing.T, text string) (Summary, string) {
 	var out strings.Builder
-	tally, err := Replay(strings.NewReader(text), &out)
-	require.NoError(t, err, "%v", tally)
-	return tally, out.String()
+	summary, err := Replay(strings.NewReader(text), &out)
+	require.NoError(t, err, "%v", summary)
+	return summary, out.String()
 }
 
 // A ring that has overwritten its start still replays without a difference, since each segment starts with a checkpoint.
@@ -178,19 +178,19 @@
 func TestWrappedRingReplays(t *testing.T) {
 	r := newRecordedBalancer(t, smallSettings, 9).run(50)
 	early := string(r.Dump(r.now))
-	tally, out := mustReplay(t, early)
-	assert.Zero(t, tally.Different, out)
-	assert.Equal(t, 1, tally.Segments, "the start")
+	summary, out := mustReplay(t, early)
+	assert.Zero(t, summary.Different, out)
+	assert.Equal(t, 1, summary.Segments, "the start")
 	r.run(20000)
 	late := string(r.Dump(r.now))
 	assert.NotContains(t, late, `"k":"start"`)
 	assert.LessOrEqual(t, len(late), smallSettings.MaxBytes+2*lostLineBytes)
 	assert.Greater(t, len(late), smallSettings.MaxBytes/2)
-	tally, out = mustReplay(t, late)
-	assert.Zero(t, tally.Different, out)
-	assert.Zero(t, tally.Skipped+tally.Truncated)
-	assert.Equal(t, 4, tally.Segments)
-	assert.Greater(t, tally.Compared, 200)
+	summary, out = mustReplay(t, late)
+	assert.Zero(t, summary.Different, out)
+	assert.Zero(t, summary.Skipped+summary.Truncated)
+	assert.Equal(t, 4, summary.Segments)
+	assert.Greater(t, summary.Compared, 200)
 	assert.Greater(t, r.Stats().Segments, 30)
 	assert.Zero(t, r.Stats().LinesLost+r.Stats().SegmentsWithoutState)
 
@@ -204,7 +204,7 @@
 	all, out := mustReplay(t, both.String()+"[20.01] {\"requests\":5}\n")
 	assert.Zero(t, all.Different+all.Truncated+all.Skipped, out)
 	assert.Equal(t, 5, all.Segments)
-	assert.Greater(t, all.Compared, tally.Compared)
+	assert.Greater(t, all.Compared, summary.Compared)
 }
 
 // A decision that differs, is missing or is superfluous is printed, and the others still match.
@@ -230,8 +230,8 @@
 		"too much":       func(s string) string { return s + strings.Replace(s, `"send"`, `"probe"`, 1) },
 	} {
 		changed := append(append(append([]string{}, lines[:at]...), change(lines[at])), lines[at+1:]...)
-		tally, out := mustReplay(t, strings.Join(changed, ""))
-		assert.Equal(t, 1, tally.Different, "%s: %s", name, out)
+		summary, out := mustReplay(t, strings.Join(changed, ""))
+		assert.Equal(t, 1, summary.Different, "%s: %s", name, out)
 		assert.Equal(t, 2, strings.Count(out, "\n"), "%s: %s", name, out)
 		place := map[string]int{"missing": event + 1, "too much": at + 2}[name]
 		assert.Contains(t, out, fmt.Sprintf("line %d: ", cmp.Or(place, at+1)), name)
@@ -241,8 +241,8 @@
 	for !strings.Contains(lines[last], `"dec"`) {
 		last--
 	}
-	tally, _ := mustReplay(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
-	assert.Equal(t, 1, tally.Different, "the last decision of a complete dump is compared, too")
+	summary, _ := mustReplay(t, strings.Join(append(lines[:last:last], lines[last+1:]...), ""))
+	assert.Equal(t, 1, summary.Different, "the last decision of a complete dump is compared, too")
 }
 
 // A line that was truncated at either end causes no false difference. If it may have been an input, nothing is compared until
@@ -264,10 +264,10 @@
 			continue // too short to be told from a log line
 		}
 		changed := strings.Join(lines[:at], "") + piece + strings.Join(lines[at+1:], "")
-		tally, out := mustReplay(t, changed)
-		require.Zero(t, tally.Different, "%q: %s", piece, out)
-		require.Equal(t, 1, tally.Truncated, "%q", piece)
-		if torn++; tally.Skipped > 0 {
+		summary, out := mustReplay(t, changed)
+		require.Zero(t, summary.Different, "%q: %s", piece, out)
+		require.Equal(t, 1, summary.Truncated, "%q", piece)
+		if torn++; summary.Skipped > 0 {
 			skipped++
 		}
 	}
@@ -308,7 +308,7 @@
 
 func (n fixedHostName) HostName(uint32) string { return n.name }
 
-// Operators' tools read the line of a decision in this form.
+// The line of a decision has the documented form.
 func TestDecisionLine(t *testing.T) {
 	d := Decision{ID: "9b1f03aa5c7e2d41", Class: "raise-alert", HostName: "s-5be2a07c", Action: ActionSend, Request: 17, Host: 1541578876}
 	assert.Equal(t, `{"t":1718000000123,"k":"dec","id":"9b1f03aa5c7e2d41","class":"raise-alert","to":"s-5be2a07c","do":"send","req":17,"host":1541578876}`+"\n",
@@ -325,8 +325,8 @@
 	dump := string(r.Dump(0))
 	assert.Contains(t, dump, `"k":"nostate"`)
 	assert.NotContains(t, dump, `"state":"`)
-	tally, out := mustReplay(t, dump)
-	assert.Zero(t, tally.Different+tally.Skipped, out)
+	summary, out := mustReplay(t, dump)
+	assert.Zero(t, summary.Different+summary.Skipped, out)
 	for r.Stats().Segments < 9 {
 		r.run(10)
 	}
@@ -343,8 +343,8 @@
 	r.run(5)
 	dump = string(r.Dump(0))
 	assert.Contains(t, dump, `"k":"lost"`)
-	tally, out = mustReplay(t, dump)
-	assert.Zero(t, tally.Different, out)
+	summary, out = mustReplay(t, dump)
+	assert.Zero(t, summary.Different, out)
 	assert.NotZero(t, r.Stats().LinesLost)
 }
 
@@ -389,13 +389,13 @@
 	for _, name := range names[:s.Segments] {
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
-		tally, out := mustReplay(t, string(text))
-		assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
+		summary, out := mustReplay(t, string(text))
+		assert.Zero(t, summary.Different+summary.Skipped+summary.Truncated, out)
 		all += string(text)
 	}
-	tally, out := mustReplay(t, all)
-	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
-	assert.Equal(t, s.Segments, tally.Segments)
+	summary, out := mustReplay(t, all)
+	assert.Zero(t, summary.Different+summary.Skipped+summary.Truncated, out)
+	assert.Equal(t, s.Segments, summary.Segments)
 	assert.Zero(t, r.Stats().DiskErrors+r.Stats().DiskLostBytes)
 }
 
@@ -422,8 +422,8 @@
 	r.Recorder.Close()
 	assert.NotZero(t, r.Stats().DiskErrors)
 	assert.NotZero(t, w.n.Load())
-	tally, out := mustReplay(t, string(r.Dump(0)))
-	assert.Zero(t, tally.Different, out)
+	summary, out := mustReplay(t, string(r.Dump(0)))
+	assert.Zero(t, summary.Different, out)
 
 	d := &fileWriter{log: slog.New(slog.NewTextHandler(w, nil)), queue: make(chan chunk, maxChunks), freeChunks: make(chan []byte, maxChunks)}
 	for range maxChunks { // and no goroutine that writes
--- a/internal/capture/stored_form_test.go
+++ b/internal/capture/stored_form_test.go
@@ -58,10 +58,10 @@
 	for _, kind := range []lineKind{kindDump, kindEnd, kindStart, kindState, kindHosts, kindRequest, kindOutcome, kindProbe, kindWake, kindStall, kindReplica, kindDecision} {
 		assert.True(t, bytes.Contains(want, []byte(`"k":"`+string(kind)+`"`)), kind)
 	}
-	tally, out := mustReplay(t, string(want))
-	assert.Zero(t, tally.Different+tally.Skipped+tally.Truncated, out)
-	assert.Equal(t, 2, tally.Segments)
-	assert.Greater(t, tally.Compared, 50)
+	summary, out := mustReplay(t, string(want))
+	assert.Zero(t, summary.Different+summary.Skipped+summary.Truncated, out)
+	assert.Equal(t, 2, summary.Segments)
+	assert.Greater(t, summary.Compared, 50)
 }
 
 // TestLineFormIsKept compares one line of each input and decision, with all fields set, with the golden file.
