--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -93,7 +93,7 @@
 	stats := w.counters()["capture"].(map[string]any)
 	assert.Greater(t, stats["segments"], 4.0)
 	assert.Zero(t, stats["lost"].(float64)+stats["no_checkpoint"].(float64))
-	t.Logf("a checkpoint held the loop for %v us at the most", stats["checkpoint_max_us"])
+	t.Logf("a checkpoint blocked the event loop for at most %v us", stats["checkpoint_max_us"])
 
 	for _, text := range []string{first, dump, w.log.String()} { // the complete log holds two dumps
 		code, said := w.replay(text)
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -200,7 +200,7 @@
 		assert.Equal(t, 200, a.status)
 		assert.Len(t, s.of(id), 2)
 	})
-	t.Run("turned away after it", func(t *testing.T) { // nothing has run, so the window has not begun
+	t.Run("rejected after it", func(t *testing.T) { // nothing has run, so the window has not begun
 		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, turnsAway), sends(message(200, "sound"))))
 		w := newCrossing(t, setWindow, s)
 		id, conn := newID(), w.dial(0)
@@ -210,7 +210,7 @@
 		assert.Equal(t, 200, a.status)
 		assert.Len(t, s.of(id), 2)
 	})
-	t.Run("its connection comes up after it", func(t *testing.T) {
+	t.Run("its connection is established after it", func(t *testing.T) {
 		errs := newBackend(t, "s-00000001", sends(message(500, "")))
 		late := newLateBackend(t, "s-00000002", sends(message(200, "sound")))
 		w := newCrossing(t, setWindow, errs, late)
@@ -314,7 +314,7 @@
 			late++
 		}
 	}
-	t.Logf("%d attempts, %d without time", len(s.got()), late)
+	t.Logf("%d attempts, %d with no time left", len(s.got()), late)
 	assert.NotEmpty(t, s.got())
 	assert.Zero(t, late)
 }
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -56,11 +56,11 @@
 	left, right := c.all[:4], c.all[4:]
 	ways := processcluster.Directions(names(left), names(right), false)
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
-	t.Logf("the sides part after %v", max(c.awaitView(left, left), c.awaitView(right, right)))
+	t.Logf("the two sides have separate views after %v", max(c.awaitView(left, left), c.awaitView(right, right)))
 	c.awaitRanks(left...)
 	c.awaitRanks(right...)
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("one again after %v", c.awaitAgreement(c.all...))
+	t.Logf("all agree again after %v", c.awaitAgreement(c.all...))
 	c.awaitRanks(c.all...)
 
 	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
@@ -69,7 +69,7 @@
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
 	c.board.SetFault(processcluster.LinkFault{}, ways...)
-	t.Logf("after a short cut one again after %v", c.awaitAgreement(c.all...))
+	t.Logf("all agree again %v after a short partition", c.awaitAgreement(c.all...))
 	s, _ := c.all[0].status()
 	assert.Len(t, s.Members, 7, "no member has changed its identity")
 	stop()
@@ -127,7 +127,7 @@
 // random: of seven members, two given ones are neighbors on no ring in a fifth of all cases.
 func (c *testFleet) watched(atLeast int) (by *fleetMember, watchers []*fleetMember) {
 	c.Helper()
-	c.poll(fmt.Sprintf("one is watched by %d", atLeast), func() bool {
+	c.poll(fmt.Sprintf("a member is watched by %d", atLeast), func() bool {
 		of := map[string][]*fleetMember{}
 		for _, m := range c.all {
 			s, ok := m.status()
@@ -165,11 +165,11 @@
 			began := time.Now()
 			still.freeze()
 			if stall > 4*time.Second {
-				t.Logf("held for dead after %v", c.awaitView(others, others))
+				t.Logf("considered dead after %v", c.awaitView(others, others))
 			}
 			time.Sleep(stall - time.Since(began)) // the duration of the fault itself; its effects are polled for
 			still.resume()
-			t.Logf("back after %v", c.awaitAgreement(c.all...))
+			t.Logf("a member again after %v", c.awaitAgreement(c.all...))
 			after, _ := still.status()
 			assert.Equal(t, before.ID, after.ID)
 			for _, m := range c.all {
@@ -243,7 +243,7 @@
 		m.start()
 	}
 	c.ready(c.all...)
-	t.Logf("all again after %v", c.awaitAgreement(c.all...))
+	t.Logf("all members again after %v", c.awaitAgreement(c.all...))
 	for _, m := range c.all {
 		assert.True(t, ids[m.id()], "it keeps its identity")
 	}
@@ -265,7 +265,7 @@
 	}
 	lonely.all[2].gone.Store(true)
 	lonely.ready(lonely.all[2].start())
-	t.Logf("met after %v", lonely.awaitAgreement(lonely.all...))
+	t.Logf("agree after %v", lonely.awaitAgreement(lonely.all...))
 	lonely.awaitRanks(lonely.all...)
 }
 
@@ -382,7 +382,7 @@
 	w.client.Timeout = patience
 	w.load(80)
 	m.signal(syscall.SIGUSR1)
-	c.poll("a dump", func() bool { return strings.Contains(m.log.String(), `"k":"end"}`) })
+	c.poll("the dump is complete", func() bool { return strings.Contains(m.log.String(), `"k":"end"}`) })
 	text := m.log.String()
 	text = text[strings.Index(text, `"k":"dump"}`)-len(`{"t":1234567890123,`):]
 	assert.Contains(t, text, `"k":"place"`)
@@ -508,7 +508,7 @@
 	}
 	speak(append([][]byte{hello("yard")}, million...)...)
 	s, _ := victim.status()
-	t.Logf("known after a million lies: %d; links %+v", len(s.Members), s.Links)
+	t.Logf("members known after a million forged messages: %d; links %+v", len(s.Members), s.Links)
 	assert.Less(t, len(s.Members), 4000)
 	// The last connection exceeds the rate limit if it sends fast enough. On a busy machine it is closed before that, as an unneeded
 	// link.
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -125,7 +125,7 @@
 	n, err := io.Copy(io.Discard, r.Body)
 	require.NoError(t, err)
 	assert.EqualValues(t, large, n)
-	w.eventually("over", func() bool { return w.counter("open") == 0 && w.counter("served") == 101 })
+	w.eventually("all requests have ended", func() bool { return w.counter("open") == 0 && w.counter("served") == 101 })
 }
 
 // A response that breaks off after its start was passed on is recognizable as incomplete, counts as failed, and is not requested again.
@@ -137,7 +137,7 @@
 			p := w.send(w.request("read", "", ""))
 			assert.ErrorIs(t, p.err, io.ErrUnexpectedEOF)
 			assert.Equal(t, 1, s.requestCount())
-			w.eventually("failed", func() bool { return w.counter("failed") == 1 && w.counter("open") == 0 })
+			w.eventually("the request has failed", func() bool { return w.counter("failed") == 1 && w.counter("open") == 0 })
 			assert.Zero(t, w.counter("served"))
 		})
 	}
@@ -152,7 +152,7 @@
 	_, err = io.CopyN(io.Discard, c, 1<<20)
 	require.NoError(t, err)
 	c.Close()
-	w.eventually("abandoned", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
+	w.eventually("the request is abandoned", func() bool { return w.counter("abandoned") == 1 && w.counter("open") == 0 })
 	assert.Equal(t, 200, w.ask("read", "", "").status)
 }
 
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -105,7 +105,7 @@
 	id, conn := newID(), w.dial(0)
 	conn.send(text("write", id, 35*time.Second, "body"))
 	<-turnedAway
-	w.eventually("it waits", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
+	w.eventually("the first attempt was rejected", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
 	departs(w, conn)
 	seen(w)
 	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -98,7 +98,7 @@
 	w.start()
 	w.eventually("ready", func() bool { return side(t, address, "/ready").status == 200 })
 	last := w.askAside("write", "", "")
-	w.eventually("one is out", func() bool { return side(t, address, "/ready").Inflight == 1 })
+	w.eventually("a request is in flight", func() bool { return side(t, address, "/ready").Inflight == 1 })
 	assert.Equal(t, []string{"inflight 1 > 0"}, side(t, address, "/ready").Reasons)
 	w.signal(syscall.SIGTERM)
 	w.eventually("draining", func() bool {
--- a/cmd/hazelwheel/hosts_test.go
+++ b/cmd/hazelwheel/hosts_test.go
@@ -21,7 +21,7 @@
 	w.discovery.answers <- func(d watch) {
 		text := line(t, 9, true, second)
 		d.write("\n" + text[:20])
-		w.eventually("nothing yet", func() bool { return w.counter("watches") == 2 && w.counter("lists") == 0 })
+		w.eventually("the second watch has begun and no list has arrived", func() bool { return w.counter("watches") == 2 && w.counter("lists") == 0 })
 		d.write(text[20:] + "\n" + `{"index":10,"snap`) // then the connection breaks
 	}
 	w.discovery.answers <- func(d watch) { panic(http.ErrAbortHandler) }
@@ -144,12 +144,12 @@
 		w.eventually("the list", func() bool { return w.counter("lists") == 1 })
 		first.status = "DELETED"
 		d.write(strings.TrimSpace(line(t, 9, false, first)) + indented(10, false, third) + "\n\n")
-		w.eventually("both changes", func() bool { return w.counter("lists") == 3 })
+		w.eventually("both changes have arrived", func() bool { return w.counter("lists") == 3 })
 		first.status = "SERVING"
 		d.write(strings.TrimSuffix(line(t, 11, true, first), "\n")) // then the watch ends
 	}
 	w.start()
-	w.eventually("the last one", func() bool { return w.counter("lists") == 4 })
+	w.eventually("the last change has arrived", func() bool { return w.counter("lists") == 4 })
 	for _, since := range []string{"7", "11"} {
 		assert.Equal(t, "/v1/endpoints?follow=1&since="+since, <-w.discovery.calls)
 	}
--- a/cmd/hazelwheel/jobs_test.go
+++ b/cmd/hazelwheel/jobs_test.go
@@ -222,7 +222,7 @@
 		assert.Zero(t, m.listStats().Mismatches, m.name)
 	}
 	assert.Less(t, oldest, 5.0)
-	t.Logf("news was %.1f s old at most", oldest)
+	t.Logf("the list was %.1f s old at most", oldest)
 	stop()
 }
 
@@ -236,7 +236,7 @@
 	})
 	index := c.registry.publish(c.server.endpoint(), false)
 	c.registry.fail(false)
-	t.Logf("back: the version is everywhere after %v", c.awaitVersion(index, c.all...))
+	t.Logf("discovery is back: the version is everywhere after %v", c.awaitVersion(index, c.all...))
 	c.awaitRelayedLists("when it is back", c.all...)
 	stop()
 }
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -63,7 +63,7 @@
 		wrong, seen, refused, old := c.effects.Results()
 		assert.Empty(t, wrong, "no member relays an old owner's effect")
 		assert.NotZero(t, seen)
-		t.Logf("%d effects on the wire, %d under a token that was not the greatest any more, %d refusals", seen, old, refused)
+		t.Logf("%d effects on the wire, %d under an outdated token, %d refusals", seen, old, refused)
 	})
 	return c
 }
@@ -144,7 +144,7 @@
 // leader returns the leader of the electors.
 func (c *testFleet) leader(some ...*fleetMember) (leader *fleetMember) {
 	c.Helper()
-	c.poll("one leads", func() bool {
+	c.poll("a leader is elected", func() bool {
 		leader = nil
 		for _, m := range some {
 			if s, ok := m.leaseStatus(); ok && s.Local.IsLeader {
@@ -569,7 +569,7 @@
 				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.reportRole().HeldToken > token })
 			})
 			gap := time.Since(at)
-			t.Logf("%s gave the job up: another had it after %v", m.name, gap.Round(time.Millisecond))
+			t.Logf("%s gave up the role: another owner after %v", m.name, gap.Round(time.Millisecond))
 			assert.Less(t, gap, 5*time.Second)
 		}
 		<-m.ended
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -210,7 +210,7 @@
 	m.c.Helper()
 	m.frozen.Store(true)
 	m.signal(syscall.SIGSTOP)
-	m.c.poll(m.name+" stands still", func() bool {
+	m.c.poll(m.name+" is paused", func() bool {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 		if err != nil {
 			return false
@@ -371,7 +371,7 @@
 					}
 				case away:
 				case sentAfter >= silentMost:
-					c.Logf("%s: %v: the client stood still for %v before it sent its request", m.name, err, sentAfter)
+					c.Logf("%s: %v: the client was paused for %v before it sent its request", m.name, err, sentAfter)
 				default:
 					m.bad.Add(1)
 					c.Logf("%s: %v (the request was sent after %v)", m.name, err, sentAfter)
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -128,7 +128,7 @@
 			held += len(before[m.name])
 		}
 	}
-	t.Logf("%d sidecars held %d boxes each; one more moved %d of %d", standing, held/standing, moved, held)
+	t.Logf("%d sidecars used %d servers each; adding one sidecar moved %d of %d", standing, held/standing, moved, held)
 	require.Less(t, held, standing*boxes*3/4, "a sidecar uses a part of the servers")
 	assert.Less(t, moved, 3*standing)
 	require.Len(t, by, boxes, "every server is used")
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -84,7 +84,7 @@
 			term()
 			return func() { assert.Equal(w, io.EOF, conn.end()) }
 		}},
-		{"a request hangs that came 0.3 s after the word", hanging, func(w *testSidecar, s *backend, term func()) func() {
+		{"a request that arrived 0.3 s after the signal hangs", hanging, func(w *testSidecar, s *backend, term func()) func() {
 			term()
 			time.Sleep(300 * time.Millisecond)
 			conn := w.dial(0)
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -405,7 +405,7 @@
 		assert.LessOrEqual(y, len(out), cmp.Or(most, 1), "%v are out or warming up at once", out)
 	}
 	if y.past > 0 {
-		y.Logf("%d requests of a sidecar that stood still for longer than it takes to count as gone came to boxes that were worked on", y.past)
+		y.Logf("%d requests reached servers in maintenance, from sidecars that were paused for longer than it takes to count as gone", y.past)
 	}
 	if y.Failed() {
 		for _, r := range all {
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -106,15 +106,15 @@
 		at   maintenance.Stage // a server's stage when the coordinator is armed; Pending: no server is out
 		half bool              // a pause is sent that one member does not hear
 	}{
-		{"agreed that a box leaves, nobody told", "agreed", maintenance.Pending, false},
-		{"all told that it leaves", "told", maintenance.Pending, false},
-		{"half told", "told", maintenance.Draining, true},
+		{"removal of a server agreed, no sidecar notified", "agreed", maintenance.Pending, false},
+		{"all sidecars notified of the removal", "told", maintenance.Pending, false},
+		{"half of the sidecars notified", "told", maintenance.Draining, true},
 		{"it is empty, not agreed", "empty", maintenance.Draining, false},
-		{"agreed that it is empty, nobody told", "agreed", maintenance.Draining, false},
-		{"all told that it is empty", "told", maintenance.Draining, false},
-		{"agreed to hand it over, the mechanic not told", "handed", maintenance.Draining, false},
-		{"the mechanic is at work", "", maintenance.InMaintenance, false},
-		{"it is cold", "", maintenance.WarmingUp, false},
+		{"server agreed to be idle, no sidecar notified", "agreed", maintenance.Draining, false},
+		{"all sidecars notified that the server is idle", "told", maintenance.Draining, false},
+		{"handover agreed, the maintenance agent not notified", "handed", maintenance.Draining, false},
+		{"the maintenance agent is at work", "", maintenance.InMaintenance, false},
+		{"the server is warming up", "", maintenance.WarmingUp, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 5, 5, 4)
