--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// busy returns a sidecar with a capture and three servers, two of which fail at times.
-func busy(t *testing.T, settings string) *testSidecar {
+// newCapturingSidecar returns a sidecar with a capture and three servers, two of which fail at times.
+func newCapturingSidecar(t *testing.T, settings string) *testSidecar {
 	var n atomic.Int64
 	odd := func(w http.ResponseWriter, r *http.Request) {
 		switch i := n.Add(1); {
@@ -82,7 +82,7 @@
 // A capture of a running sidecar replays without differences, also after the ring buffer has dropped its oldest records. A decision that
 // was tampered with is reported.
 func TestCaptureReplays(t *testing.T) {
-	w := busy(t, `"max_bytes":131072`).start()
+	w := newCapturingSidecar(t, `"max_bytes":131072`).start()
 	w.load(80)
 	first := w.dump()
 	assert.Contains(t, first, `"k":"start"`)
@@ -171,7 +171,7 @@
 func dumpUnread(t *testing.T, r, stderr *os.File) {
 	defer r.Close()
 	defer stderr.Close()
-	w := busy(t, "")
+	w := newCapturingSidecar(t, "")
 	w.cmd = program("serve", "--config", w.writeConfig(), "--features", w.writeFile("features.json", w.features))
 	w.cmd.Stderr, w.cmd.Stdout = stderr, &w.out
 	require.NoError(t, w.cmd.Start())
@@ -213,7 +213,7 @@
 // With a folder configured, segments are written there while the sidecar serves, up to the last line at shutdown.
 func TestCaptureFiles(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "capture")
-	w := busy(t, `"max_bytes":131072,"dir":"`+dir+`"`).start()
+	w := newCapturingSidecar(t, `"max_bytes":131072,"dir":"`+dir+`"`).start()
 	w.load(800)
 	w.signal(syscall.SIGTERM)
 	require.NoError(t, w.cmd.Wait())
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -395,5 +395,5 @@
 	return s
 }
 
-// sum returns the total stall time so far.
-func (s *stallMeter) sum() time.Duration { return time.Duration(s.late.Load()) }
+// total returns the total stall time so far.
+func (s *stallMeter) total() time.Duration { return time.Duration(s.late.Load()) }
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// turnsAway is a response that rejects an attempt before it has run.
-const turnsAway = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+// rejectedNotStarted is a response that rejects an attempt before it has run.
+const rejectedNotStarted = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
 // answersAfter returns a responder that waits for the processing time after it has read an attempt, and then answers.
 func answersAfter(work time.Duration, answer string) responder {
@@ -41,7 +41,7 @@
 			return id, 0
 		}},
 		{name: "a server that turns away", wait: func(w *testSidecar, s *backend) (string, time.Duration) {
-			s.set(onceThen(answersAfter(400*time.Millisecond, turnsAway), sends(message(200, "sound"))))
+			s.set(onceThen(answersAfter(400*time.Millisecond, rejectedNotStarted), sends(message(200, "sound"))))
 			id, all := ask("body")
 			w.dial(0).send(all)
 			w.eventually("the next attempt", func() bool { return len(s.of(id)) == 2 })
@@ -135,8 +135,8 @@
 	for _, timeout := range []time.Duration{50 * time.Millisecond, 120 * time.Millisecond, 280 * time.Millisecond} {
 		for name, answers := range map[string]responder{
 			"hangs":                   func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false },
-			"turns away":              sends(turnsAway),
-			"turns away near its end": answersAfter(timeout*9/10, turnsAway),
+			"turns away":              sends(rejectedNotStarted),
+			"turns away near its end": answersAfter(timeout*9/10, rejectedNotStarted),
 			"errs near its end":       answersAfter(timeout*9/10, message(500, "")),
 			"answers late":            answersAfter(2*timeout, message(200, "late")),
 		} {
@@ -154,11 +154,11 @@
 					took := time.Since(began)
 					require.NoError(t, err)
 					assert.NotEqual(t, 200, a.status)
-					assert.Less(t, took, timeout+500*time.Millisecond+still.sum(), class)
+					assert.Less(t, took, timeout+500*time.Millisecond+still.total(), class)
 					time.Sleep(timeout) // for attempts that must not arrive
 					for _, attempt := range s.of(id) {
 						assert.LessOrEqual(t, attempt.told, timeout)
-						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.sum(), class)
+						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.total(), class)
 					}
 					assert.LessOrEqual(t, len(s.of(id)), 3)
 				}
@@ -201,7 +201,7 @@
 		assert.Len(t, s.of(id), 2)
 	})
 	t.Run("rejected after it", func(t *testing.T) { // nothing has run, so the window has not begun
-		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, turnsAway), sends(message(200, "sound"))))
+		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, rejectedNotStarted), sends(message(200, "sound"))))
 		w := newCrossing(t, setWindow, s)
 		id, conn := newID(), w.dial(0)
 		conn.send(text("alert", id, 12*time.Second, ""))
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -55,20 +55,20 @@
 	c.awaitAgreement(c.all...)
 	left, right := c.all[:4], c.all[4:]
 	ways := processcluster.Directions(names(left), names(right), false)
-	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	t.Logf("the two sides have separate views after %v", max(c.awaitView(left, left), c.awaitView(right, right)))
 	c.awaitRanks(left...)
 	c.awaitRanks(right...)
-	c.board.SetFault(processcluster.LinkFault{}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("all agree again after %v", c.awaitAgreement(c.all...))
 	c.awaitRanks(c.all...)
 
-	c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	c.poll("a member is suspected", func() bool {
 		s, _ := left[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
-	c.board.SetFault(processcluster.LinkFault{}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("all agree again %v after a short partition", c.awaitAgreement(c.all...))
 	s, _ := c.all[0].status()
 	assert.Len(t, s.Members, 7, "no member has changed its identity")
@@ -83,12 +83,12 @@
 	stop := c.serveAll()
 	c.awaitAgreement(c.all...)
 	ways := processcluster.Directions(names(c.all), names(c.all), false)
-	c.board.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{BytesPerSecond: 10}, ways...)
 	c.poll("a member is suspected", func() bool {
 		s, _ := c.all[0].status()
 		return slices.ContainsFunc(s.Members, func(m coordination.MemberStatus) bool { return m.State != "alive" })
 	})
-	c.board.SetFault(processcluster.LinkFault{}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	t.Logf("agree after %v", c.awaitAgreement(c.all...))
 	stop()
 }
@@ -105,7 +105,7 @@
 			stop := c.serveAll()
 			mute, watchers := c.watched(deaf)
 			ways := processcluster.Directions([]string{mute.name}, names(watchers[:deaf]), true)
-			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			// It is accused, refutes that, and is accused again after a while: by then it could have been declared dead.
 			refutations := uint64(0)
 			c.pollWith("it has said no twice", func() bool {
@@ -115,7 +115,7 @@
 			}, func() string {
 				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
-			c.board.SetFault(processcluster.LinkFault{}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 			c.awaitAgreement(c.all...)
 			assert.Zero(t, c.deaths(c.all...))
 			stop()
@@ -397,9 +397,9 @@
 	m := c.all[3]
 	l, err := net.Listen("tcp", m.listen)
 	require.NoError(t, err)
-	m.passed, err = l.(*net.TCPListener).File()
+	m.inheritedSocket, err = l.(*net.TCPListener).File()
 	require.NoError(t, err)
-	defer m.passed.Close()
+	defer m.inheritedSocket.Close()
 	l.Close()
 	m.env = []string{"TMPDIR=" + m.tmp, "GW_PASSED_SOCKET=4"}
 	c.start().ready(c.all...)
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -22,8 +22,8 @@
 
 const large = 32 << 20
 
-// sum returns the SHA-256 hash by which bodies are compared.
-func sum(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
+// hexDigest returns the SHA-256 hash by which bodies are compared.
+func hexDigest(b []byte) string { return fmt.Sprintf("%x", sha256.Sum256(b)) }
 
 // newFlowServer returns a server that does not buffer bodies: it responds with the length and hash of the request's body, or with body,
 // framed as the query's way says.
@@ -71,7 +71,7 @@
 			case "length", "chunks", "end":
 				p := w.send(w.request("read", "?way="+way, ""))
 				require.NoError(t, p.err, way)
-				assert.Equal(t, sum(body), sum([]byte(p.body)), way)
+				assert.Equal(t, hexDigest(body), hexDigest([]byte(p.body)), way)
 			default:
 				r := w.request("write", "", "")
 				r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
@@ -80,7 +80,7 @@
 				}
 				p := w.send(r)
 				require.NoError(t, p.err, way)
-				assert.Equal(t, fmt.Sprint(len(body), " ", sum(body)), p.body, way)
+				assert.Equal(t, fmt.Sprint(len(body), " ", hexDigest(body)), p.body, way)
 			}
 		})
 	}
@@ -194,7 +194,7 @@
 	s.set(says(200, "done"))
 	assert.Equal(t, "done", (<-asked).body)
 	for _, got := range s.requests {
-		assert.Equal(t, sum([]byte(body)), sum([]byte(got)))
+		assert.Equal(t, hexDigest([]byte(body)), hexDigest([]byte(got)))
 	}
 }
 
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// seen waits until the program has noticed that a client has disconnected. If that takes long, the test's other checks decide.
-func seen(w *testSidecar) {
+// awaitAbandoned waits until the program has noticed that a client has disconnected. If that takes long, the test's other checks decide.
+func awaitAbandoned(w *testSidecar) {
 	within(2*time.Second, func() bool { return w.counter("abandoned") == 1 })
 }
 
@@ -71,7 +71,7 @@
 	conn.send(text("write", id, 35*time.Second, "body"))
 	w.eventually("the request is open", func() bool { return w.counter("open") == 1 })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	close(listed)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
 	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
@@ -85,7 +85,7 @@
 	conn.send(text("write", id, 8*time.Second, "body"))
 	w.eventually("the dial", func() bool { return s.isIn(t, synSent) })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	s.comeUp(t)
 	return w, s, id
 }
@@ -107,7 +107,7 @@
 	<-turnedAway
 	w.eventually("the first attempt was rejected", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 	return w, s, id
 }
@@ -149,7 +149,7 @@
 	w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 	for _, a := range s.got() {
 		if at, gone := closed[a.id]; gone {
-			assert.Less(t, a.at.Sub(at), atMost+still.sum())
+			assert.Less(t, a.at.Sub(at), atMost+still.total())
 			assert.Len(t, s.of(a.id), 1)
 		}
 	}
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -23,8 +23,8 @@
 	Inflight int
 }
 
-// side sends a request to the health port.
-func side(t *testing.T, address, path string) (c condition) {
+// getHealth sends a request to the health port.
+func getHealth(t *testing.T, address, path string) (c condition) {
 	r, err := outside.Get("http://" + address + path)
 	require.NoError(t, err)
 	defer r.Body.Close()
@@ -48,9 +48,9 @@
 	address := w.withHealth(`,"health.max_list_age_ms":1500`)
 	w.start()
 	<-w.discovery.calls
-	c := side(t, address, "/started")
+	c := getHealth(t, address, "/started")
 	assert.Equal(t, 503, c.status)
-	w.eventually("no server is known", func() bool { return side(t, address, "/ready").Usable == 0 })
+	w.eventually("no server is known", func() bool { return getHealth(t, address, "/ready").Usable == 0 })
 
 	stop := make(chan struct{})
 	w.discovery.answers <- func(d watch) {
@@ -64,21 +64,21 @@
 			}
 		}
 	}
-	w.eventually("ready", func() bool { return side(t, address, "/ready").status == 200 })
+	w.eventually("ready", func() bool { return getHealth(t, address, "/ready").status == 200 })
 	began := time.Now()
 	w.eventually("ready for longer than the maximum age of a list", func() bool {
-		return side(t, address, "/ready").status == 200 && time.Since(began) > 2*time.Second
+		return getHealth(t, address, "/ready").status == 200 && time.Since(began) > 2*time.Second
 	})
-	assert.Equal(t, 1, side(t, address, "/ready").Usable)
-	assert.Equal(t, 200, side(t, address, "/started").status)
+	assert.Equal(t, 1, getHealth(t, address, "/ready").Usable)
+	assert.Equal(t, 200, getHealth(t, address, "/started").status)
 	close(stop)
-	w.eventually("ready turns 503", func() bool { return side(t, address, "/ready").status == 503 })
-	c = side(t, address, "/ready")
+	w.eventually("ready turns 503", func() bool { return getHealth(t, address, "/ready").status == 503 })
+	c = getHealth(t, address, "/ready")
 	require.Len(t, c.Reasons, 1)
 	assert.Regexp(t, `^list_age_ms \d+ > 1500$`, c.Reasons[0])
 	assert.Greater(t, c.ListAge, 1500.0)
-	assert.Equal(t, 200, side(t, address, "/started").status)
-	assert.Equal(t, 200, side(t, address, "/alive").status)
+	assert.Equal(t, 200, getHealth(t, address, "/started").status)
+	assert.Equal(t, 200, getHealth(t, address, "/alive").status)
 	r, err := outside.Get("http://" + w.listen + "/ready")
 	require.NoError(t, err)
 	r.Body.Close()
@@ -96,13 +96,13 @@
 	w := newTestSidecar(t, s)
 	address := w.withHealth(`,"health":{"max_inflight":0}`)
 	w.start()
-	w.eventually("ready", func() bool { return side(t, address, "/ready").status == 200 })
+	w.eventually("ready", func() bool { return getHealth(t, address, "/ready").status == 200 })
 	last := w.askAside("write", "", "")
-	w.eventually("a request is in flight", func() bool { return side(t, address, "/ready").Inflight == 1 })
-	assert.Equal(t, []string{"inflight 1 > 0"}, side(t, address, "/ready").Reasons)
+	w.eventually("a request is in flight", func() bool { return getHealth(t, address, "/ready").Inflight == 1 })
+	assert.Equal(t, []string{"inflight 1 > 0"}, getHealth(t, address, "/ready").Reasons)
 	w.signal(syscall.SIGTERM)
 	w.eventually("draining", func() bool {
-		c := side(t, address, "/ready")
+		c := getHealth(t, address, "/ready")
 		return c.status == 503 && c.Reasons[len(c.Reasons)-1] == "draining"
 	})
 	let.Store(true)
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -52,7 +52,7 @@
 		c.electors = append(c.electors, m.advertise)
 	}
 	c.effects = processcluster.NewEffectChecker()
-	c.board.OnFrame = c.effects.ObserveFrame
+	c.peerProxy.OnFrame = c.effects.ObserveFrame
 	t.Cleanup(func() {
 		for _, m := range c.all {
 			if t.Failed() && !m.gone.Load() && !m.frozen.Load() {
@@ -275,10 +275,10 @@
 			others := names(slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner }))
 			electors := names(slices.DeleteFunc(slices.Clone(c.all[:3]), func(m *fleetMember) bool { return m == owner }))
 			ways := cut(c, owner, electors, others)
-			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			_, later := c.awaitNextOwner(name, token, c.without(owner)...)
 			c.poll("the old owner has given up the role", func() bool { return owner.reportRole().HeldToken != token })
-			c.board.SetFault(processcluster.LinkFault{}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 			c.awaitOwner(later-1, c.all...)
 			stop()
 		})
@@ -295,14 +295,14 @@
 		owner, token := c.awaitOwner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner })
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
-		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+		c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
 		c.poll("the owner's reports go on", func() bool {
 			r, j := others[0].report(), others[0].reportRole()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
 		})
-		c.board.SetFault(processcluster.LinkFault{}, ways...)
+		c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 		c.awaitOwner(token-1, c.all...)
 	}
 	assert.True(t, held, "the owner's reports go on")
@@ -313,8 +313,8 @@
 func TestOwnerDelayedEffects(t *testing.T) {
 	c := newRoleFleet(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
-	judge := c.board.OnFrame
-	c.board.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
+	judge := c.peerProxy.OnFrame
+	c.peerProxy.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
 		recorded.tap(call, w, topic, body)
 		judge(call, w, topic, body)
 	}
@@ -322,7 +322,7 @@
 	stop := c.serveAll()
 	owner, token := c.awaitOwner(0, c.all...)
 	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
-	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{Hold: true}, ways...)
 	_, later := c.awaitNextOwner("held", token, c.without(owner)...)
 	c.poll("the old owner has given up the role", func() bool {
 		j, told := owner.queryRole("report")
@@ -332,7 +332,7 @@
 		r := c.without(owner)[0].report()
 		return r.Token >= later && r.Round >= 2
 	})
-	c.board.SetFault(processcluster.LinkFault{}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	c.awaitOwner(later-1, c.all...)
 	c.awaitAgreement(c.all...)
 
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -28,11 +28,11 @@
 // testFleet is several sidecars that know each other, each a process, with a fault-injecting proxy between all of them.
 type testFleet struct {
 	*testing.T
-	board   *processcluster.FaultProxy
-	server  *server
-	all     []*fleetMember
-	limits  map[string]any
-	replica int // the fleet's size as configured
+	peerProxy *processcluster.FaultProxy
+	server    *server
+	all       []*fleetMember
+	limits    map[string]any
+	replica   int // the fleet's size as configured
 
 	electors []string                      // addresses; empty: no electors and no roles
 	jobs     []string                      // empty: only the report
@@ -60,7 +60,7 @@
 	capture             bool     // its decisions are recorded
 	full                bool     // its disk is full
 	plain               bool     // it does not know roles, like an earlier version
-	passed              *os.File // the clients' listening socket, where the platform holds it
+	inheritedSocket     *os.File // the clients' listening socket, where the platform holds it
 	asked, refused, bad atomic.Int64
 }
 
@@ -72,9 +72,9 @@
 
 // newTestFleetIn is like newTestFleet, for a test that has a sidecar already.
 func newTestFleetIn(t *testing.T, n int) *testFleet {
-	c := &testFleet{T: t, board: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
+	c := &testFleet{T: t, peerProxy: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
 		limits: map[string]any{"cores": 1, "sockets": 256}}
-	t.Cleanup(c.board.Close)
+	t.Cleanup(c.peerProxy.Close)
 	for range n {
 		c.add()
 	}
@@ -86,7 +86,7 @@
 	m := &fleetMember{c: c, name: fmt.Sprintf("m%02d", len(c.all)), dir: c.TempDir(), tmp: c.TempDir(), listen: freeAddress(c.T), ops: freeAddress(c.T), peers: freeAddress(c.T),
 		log: &syncBuffer{}}
 	var err error
-	m.advertise, err = c.board.Listen(m.name, m.peers)
+	m.advertise, err = c.peerProxy.Listen(m.name, m.peers)
 	require.NoError(c, err)
 	for _, o := range c.all[:min(len(c.all), 2)] {
 		m.join = append(m.join, o.advertise)
@@ -161,8 +161,8 @@
 		m.cmd.Path, m.cmd.Args = "/bin/sh", append([]string{"sh", "-c", `ulimit -f 0; exec "$0" "$@"`}, m.cmd.Args...)
 	}
 	m.cmd.Env = append(append(m.cmd.Env, "GW_OPS="+m.ops), m.env...)
-	if m.passed != nil {
-		m.cmd.ExtraFiles = []*os.File{m.passed, m.passed}
+	if m.inheritedSocket != nil {
+		m.cmd.ExtraFiles = []*os.File{m.inheritedSocket, m.inheritedSocket}
 	}
 	m.cmd.Stderr = m.log
 	require.NoError(m.c, m.cmd.Start())
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -137,7 +137,7 @@
 				said = time.Now()
 				w.signal(syscall.SIGTERM)
 			})
-			assert.Less(t, w.awaitExit(said), longestDeadline+killAfter+still.sum())
+			assert.Less(t, w.awaitExit(said), longestDeadline+killAfter+still.total())
 			check()
 		})
 	}
--- a/cmd/hazelwheel/shutdown_test.go
+++ b/cmd/hazelwheel/shutdown_test.go
@@ -90,11 +90,11 @@
 				want = "sound"
 			}
 			assert.Equal(t, 200, a.status)
-			assert.Equal(t, sum([]byte(want)), sum([]byte(a.body)))
+			assert.Equal(t, hexDigest([]byte(want)), hexDigest([]byte(a.body)))
 			assert.Equal(t, io.EOF, conn.end())
 			w.awaitExit(time.Now())
 			if assert.Len(t, s.of(id), 1) {
-				assert.Equal(t, sum([]byte(c.body)), sum([]byte(s.of(id)[0].body)))
+				assert.Equal(t, hexDigest([]byte(c.body)), hexDigest([]byte(s.of(id)[0].body)))
 			}
 		})
 	}
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -63,7 +63,7 @@
 				time.Sleep(time.Millisecond) // usually read in two parts, at times in one; both must work
 			}
 			_, _ = c.Write(call[cut:])
-			require.Equal(t, "-7 read =x", said(t, c), "%v cut at %d", enc, cut)
+			require.Equal(t, "-7 read =x", summarizeReply(t, c), "%v cut at %d", enc, cut)
 			c.Close()
 		}
 	}
@@ -73,13 +73,13 @@
 	}
 	go func() { _, _ = c.Write(many) }()
 	for i := range 60 {
-		require.Equal(t, fmt.Sprintf("%d read %d=%s", i, i, strings.Repeat("y", i*10)), said(t, c))
+		require.Equal(t, fmt.Sprintf("%d read %d=%s", i, i, strings.Repeat("y", i*10)), summarizeReply(t, c))
 	}
 	one := w.dialThrift()
 	for _, b := range frame(thrift.Compact, thrift.Call, "read", 1, "", "", "slow") {
 		_, _ = one.Write([]byte{b})
 	}
-	assert.Equal(t, "1 read =slow", said(t, one))
+	assert.Equal(t, "1 read =slow", summarizeReply(t, one))
 }
 
 // Input that is not framed Thrift closes the connection with a log line; valid Thrift that is no known call gets an exception.
@@ -131,14 +131,14 @@
 		conn := w.dialThrift()
 		_, _ = io.WriteString(conn, c.text)
 		if c.want != "" {
-			assert.Equal(t, c.want, said(t, conn), name)
+			assert.Equal(t, c.want, summarizeReply(t, conn), name)
 		}
 		if c.closes {
 			_, err := conn.Read(make([]byte, 1))
 			assert.False(t, err == nil || strings.Contains(err.Error(), "timeout"), name)
 		} else {
 			_, _ = conn.Write(whole)
-			assert.Equal(t, "3 read =x", said(t, conn), name)
+			assert.Equal(t, "3 read =x", summarizeReply(t, conn), name)
 		}
 		conn.Close()
 	}
@@ -217,7 +217,7 @@
 	}
 	c := w.dialThrift()
 	_, _ = c.Write(call)
-	assert.Equal(t, "1 write a=x", said(t, c))
+	assert.Equal(t, "1 write a=x", summarizeReply(t, c))
 	assert.Equal(t, 1, s.requestCount())
 }
 
@@ -233,7 +233,7 @@
 			w := newThriftTestSidecar(t, s).start()
 			c := w.dialThrift()
 			_, _ = c.Write(frame(thrift.Binary, thrift.Call, "alert", 1, "a", key, "x"))
-			assert.Equal(t, map[int]string{1: "1 alert exception 6 failed; it may have run", 2: "1 alert a=x"}[want], said(t, c))
+			assert.Equal(t, map[int]string{1: "1 alert exception 6 failed; it may have run", 2: "1 alert a=x"}[want], summarizeReply(t, c))
 			assert.Equal(t, want, s.requestCount())
 			assert.EqualValues(t, 2-want, w.counter("failed"))
 		})
@@ -255,7 +255,7 @@
 	c := w.dialThrift()
 	over := w.askAside("alert", "", "x", "Request-Id", "h", "Idempotency-Key", "k2")
 	_, _ = c.Write(frame(thrift.Binary, thrift.Call, "alert", 3, "t", "k2", "x"))
-	assert.Equal(t, "3 alert t=x", said(t, c))
+	assert.Equal(t, "3 alert t=x", summarizeReply(t, c))
 	assert.Equal(t, "h=x", (<-over).body)
 	assert.Equal(t, 2, s.requestCount())
 }
@@ -280,10 +280,10 @@
 	close(drains)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
 	close(release)
-	assert.Equal(t, "1 write drained", said(t, c))
+	assert.Equal(t, "1 write drained", summarizeReply(t, c))
 	w.eventually("the connection is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "write", 2, "b", "", ""))
-	assert.Equal(t, "2 write other", said(t, c))
+	assert.Equal(t, "2 write other", summarizeReply(t, c))
 	assert.Equal(t, 1, s.requestCount())
 }
 
@@ -306,7 +306,7 @@
 	w.awaitLog("msg=ending", 1)
 	close(release)
 	for i := range 20 {
-		require.Equal(t, fmt.Sprintf("%d write i%d=%s", i, i, strings.Repeat("z", 1000)), said(t, c))
+		require.Equal(t, fmt.Sprintf("%d write i%d=%s", i, i, strings.Repeat("z", 1000)), summarizeReply(t, c))
 	}
 	_, err := c.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
@@ -321,7 +321,7 @@
 	for i, enc := range encodings {
 		c := w.dialThrift()
 		_, _ = c.Write(append(frame(enc, thrift.Oneway, "writeAside", 1, "", "", "x"), frame(enc, thrift.Call, "read", 2, "", "", "y")...))
-		assert.Equal(t, "2 read =y", said(t, c))
+		assert.Equal(t, "2 read =y", summarizeReply(t, c))
 		_, _ = c.Write(frame(enc, thrift.Oneway, "writeAside", 3, "", "", "z"))
 		c.Close()
 		w.eventually("the request arrives", func() bool { return s.requestCount() == 3*(i+1) })
@@ -340,18 +340,18 @@
 	w.start()
 	c := w.dialThrift()
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "write", 1, "call-1", "", ""))
-	assert.Equal(t, "1 write call-1=", said(t, c))
+	assert.Equal(t, "1 write call-1=", summarizeReply(t, c))
 	code, text := w.controlFault("cut", drillSecret)
 	require.Zero(t, code, text)
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "Readings:write", 2, "call-2", "", ""))
-	assert.Equal(t, "2 write exception 11 throttled; retry-after=1.500", said(t, c))
+	assert.Equal(t, "2 write exception 11 throttled; retry-after=1.500", summarizeReply(t, c))
 	assert.Equal(t, 1.0, w.faultHits())
 	dump := w.dump()
 	assert.Contains(t, dump, `"id":"call-1","class":"write"`)
 	w.signal(syscall.SIGHUP)
 	w.awaitLog("configuration read", 1)
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "read", 3, "", "", "x"))
-	assert.Equal(t, "3 read =x", said(t, c))
+	assert.Equal(t, "3 read =x", summarizeReply(t, c))
 	assert.Equal(t, []float64{3, 2, 1}, []float64{w.counter("requests"), w.counter("served"), w.counter("throttled")})
 }
 
@@ -370,7 +370,7 @@
 	assert.Equal(t, 404, w.ask("read", "", "").status)
 	c := w.dialThrift()
 	_, _ = c.Write(frame(thrift.Binary, thrift.Call, "read", 1, "", "", "x"))
-	assert.Equal(t, "1 read =x", said(t, c))
+	assert.Equal(t, "1 read =x", summarizeReply(t, c))
 }
 
 // echoer returns the struct that it was called with: a processor of the Apache library, like generated code.
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -153,7 +153,7 @@
 	}
 	t.idle <- c
 	if excepted {
-		return told(said), nil
+		return exceptionResponse(said), nil
 	}
 	m, err := thrift.ParseMessage(append([]byte{0x82, 0x41, 0, 0}, result...))
 	if err != nil {
@@ -174,8 +174,8 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// told returns the HTTP response that corresponds to an exception.
-func told(e apache.TApplicationException) *http.Response {
+// exceptionResponse returns the HTTP response that corresponds to an exception.
+func exceptionResponse(e apache.TApplicationException) *http.Response {
 	h := http.Header{}
 	if after, advised := strings.CutPrefix(e.Error(), "throttled; retry-after="); advised {
 		h.Set("Retry-After", after)
@@ -340,8 +340,8 @@
 	return m, err
 }
 
-// said returns a summary of a reply: its sequence number, and the result or the exception's type and text.
-func said(t *testing.T, c io.Reader) string {
+// summarizeReply returns a summary of a reply: its sequence number, and the result or the exception's type and text.
+func summarizeReply(t *testing.T, c io.Reader) string {
 	t.Helper()
 	m, err := readFrame(c)
 	require.NoError(t, err)
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -29,22 +29,22 @@
 // agents what they do; checkRules compares both when the test ends.
 type maintenanceFleet struct {
 	*testFleet
-	boxes     []*machine
-	mechanics []*maintenanceagent.Agent
-	plans     []maintenance.Spec
-	times     map[string]int // how many plans contain a server, by its name
-	serving   func()         // stops the clients and checks their responses
-	stood     []stallPeriod
-	past      int // requests to servers in maintenance, from sidecars that counted as gone
+	machines              []*machine
+	agents                []*maintenanceagent.Agent
+	plans                 []maintenance.Spec
+	times                 map[string]int // how many plans contain a server, by its name
+	serving               func()         // stops the clients and checks their responses
+	stalls                []stallPeriod
+	requestsInMaintenance int // requests to servers in maintenance, from sidecars that counted as gone
 }
 
 // machine is a server that records each request.
 type machine struct {
 	*server
-	site    string
-	mu      sync.Mutex
-	came    []recordedRequest
-	waiting chan struct{} // requests that ask to be held wait until it is closed
+	site     string
+	mu       sync.Mutex
+	received []recordedRequest
+	waiting  chan struct{} // requests that ask to be held wait until it is closed
 }
 
 // recordedRequest is a request at a server; to is the zero time while the server processes it.
@@ -58,15 +58,15 @@
 	_, _ = io.Copy(io.Discard, r.Body) // the response must not start before the body has been read
 	held := strings.HasSuffix(r.URL.Path, "/hold")
 	b.mu.Lock()
-	at, waiting := len(b.came), b.waiting
-	b.came = append(b.came, recordedRequest{from: time.Now(), by: strings.TrimPrefix(r.URL.Path, "/read/"), held: held})
+	at, waiting := len(b.received), b.waiting
+	b.received = append(b.received, recordedRequest{from: time.Now(), by: strings.TrimPrefix(r.URL.Path, "/read/"), held: held})
 	b.mu.Unlock()
 	if held {
 		<-waiting // even if its client has disconnected, which a server doesn't notice
 	}
 	says(200, "ok")(w, r)
 	b.mu.Lock()
-	b.came[at].to = time.Now()
+	b.received[at].to = time.Now()
 	b.mu.Unlock()
 }
 
@@ -92,7 +92,7 @@
 )
 
 // newMaintenanceFleet returns a number of sidecars, some of them electors, and servers at sites a, b and c in turn.
-func newMaintenanceFleet(t *testing.T, sidecars, electors, boxes int) *maintenanceFleet {
+func newMaintenanceFleet(t *testing.T, sidecars, electors, machines int) *maintenanceFleet {
 	y := &maintenanceFleet{testFleet: newRoleFleet(t, sidecars, electors), times: map[string]int{}}
 	y.jobs, y.registry = []string{"works"}, newDiscoveryRegistry(t)
 	y.testFleet.settings = func(s map[string]any) {
@@ -100,14 +100,14 @@
 		s["classes"] = append(s["classes"].([]map[string]any),
 			map[string]any{"name": "write", "effect": "single_shot", "objectiveS": 5, "giveUpS": 10, "importance": 1})
 	}
-	for i := range boxes {
+	for i := range machines {
 		b := &machine{server: y.server, site: []string{"a", "b", "c"}[i%3], waiting: make(chan struct{})}
 		if i > 0 {
 			b.server = newServer(t, fmt.Sprintf("s-%08x", i+1), nil)
 		}
 		b.set(b.ServeHTTP)
 		t.Cleanup(b.release)
-		y.boxes = append(y.boxes, b)
+		y.machines = append(y.machines, b)
 		y.registry.publish(b.entry(), false)
 		for _, m := range y.all {
 			if i > 0 {
@@ -123,28 +123,28 @@
 func (y *maintenanceFleet) open() *maintenanceFleet {
 	y.start().ready(y.all...)
 	y.awaitAgreement(y.all...)
-	y.asked()
+	y.startClients()
 	return y
 }
 
-// asked lets clients send requests until serving is called or the test ends.
-func (y *maintenanceFleet) asked() {
+// startClients lets clients send requests until serving is called or the test ends.
+func (y *maintenanceFleet) startClients() {
 	y.serving = sync.OnceFunc(y.serveAll())
 	y.Cleanup(y.serving) // Danger: a client that goes on would log to a test that has ended
 }
 
-// mechanic runs a maintenance agent until the test ends or the function that it returns is called.
-func (y *maintenanceFleet) mechanic(name string, change func(m *maintenanceagent.Agent)) (m *maintenanceagent.Agent, stop func()) {
-	m = &maintenanceagent.Agent{Name: name, WorkDuration: func(string) time.Duration { return takesIn }, AdminEndpoints: y.doors}
+// startAgent runs a maintenance agent until the test ends or the function that it returns is called.
+func (y *maintenanceFleet) startAgent(name string, change func(m *maintenanceagent.Agent)) (m *maintenanceagent.Agent, stop func()) {
+	m = &maintenanceagent.Agent{Name: name, WorkDuration: func(string) time.Duration { return takesIn }, AdminEndpoints: y.adminEndpoints}
 	if change != nil {
 		change(m)
 	}
-	y.mechanics = append(y.mechanics, m)
-	return m, y.runs(m)
+	y.agents = append(y.agents, m)
+	return m, y.runAgent(m)
 }
 
-// runs starts an agent, or starts it again.
-func (y *maintenanceFleet) runs(m *maintenanceagent.Agent) (stop func()) {
+// runAgent starts an agent, or starts it again.
+func (y *maintenanceFleet) runAgent(m *maintenanceagent.Agent) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
@@ -159,8 +159,8 @@
 	return stop
 }
 
-// doors returns the admin endpoints of the sidecars that reply.
-func (y *maintenanceFleet) doors() (all []string) {
+// adminEndpoints returns the admin endpoints of the sidecars that reply.
+func (y *maintenanceFleet) adminEndpoints() (all []string) {
 	for _, m := range y.all {
 		if !m.gone.Load() && !m.frozen.Load() {
 			all = append(all, m.ops)
@@ -327,9 +327,9 @@
 	w.askAside(class, "/hold", "", header...)
 	var found *machine
 	y.poll("a server holds a request", func() bool {
-		for _, b := range y.boxes {
+		for _, b := range y.machines {
 			b.mu.Lock()
-			for _, v := range b.came {
+			for _, v := range b.received {
 				if v.to.IsZero() && v.held {
 					found = b
 				}
@@ -343,7 +343,7 @@
 
 // records returns what the agents did, in the order of its start.
 func (y *maintenanceFleet) records() (all []maintenanceagent.Record) {
-	for _, m := range y.mechanics {
+	for _, m := range y.agents {
 		all = append(all, m.Records()...)
 	}
 	slices.SortFunc(all, func(a, b maintenanceagent.Record) int { return a.StartedAt.Compare(b.StartedAt) })
@@ -356,20 +356,20 @@
 func (y *maintenanceFleet) checkRules() {
 	all := y.records()
 	for _, r := range all {
-		i := slices.IndexFunc(y.boxes, func(b *machine) bool { return b.name == r.Server })
+		i := slices.IndexFunc(y.machines, func(b *machine) bool { return b.name == r.Server })
 		require.GreaterOrEqual(y, i, 0, r.Server)
-		b := y.boxes[i]
+		b := y.machines[i]
 		to := r.EndedAt
 		if to.IsZero() {
 			to = time.Now()
 		}
 		forced := slices.ContainsFunc(all, func(o maintenanceagent.Record) bool { return o.Token == r.Token && o.ForcedReason != "" })
 		b.mu.Lock()
-		for _, v := range b.came {
+		for _, v := range b.received {
 			open := v.from.Before(to) && (v.to.IsZero() || v.to.After(r.StartedAt))
-			late := v.from.After(r.StartedAt.Add(-y.settle())) && v.from.Before(to)
+			late := v.from.After(r.StartedAt.Add(-y.minSettle())) && v.from.Before(to)
 			if (open || late) && y.wasGone(v) {
-				y.past++
+				y.requestsInMaintenance++
 				continue
 			}
 			if (open || late) && !forced {
@@ -397,15 +397,15 @@
 	for _, r := range all {
 		out := map[string]bool{}
 		for _, o := range all { // the servers that are out or warming up when the work on this one starts
-			until := o.EndedAt.Add(y.cold())
+			until := o.EndedAt.Add(y.minWarmUp())
 			if !o.StartedAt.After(r.StartedAt) && (o.EndedAt.IsZero() || until.After(r.StartedAt)) {
 				out[o.Server] = true
 			}
 		}
 		assert.LessOrEqual(y, len(out), cmp.Or(most, 1), "%v are out or warming up at once", out)
 	}
-	if y.past > 0 {
-		y.Logf("%d requests reached servers in maintenance, from sidecars that were paused for longer than it takes to count as gone", y.past)
+	if y.requestsInMaintenance > 0 {
+		y.Logf("%d requests reached servers in maintenance, from sidecars that were paused for longer than it takes to count as gone", y.requestsInMaintenance)
 	}
 	if y.Failed() {
 		for _, r := range all {
@@ -414,16 +414,16 @@
 	}
 }
 
-// settle and cold return the shortest settle and warm-up times of the plans in a test.
-func (y *maintenanceFleet) settle() time.Duration {
-	return y.least(func(p *maintenance.Spec) float64 { return p.QuietSeconds })
+// minSettle and minWarmUp return the shortest settle and warm-up times of the plans in a test.
+func (y *maintenanceFleet) minSettle() time.Duration {
+	return y.minOfPlans(func(p *maintenance.Spec) float64 { return p.QuietSeconds })
 }
 
-func (y *maintenanceFleet) cold() time.Duration {
-	return y.least(func(p *maintenance.Spec) float64 { return p.WarmUpSeconds })
+func (y *maintenanceFleet) minWarmUp() time.Duration {
+	return y.minOfPlans(func(p *maintenance.Spec) float64 { return p.WarmUpSeconds })
 }
 
-func (y *maintenanceFleet) least(of func(*maintenance.Spec) float64) time.Duration {
+func (y *maintenanceFleet) minOfPlans(of func(*maintenance.Spec) float64) time.Duration {
 	s := 3600.0
 	for i := range y.plans {
 		s = min(s, of(&y.plans[i]))
@@ -433,8 +433,8 @@
 
 // wasGone reports whether a request is from a sidecar that was stopped for so long that it counted as gone.
 func (y *maintenanceFleet) wasGone(v recordedRequest) bool {
-	return slices.ContainsFunc(y.stood, func(s stallPeriod) bool {
-		return s.member.name == v.by && v.from.After(s.from) && v.from.Before(s.until.Add(awakeIn))
+	return slices.ContainsFunc(y.stalls, func(s stallPeriod) bool {
+		return s.member.name == v.by && v.from.After(s.from) && v.from.Before(s.until.Add(resumeLag))
 	})
 }
 
@@ -445,27 +445,27 @@
 	from, until time.Time
 }
 
-// awakeIn is how long a resumed sidecar may take to learn that.
-const awakeIn = 2 * time.Second
+// resumeLag is how long a resumed sidecar may take to learn that.
+const resumeLag = 2 * time.Second
 
 // A sidecar is cut off from its peers, but not from the servers, while a server is drained. It is named as the blocker and waited for,
 // and the server is not handed over; when the sidecar is back, the plan goes on.
 func TestWorkWaitsForPartitionedSidecar(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
-	y.mechanic("anna", nil)
+	y.startAgent("anna", nil)
 	owner := y.awaitCoordinator(y.all...)
 	cut := y.without(owner)[0]
 	b := y.hold(cut, "write")
 	y.submitPlan(owner, "", b)
 	y.awaitBlocker(b, "has something out there", cut.name)
 	ways := processcluster.Directions([]string{cut.name}, names(y.without(cut)), false)
-	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+	y.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	b.release()
 	y.awaitBlocker(b, "not heard to have stopped sending there", cut.name)
 	y.awaitView([]*fleetMember{owner}, y.without(cut)) // it is declared dead, and waited for all the same
 	assert.Equal(t, maintenance.Draining, y.awaitStage(b, maintenance.Draining).Stage)
 	assert.Empty(t, y.records())
-	y.board.SetFault(processcluster.LinkFault{}, ways...)
+	y.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	p := y.awaitEnd()
 	assert.Equal(t, maintenance.Done, p.Servers[0].Stage)
 	assert.Len(t, y.records(), 1)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -23,7 +23,7 @@
 // states.
 func TestWorkSidecarKilled(t *testing.T) {
 	y := newMaintenanceFleet(t, 4, 3, 3).open()
-	y.mechanic("anna", nil)
+	y.startAgent("anna", nil)
 	dead := y.without(y.awaitCoordinator(y.all...), y.all[0], y.all[1], y.all[2])
 	if len(dead) == 0 {
 		dead = y.all[3:] // then this one owns the role as well
@@ -43,12 +43,12 @@
 // that has lost it, and one that was killed before the server was drained and doesn't know of it. Another one reloads its configuration.
 func TestWorkSidecarsStart(t *testing.T) {
 	y := newMaintenanceFleet(t, 6, 3, 3).open()
-	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+	y.startAgent("anna", func(m *maintenanceagent.Agent) {
 		m.WorkDuration = func(string) time.Duration { return 12 * time.Second }
 	})
 	before := y.all[5]
 	before.kill()
-	b := y.boxes[1]
+	b := y.machines[1]
 	y.submitPlan(y.all[0], `gone = "1s"`, b)
 	y.awaitStage(b, maintenance.InMaintenance)
 	for _, m := range y.all[3:] {
@@ -97,7 +97,7 @@
 				class["giveUpS"], class["objectiveS"] = k.giveUpS, k.giveUpS
 			}
 			y.open()
-			y.mechanic("anna", nil)
+			y.startAgent("anna", nil)
 			b := y.hold(y.all[1], "write", "Request-Timeout", k.patience)
 			y.submitPlan(y.all[0], "", b)
 			y.awaitBlocker(b, "has something out there", "m01")
@@ -123,13 +123,13 @@
 		begins      func(y *maintenanceFleet) (ends func())
 	}{
 		{"a site is lost", "site c is lost", func(y *maintenanceFleet) func() {
-			for _, b := range y.boxes {
+			for _, b := range y.machines {
 				if b.site == "c" {
 					b.set(breaks(""))
 				}
 			}
 			return func() {
-				for _, b := range y.boxes {
+				for _, b := range y.machines {
 					b.set(b.ServeHTTP)
 				}
 			}
@@ -149,7 +149,7 @@
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 6).open()
-			y.submitPlan(y.awaitCoordinator(y.all...), "at_once = 2\nkeep = 0.6", y.boxes[0], y.boxes[1], y.boxes[3], y.boxes[4]) // servers of sites a and b
+			y.submitPlan(y.awaitCoordinator(y.all...), "at_once = 2\nkeep = 0.6", y.machines[0], y.machines[1], y.machines[3], y.machines[4]) // servers of sites a and b
 			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
 			y.poll("some time has passed", func() bool { s := y.newestStatus(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
@@ -163,7 +163,7 @@
 				})
 			})
 			ends()
-			y.mechanic("anna", nil)
+			y.startAgent("anna", nil)
 			p := y.awaitEnd()
 			assert.False(t, slices.ContainsFunc(p.Servers, func(b maintenance.Server) bool { return b.Stage != maintenance.Done }), "%+v", p.Servers)
 			assert.Len(t, y.records(), 4)
@@ -176,7 +176,7 @@
 // operator bans it there. It stays banned there when the plan has ended, until the operator reinstates it.
 func TestWorkManualReinstatement(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
-	y.mechanic("anna", nil)
+	y.startAgent("anna", nil)
 	b, hand := y.hold(y.all[0], "write"), y.all[2]
 	said := func(line string) {
 		text, err := callOnce(hand.ops, line+" "+b.name+"\n")
@@ -198,7 +198,7 @@
 	ours := func() (n int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		for _, v := range b.came {
+		for _, v := range b.received {
 			if v.by == hand.name {
 				n++
 			}
@@ -218,15 +218,15 @@
 // repeated command is done once.
 func TestWorkPlanDuringPartition(t *testing.T) {
 	y := newMaintenanceFleet(t, 5, 5, 3).open()
-	y.mechanic("anna", nil)
+	y.startAgent("anna", nil)
 	y.awaitCoordinator(y.all...)
 	left, right := y.all[:3], y.all[3:]
 	ways := processcluster.Directions(names(left), names(right), false)
-	y.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+	y.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 	y.awaitView(left, left)
 	y.awaitCoordinator(left...)
-	file := y.writePlan(`cold = "4s"`, y.boxes...)
-	y.recordPlan(file, y.boxes...)
+	file := y.writePlan(`cold = "4s"`, y.machines...)
+	y.recordPlan(file, y.machines...)
 	y.work(left[0], "plan", file, "--nonce", "7")
 	out, code := y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
@@ -236,7 +236,7 @@
 		return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool { return w.Server == "" && slices.Equal(w.Members, names(right)) })
 	})
 	assert.Equal(t, 3, y.counts()[maintenance.Pending])
-	y.board.SetFault(processcluster.LinkFault{}, ways...)
+	y.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	y.poll("the other side knows the plan", func() bool { s, ok := right[0].maintenanceStatus(); return ok && len(s.Plans) == 1 })
 	out, code = y.command("fleet", "work", "plan", file, "--nonce", "8", "--ops", right[0].ops)
 	assert.Equal(t, 1, code)
@@ -253,11 +253,11 @@
 func TestWorkIsAborted(t *testing.T) {
 	y := newMaintenanceFleet(t, 3, 3, 6).open()
 	long := make(chan struct{})
-	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+	y.startAgent("anna", func(m *maintenanceagent.Agent) {
 		m.WorkDuration = func(string) time.Duration { <-long; return 0 }
 	})
 	b := y.hold(y.all[0], "write")
-	others := slices.DeleteFunc(slices.Clone(y.boxes), func(o *machine) bool { return o == b })
+	others := slices.DeleteFunc(slices.Clone(y.machines), func(o *machine) bool { return o == b })
 	y.submitPlan(y.all[1], "at_once = 5\nby_site = 2\nkeep = 0.1", append(others[:4], b)...)
 	y.pollFor(6*patience, "servers are draining, drained and in maintenance", func() bool {
 		count := y.counts()
@@ -289,14 +289,14 @@
 		m.WorkDuration = func(string) time.Duration { return 4 * time.Second }
 		m.CompletesTwice = true
 	}
-	anna, dies := y.mechanic("anna", slow)
-	y.submitPlan(owner, "takes = \"1s\"\nlate = \"2s\"", y.boxes[:1]...)
-	first := y.awaitStage(y.boxes[0], maintenance.InMaintenance)
+	anna, dies := y.startAgent("anna", slow)
+	y.submitPlan(owner, "takes = \"1s\"\nlate = \"2s\"", y.machines[:1]...)
+	first := y.awaitStage(y.machines[0], maintenance.InMaintenance)
 	dies()
 	assert.Regexp(t, "^-", y.work(owner, "next", "bob"), "anna has the server")
-	y.poll("the server is overdue", func() bool { s := y.newestStatus(); return stage(&s, y.boxes[0]).Overdue })
-	assert.Equal(t, maintenance.InMaintenance, y.awaitStage(y.boxes[0], maintenance.InMaintenance).Stage)
-	again := y.runs(anna)
+	y.poll("the server is overdue", func() bool { s := y.newestStatus(); return stage(&s, y.machines[0]).Overdue })
+	assert.Equal(t, maintenance.InMaintenance, y.awaitStage(y.machines[0], maintenance.InMaintenance).Stage)
+	again := y.runAgent(anna)
 	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	again()
 	assert.Zero(t, anna.RejectedGrants())
@@ -305,31 +305,31 @@
 		assert.Empty(t, r.CompletionErrors, "repeating \"done\" has no effect")
 	}
 
-	bob, stop := y.mechanic("bob", slow)
-	y.submitPlan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.boxes[1])
+	bob, stop := y.startAgent("bob", slow)
+	y.submitPlan(owner, "name = \"second\"\ntakes = \"1s\"\nlate = \"2s\"\nwhen_late = \"give-up\"", y.machines[1])
 	p := y.awaitEnd()
 	assert.Equal(t, maintenance.Lost, p.Servers[0].Stage)
 	assert.Equal(t, "bob had it for longer than 2 s", p.Servers[0].Reason)
 	y.poll("the agent's report came too late", func() bool { r := bob.Records(); return len(r) == 1 && len(r[0].CompletionErrors) == 2 })
 	assert.Contains(t, bob.Records()[0].CompletionErrors[0], "is not worked on under")
 	stop()
-	lost := y.boxes[1].requestCount()
+	lost := y.machines[1].requestCount()
 	asked := owner.asked.Load()
 	y.poll("the others serve", func() bool { return owner.asked.Load() > asked+100 })
-	assert.Equal(t, lost, y.boxes[1].requestCount(), "a lost server stays out")
-	out, code := y.command("fleet", "work", "done", y.boxes[0].name, formatToken(first.Token-1), "--ops", owner.ops)
+	assert.Equal(t, lost, y.machines[1].requestCount(), "a lost server stays out")
+	out, code := y.command("fleet", "work", "done", y.machines[0].name, formatToken(first.Token-1), "--ops", owner.ops)
 	assert.Equal(t, 1, code)
-	assert.Contains(t, out, "nobody works on "+y.boxes[0].name)
-	out, code = y.command("fleet", "work", "failed", y.boxes[0].name, formatToken(first.Token), "--ops", owner.ops)
+	assert.Contains(t, out, "nobody works on "+y.machines[0].name)
+	out, code = y.command("fleet", "work", "failed", y.machines[0].name, formatToken(first.Token), "--ops", owner.ops)
 	assert.Equal(t, 1, code, out)
-	y.work(owner, "skip", y.boxes[1].name)
-	y.poll("the server is reinstated", func() bool { return y.boxes[1].requestCount() > lost })
+	y.work(owner, "skip", y.machines[1].name)
+	y.poll("the server is reinstated", func() bool { return y.machines[1].requestCount() > lost })
 
 	// Forced while a request is in flight: the status records the sidecar that had it.
 	b := y.hold(owner, "write")
 	y.submitPlan(owner, "name = \"third\"", b)
 	y.awaitBlocker(b, "has something out there", owner.name)
-	y.mechanic("carl", nil)
+	y.startAgent("carl", nil)
 	assert.Contains(t, y.work(y.all[0], "force", b.name), "past "+owner.name)
 	last := y.awaitEnd().Servers[0]
 	assert.Equal(t, []string{owner.name}, last.ForcedPast)
@@ -350,10 +350,10 @@
 		t.Run(name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 4).open()
 			over := make(chan struct{})
-			y.mechanic("anna", func(m *maintenanceagent.Agent) {
+			y.startAgent("anna", func(m *maintenanceagent.Agent) {
 				m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 			})
-			b := y.boxes[0]
+			b := y.machines[0]
 			moved := &machine{server: newServer(t, b.name, nil), site: b.site}
 			moved.set(moved.ServeHTTP)
 			y.submitPlan(y.all[0], "", b)
@@ -394,10 +394,10 @@
 	}
 	y.ready(y.all[:4]...)
 	y.awaitAgreement(y.all[:4]...)
-	y.asked()
-	anna, dies := y.mechanic("anna", nil)
-	y.submitPlan(y.all[0], `gone = "2s"`, y.boxes...)
-	y.awaitStage(y.boxes[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
+	y.startClients()
+	anna, dies := y.startAgent("anna", nil)
+	y.submitPlan(y.all[0], `gone = "2s"`, y.machines...)
+	y.awaitStage(y.machines[0], maintenance.Draining, maintenance.Drained, maintenance.InMaintenance, maintenance.WarmingUp, maintenance.Done)
 	for _, m := range y.all[4:] {
 		m.start()
 	}
@@ -416,7 +416,7 @@
 	var last *machine
 	y.poll("the last one is ready", func() bool {
 		s := y.newestStatus()
-		for _, b := range y.boxes {
+		for _, b := range y.machines {
 			if k := stage(&s, b); k.Stage == maintenance.Drained {
 				last = b
 			}
@@ -436,7 +436,7 @@
 			return !told || j.HeldToken != 0
 		})
 	})
-	bob, ends := y.mechanic("bob", nil)
+	bob, ends := y.startAgent("bob", nil)
 	out, code := y.command("fleet", "work", "resume", "--ops", left[0].ops)
 	assert.Equal(t, 1, code)
 	assert.Contains(t, out, "not known")
@@ -464,17 +464,17 @@
 	m := y.all[2]
 	l, err := net.Listen("tcp", m.listen)
 	require.NoError(t, err)
-	m.passed, err = l.(*net.TCPListener).File()
+	m.inheritedSocket, err = l.(*net.TCPListener).File()
 	require.NoError(t, err)
-	defer m.passed.Close()
+	defer m.inheritedSocket.Close()
 	l.Close()
 	m.env = append(m.env, "TMPDIR="+m.tmp, "GW_PASSED_SOCKET=4")
 	y.open()
 	over := make(chan struct{})
-	y.mechanic("anna", func(m *maintenanceagent.Agent) {
+	y.startAgent("anna", func(m *maintenanceagent.Agent) {
 		m.WorkDuration = func(string) time.Duration { <-over; return 0 }
 	})
-	b := y.boxes[0]
+	b := y.machines[0]
 	y.submitPlan(y.all[0], "", b)
 	out := func() {
 		t.Helper()
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -123,17 +123,17 @@
 			}
 			y.open()
 			var away atomic.Bool // whether the agent is away: else the plan could end while a sidecar restarts
-			y.mechanic("anna", func(m *maintenanceagent.Agent) {
+			y.startAgent("anna", func(m *maintenanceagent.Agent) {
 				m.WorkDuration = func(string) time.Duration { return time.Second }
 				m.AdminEndpoints = func() []string {
 					if away.Load() {
 						return nil
 					}
-					return y.doors()
+					return y.adminEndpoints()
 				}
 			})
 			give := func() {
-				y.submitPlan(y.awaitCoordinator(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.boxes[:3]...)
+				y.submitPlan(y.awaitCoordinator(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.machines[:3]...)
 			}
 			over := func() bool { s := y.newestStatus(); return s.Plans[len(s.Plans)-1].Ended }
 			give()
@@ -166,10 +166,10 @@
 						owner.freeze()
 						fell = true
 					case k.half:
-						y.board.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
+						y.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
 						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // the command may fail, as the owner may die first
 						fell = y.failAtStep(owner, k.step, kill, times)
-						y.board.SetFault(processcluster.LinkFault{}, deaf...)
+						y.peerProxy.SetFault(processcluster.LinkFault{}, deaf...)
 					default:
 						fell = y.failAtStep(owner, k.step, kill, times)
 					}
@@ -195,7 +195,7 @@
 				}
 				return len(all) > 0 && all[len(all)-1].StartedAt.After(from)
 			})
-			y.stood = append(y.stood, stallPeriod{old, from, time.Now()})
+			y.stalls = append(y.stalls, stallPeriod{old, from, time.Now()})
 			old.resume()
 			p := y.awaitEnd()
 			for _, b := range p.Servers {
