--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -134,11 +134,11 @@
 func TestShortDeadlines(t *testing.T) {
 	for _, timeout := range []time.Duration{50 * time.Millisecond, 120 * time.Millisecond, 280 * time.Millisecond} {
 		for name, answers := range map[string]responder{
-			"hangs":                   func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false },
-			"turns away":              sends(rejectedNotStarted),
-			"turns away near its end": answersAfter(timeout*9/10, rejectedNotStarted),
-			"errs near its end":       answersAfter(timeout*9/10, message(500, "")),
-			"answers late":            answersAfter(2*timeout, message(200, "late")),
+			"hangs":                func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false },
+			"rejects":              sends(rejectedNotStarted),
+			"rejects near its end": answersAfter(timeout*9/10, rejectedNotStarted),
+			"errs near its end":    answersAfter(timeout*9/10, message(500, "")),
+			"answers late":         answersAfter(2*timeout, message(200, "late")),
 		} {
 			t.Run(fmt.Sprint(timeout, ", server ", name), func(t *testing.T) {
 				still := newStallMeter(t)
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -34,9 +34,9 @@
 		attempts int // expected number of attempts
 	}{
 		{"no server is listed", goneWhileUnlisted, 0},
-		{"its connection comes up", goneWhileConnecting, 0},
+		{"its connection is being established", goneWhileConnecting, 0},
 		{"between two attempts", goneBetweenAttempts, 1},
-		{"it is not looked at yet", goneBeforeTheLook, 0},
+		{"it has not been read yet", goneBeforeTheLook, 0},
 	} {
 		for how, depart := range departures {
 			t.Run(c.name+", client "+how, func(t *testing.T) {
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -61,7 +61,7 @@
 		{"error, must not run twice", "write", says(500, ""), 1},
 		{"error, safe", "read", says(500, ""), 2},
 		{"error, keyed", "alert", says(500, ""), 2},
-		{"turned away", "write", says(503, "", "Not-Started", "1"), 2},
+		{"rejected, not started", "write", says(503, "", "Not-Started", "1"), 2},
 		{"too late, not started", "write", says(504, "", "Not-Started", "1"), 2},
 		{"503 that may have run", "write", says(503, ""), 1},
 		{"504 that may have run", "write", says(504, "", "Not-Started", "0"), 1},
@@ -74,7 +74,7 @@
 		{"no HTTP, safe", "read", breaks("220 ready\r\n"), 2},
 		{"3 GB, keyed", "alert", breaks("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nxxxx"), 2},
 		{"lengths that differ, safe", "read", breaks("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx"), 2},
-		{"cut, with no length", "read", breaks("HTTP/1.1 200 OK\r\n\r\nhalf"), 2},
+		{"cut short, with no length", "read", breaks("HTTP/1.1 200 OK\r\n\r\nhalf"), 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, "s-00000001", nil)
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -37,7 +37,7 @@
 	}{
 		{"small", 100, 0},
 		{"60 KB", 60 << 10, 0},
-		{"60 KB, to a client that takes little at a time", 60 << 10, 4 << 10},
+		{"60 KB, to a client with a small receive buffer", 60 << 10, 4 << 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -75,7 +75,7 @@
 		// acts lets a client act around SIGTERM, which term sends, and returns the checks to run once the process has ended.
 		acts func(w *testSidecar, s *backend, term func()) (check func())
 	}{
-		{"a client rests and never closes", hanging, func(w *testSidecar, s *backend, term func()) func() {
+		{"a client stays idle and never closes", hanging, func(w *testSidecar, s *backend, term func()) func() {
 			w.dial(0)
 			conn := w.dial(0)
 			conn.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -95,7 +95,7 @@
 				assert.Equal(w, 504, a.status)
 			}
 		}},
-		{"a request never arrives whole", hanging, func(w *testSidecar, s *backend, term func()) func() {
+		{"a request never arrives completely", hanging, func(w *testSidecar, s *backend, term func()) func() {
 			conn := w.dial(0)
 			conn.send("GET /read HTT")
 			term()
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -70,7 +70,7 @@
 		return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+50 })
 	})
 	for _, m := range y.all {
-		y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+		y.poll(m.name+" does not use the server", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	}
 	s := y.newestStatus()
 	require.Equal(t, maintenance.InMaintenance, stage(&s, b).Stage, "all sidecars were back before the maintenance ended")
@@ -87,7 +87,7 @@
 		patience string // the client's Request-Timeout
 		giveUpS  float64
 		heldS    float64
-	}{{"for half a minute", "40000m", 40, 30}, {"given up", "3000m", 8, 5}} {
+	}{{"answered after half a minute", "40000m", 40, 30}, {"abandoned by its client", "3000m", 8, 5}} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 3)
 			usual := y.testFleet.settings
@@ -101,7 +101,7 @@
 			b := y.hold(y.all[1], "write", "Request-Timeout", k.patience)
 			y.submitPlan(y.all[0], "", b)
 			y.awaitBlocker(b, "has something out there", "m01")
-			y.pollFor(3*patience, "it is waited for", func() bool {
+			y.pollFor(3*patience, "the plan waits for the request", func() bool {
 				s := y.newestStatus()
 				require.NotEqual(t, maintenance.Drained, stage(&s, b).Stage)
 				return len(s.Plans) > 0 && s.Plans[0].AgeSeconds > k.heldS
@@ -150,12 +150,12 @@
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 3, 3, 6).open()
 			y.submitPlan(y.awaitCoordinator(y.all...), "at_once = 2\nkeep = 0.6", y.machines[0], y.machines[1], y.machines[3], y.machines[4]) // servers of sites a and b
-			y.poll("two are ready", func() bool { return y.counts()[maintenance.Drained] == 2 })
-			y.poll("some time has passed", func() bool { s := y.newestStatus(); return s.Plans[0].AgeSeconds > 15 })
+			y.poll("two servers are drained", func() bool { return y.counts()[maintenance.Drained] == 2 })
+			y.poll("the plan is older than 15 s", func() bool { s := y.newestStatus(); return s.Plans[0].AgeSeconds > 15 })
 			ends := k.begins(y)
 			began := time.Now()
 			y.poll("both servers are reinstated", func() bool { return y.counts()[maintenance.Pending] == 4 })
-			t.Log("given back after", time.Since(began))
+			t.Log("servers reinstated after", time.Since(began))
 			y.poll("the status gives the reason", func() bool {
 				s := y.newestStatus()
 				return slices.ContainsFunc(s.Blockers, func(w maintenance.Blocker) bool {
@@ -480,7 +480,7 @@
 		t.Helper()
 		asked := map[*fleetMember]int64{}
 		for _, m := range y.all {
-			y.poll(m.name+" has it out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+			y.poll(m.name+" does not use the server", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 			asked[m] = m.asked.Load()
 		}
 		y.poll("all serve", func() bool {
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -109,7 +109,7 @@
 		{"removal of a server agreed, no sidecar notified", "agreed", maintenance.Pending, false},
 		{"all sidecars notified of the removal", "told", maintenance.Pending, false},
 		{"half of the sidecars notified", "told", maintenance.Draining, true},
-		{"it is empty, not agreed", "empty", maintenance.Draining, false},
+		{"server is idle, not agreed yet", "empty", maintenance.Draining, false},
 		{"server agreed to be idle, no sidecar notified", "agreed", maintenance.Draining, false},
 		{"all sidecars notified that the server is idle", "told", maintenance.Draining, false},
 		{"handover agreed, the maintenance agent not notified", "handed", maintenance.Draining, false},
