--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -70,8 +70,8 @@
 
 var summary = regexp.MustCompile(`(\d+) events replayed, (\d+) decisions compared, (\d+) differ; (\d+) lines truncated, (\d+) lines not compared`)
 
-// compared returns how many decisions a replay compared.
-func compared(t *testing.T, text string) int {
+// comparedDecisions returns how many decisions a replay compared.
+func comparedDecisions(t *testing.T, text string) int {
 	m := summary.FindStringSubmatch(text)
 	require.NotNil(t, m, text)
 	n, err := strconv.Atoi(m[2])
@@ -96,10 +96,10 @@
 	t.Logf("a checkpoint blocked the event loop for at most %v us", stats["checkpoint_max_us"])
 
 	for _, text := range []string{first, dump, w.log.String()} { // the complete log holds two dumps
-		code, said := w.replay(text)
-		assert.Zero(t, code, said)
-		assert.Greater(t, compared(t, said), 40)
-		assert.Contains(t, said, " 0 differ; 0 lines truncated, 0 lines not compared")
+		code, output := w.replay(text)
+		assert.Zero(t, code, output)
+		assert.Greater(t, comparedDecisions(t, output), 40)
+		assert.Contains(t, output, " 0 differ; 0 lines truncated, 0 lines not compared")
 	}
 	lines := strings.SplitAfter(dump, "\n")
 	at := 0
@@ -107,20 +107,20 @@
 		at++
 	}
 	lines[at] = regexp.MustCompile(`"to":"[^"]*"(.*)"host":\d+`).ReplaceAllString(lines[at], `"to":"s-0000000f"$1"host":15`)
-	code, said := w.replay(strings.Join(lines, ""))
-	assert.Equal(t, 1, code, said)
-	assert.Contains(t, said, fmt.Sprintf("line %d: recorded %s", at+1, lines[at]))
-	assert.Contains(t, said, fmt.Sprintf("line %d: replayed {", at+1))
-	assert.Contains(t, said, " 1 differ;")
-	code, said = w.replay(dump[:strings.LastIndex(dump[:len(dump)/2], "\n")+20])
-	assert.Zero(t, code, said)
-	assert.Contains(t, said, " 0 differ; 1 lines truncated")
+	code, output := w.replay(strings.Join(lines, ""))
+	assert.Equal(t, 1, code, output)
+	assert.Contains(t, output, fmt.Sprintf("line %d: recorded %s", at+1, lines[at]))
+	assert.Contains(t, output, fmt.Sprintf("line %d: replayed {", at+1))
+	assert.Contains(t, output, " 1 differ;")
+	code, output = w.replay(dump[:strings.LastIndex(dump[:len(dump)/2], "\n")+20])
+	assert.Zero(t, code, output)
+	assert.Contains(t, output, " 0 differ; 1 lines truncated")
 	for _, text := range []string{"", "time=x level=INFO msg=nothing\n"} {
-		code, said = w.replay(text)
-		assert.Equal(t, 2, code, said)
+		code, output = w.replay(text)
+		assert.Equal(t, 2, code, output)
 	}
-	code, said = run(t, "capture", "replay", "--in", filepath.Join(t.TempDir(), "none"))
-	assert.Equal(t, 2, code, said)
+	code, output = run(t, "capture", "replay", "--in", filepath.Join(t.TempDir(), "none"))
+	assert.Equal(t, 2, code, output)
 }
 
 // SIGUSR1 is handled while the program still reads its configuration and while it drains, and a dump that has begun is written
@@ -222,9 +222,9 @@
 	assert.NotEmpty(t, names)
 	assert.LessOrEqual(t, len(names), 4)
 	for _, name := range names {
-		code, said := run(t, "capture", "replay", "--in", name)
-		assert.Zero(t, code, said)
-		assert.Contains(t, said, " 0 differ; 0 lines truncated, 0 lines not compared")
+		code, output := run(t, "capture", "replay", "--in", name)
+		assert.Zero(t, code, output)
+		assert.Contains(t, output, " 0 differ; 0 lines truncated, 0 lines not compared")
 	}
 	assert.Contains(t, w.out.String(), `"disk_errors":0`)
 }
--- a/cmd/hazelwheel/config_test.go
+++ b/cmd/hazelwheel/config_test.go
@@ -67,18 +67,18 @@
 		{"new --name n1 --discovery 127.0.0.1:8500 --class \"a effect=saef aim=1s deadline=2s\"", 1, "Write safe if that is meant"},
 		{"new --name n1 --discovery 127.0.0.1:8500 --class \"a effect=safe aim=1s deadline=2s\" --write " + spoilt, 2, "there already"},
 	} {
-		code, said := run(t, append([]string{"config"}, words(c.args)...)...)
-		assert.Equal(t, c.code, code, "%s: %s", c.args, said)
-		assert.Contains(t, said, c.want, c.args)
-		assert.NotContains(t, said, "\x1b", "no color without a terminal")
+		code, output := run(t, append([]string{"config"}, words(c.args)...)...)
+		assert.Equal(t, c.code, code, "%s: %s", c.args, output)
+		assert.Contains(t, output, c.want, c.args)
+		assert.NotContains(t, output, "\x1b", "no color without a terminal")
 	}
 }
 
 // A file that contains the hash of a secret is readable by its owner only.
 func TestImportedSecretIsKept(t *testing.T) {
 	dir := t.TempDir()
-	code, said := run(t, "config", "import", "--out", dir, "--features", "../../example/features.json", exampleCore)
-	require.Zero(t, code, said)
+	code, output := run(t, "config", "import", "--out", dir, "--features", "../../example/features.json", exampleCore)
+	require.Zero(t, code, output)
 	for name, mode := range map[string]os.FileMode{"app.toml": 0o600, "site.toml": 0o644} {
 		info, err := os.Stat(filepath.Join(dir, name))
 		require.NoError(t, err)
@@ -111,14 +111,14 @@
 }
 
 func TestShellCompletion(t *testing.T) {
-	code, said := run(t, "completion", "bash")
+	code, output := run(t, "completion", "bash")
 	assert.Zero(t, code)
-	assert.Contains(t, said, "complete")
-	_, said = run(t, "config", "explain", "--generate-shell-completion")
-	assert.Contains(t, said, "HW041")
-	assert.Contains(t, said, "class.aim")
-	_, said = run(t, "config", "--generate-shell-completion")
-	assert.Contains(t, said, "render")
+	assert.Contains(t, output, "complete")
+	_, output = run(t, "config", "explain", "--generate-shell-completion")
+	assert.Contains(t, output, "HW041")
+	assert.Contains(t, output, "class.aim")
+	_, output = run(t, "config", "--generate-shell-completion")
+	assert.Contains(t, output, "render")
 }
 
 // For five applications, the files that config new and config render write start a sidecar that serves a request of each class.
@@ -150,10 +150,10 @@
 			for _, class := range c.classes {
 				args = append(args, "--class", class)
 			}
-			code, said := run(t, args...)
-			require.Zero(t, code, said)
-			code, said = run(t, "config", "render", "--site", exampleSite, "--out", dir, app)
-			require.Zero(t, code, said)
+			code, output := run(t, args...)
+			require.Zero(t, code, output)
+			code, output = run(t, "config", "render", "--site", exampleSite, "--out", dir, app)
+			require.Zero(t, code, output)
 			w.path = filepath.Join(dir, "config.json")
 			serve := []string{"serve", "--verbose", "--config", w.path}
 			if _, err := os.Stat(filepath.Join(dir, "features.json")); err == nil {
@@ -202,8 +202,8 @@
 			if strings.HasPrefix(strings.TrimSpace(text), "{") {
 				args = append(args, exampleCore)
 			}
-			code, said := run(t, append(args, path)...)
-			assert.Zero(t, code, "%s: %s\n%s", page, text, said)
+			code, output := run(t, append(args, path)...)
+			assert.Zero(t, code, "%s: %s\n%s", page, text, output)
 			checked++
 		}
 	}
@@ -216,7 +216,7 @@
 	require.NoError(t, err)
 	self, err := filepath.Abs(os.Args[0])
 	require.NoError(t, err)
-	dir, steps, said := t.TempDir(), 0, ""
+	dir, steps, output := t.TempDir(), 0, ""
 	for _, line := range strings.Split(string(raw), "\n") {
 		command, ok := strings.CutPrefix(line, "    $ hazelwheel ")
 		shown, is := strings.CutPrefix(line, "    ")
@@ -227,9 +227,9 @@
 			cmd.Path, cmd.Dir = self, dir
 			out, err := cmd.CombinedOutput()
 			require.NoError(t, err, "%s\n%s", command, out)
-			said = string(out)
-		case is && steps > 0 && said != "":
-			assert.Contains(t, said, shown)
+			output = string(out)
+		case is && steps > 0 && output != "":
+			assert.Contains(t, output, shown)
 		case strings.HasPrefix(line, "## What a mistake"):
 			assert.Equal(t, 5, steps)
 			return
@@ -246,14 +246,14 @@
 	text = strings.NewReplacer(`effect = "unsafe"`, `effect = "safe"`, `deadline = "3s"`, `deadline = "4s"`).Replace(text)
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "app.toml"), []byte(text), 0o600))
-	code, said := run(t, "config", "check", "--against", exampleSite, filepath.Join(dir, "app.toml"))
+	code, output := run(t, "config", "check", "--against", exampleSite, filepath.Join(dir, "app.toml"))
 	assert.Equal(t, 1, code)
 	shown := regexp.MustCompile(`(?m)^    (app\.toml:.*) \.\.\.$`).FindAllStringSubmatch(rest, -1)
 	require.Len(t, shown, 4)
 	for _, m := range shown {
-		assert.Contains(t, said, m[1])
+		assert.Contains(t, output, m[1])
 	}
-	assert.Equal(t, len(shown)+1, strings.Count(said, "\n"), "all findings, and the line that counts them")
+	assert.Equal(t, len(shown)+1, strings.Count(output, "\n"), "all findings, and the line that counts them")
 }
 
 // At a terminal, config new asks for what no flag gives, and asks again until the answer is valid.
--- a/cmd/hazelwheel/crossing_test.go
+++ b/cmd/hazelwheel/crossing_test.go
@@ -30,7 +30,7 @@
 // attempt is a request as a backend has received it, completely.
 type attempt struct {
 	id, path, body string
-	told           time.Duration // its Request-Timeout header
+	timeout        time.Duration // its Request-Timeout header
 	at             time.Time     // when its last byte was read
 	connection     int           // number of its connection, from 0
 }
--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -98,10 +98,10 @@
 			id, waited := c.wait(w, s)
 			w.eventually("the attempt", func() bool { return len(s.of(id)) > 0 })
 			all := s.of(id)
-			told := all[len(all)-1].told
+			timeoutHeader := all[len(all)-1].timeout
 			const tick = 15 * time.Millisecond // resolution of the kernel's queueing time stamps, with a margin
-			assert.LessOrEqual(t, told, timeout-waited+tick)
-			assert.Greater(t, told, time.Second)
+			assert.LessOrEqual(t, timeoutHeader, timeout-waited+tick)
+			assert.Greater(t, timeoutHeader, time.Second)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 				require.NoError(t, err)
 			}
 			require.Len(t, s.of(id), 1)
-			assert.LessOrEqual(t, s.of(id)[0].told, timeout-work+15*time.Millisecond)
+			assert.LessOrEqual(t, s.of(id)[0].timeout, timeout-work+15*time.Millisecond)
 		})
 	}
 }
@@ -157,7 +157,7 @@
 					assert.Less(t, took, timeout+500*time.Millisecond+still.total(), class)
 					time.Sleep(timeout) // for attempts that must not arrive
 					for _, attempt := range s.of(id) {
-						assert.LessOrEqual(t, attempt.told, timeout)
+						assert.LessOrEqual(t, attempt.timeout, timeout)
 						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.total(), class)
 					}
 					assert.LessOrEqual(t, len(s.of(id)), 3)
@@ -310,7 +310,7 @@
 	<-stopped
 	late := 0
 	for _, a := range s.got() {
-		if a.told <= 0 {
+		if a.timeout <= 0 {
 			late++
 		}
 	}
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -324,7 +324,7 @@
 
 	// A full disk: no byte of a file can be written.
 	m.kill()
-	m.dir, m.full = t.TempDir(), true
+	m.dir, m.diskFull = t.TempDir(), true
 	m.start()
 	c.ready(m)
 	c.awaitAgreement(c.all...)
@@ -388,7 +388,7 @@
 	assert.Contains(t, text, `"k":"place"`)
 	code, out := w.replay(text)
 	assert.Zero(t, code, out)
-	assert.Greater(t, compared(t, out), 20)
+	assert.Greater(t, comparedDecisions(t, out), 20)
 }
 
 // A process takes over from another with its socket: it keeps the identity, and the two are never counted as two members.
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -65,7 +65,7 @@
 	w := newCrossing(t, func(w *testSidecar) {
 		w.setClassField("objectiveS", 40) // a request is held for 4.8 s before it is checked again
 		w.setClassField("giveUpS", 40)
-		w.discovery.tellOnce(8, listed, func() string { return listOf(t, 8, s.endpoint()) })
+		w.discovery.sendVersionOnce(8, listed, func() string { return listOf(t, 8, s.endpoint()) })
 	})
 	id, conn := newID(), w.dial(0)
 	conn.send(text("write", id, 35*time.Second, "body"))
--- a/cmd/hazelwheel/hosts_test.go
+++ b/cmd/hazelwheel/hosts_test.go
@@ -179,7 +179,7 @@
 	leaves, stays := newServer(t, "s-00000001", says(200, "")), newServer(t, "s-00000002", says(200, ""))
 	w := newTestSidecar(t, leaves, stays)
 	drains := make(chan struct{})
-	w.discovery.tellOnce(8, drains, func() string { return line(t, 8, false, leaves) })
+	w.discovery.sendVersionOnce(8, drains, func() string { return line(t, 8, false, leaves) })
 	w.start()
 	w.eventually("both serve", func() bool { w.ask("read", "", ""); return leaves.requestCount() > 0 && stays.requestCount() > 0 })
 	leaves.status = "DRAINING"
--- a/cmd/hazelwheel/ops_test.go
+++ b/cmd/hazelwheel/ops_test.go
@@ -171,7 +171,7 @@
 	}
 	w.start()
 	n := 0.0
-	told := func(text string) {
+	sendList := func(text string) {
 		lists <- text
 		n++
 		w.eventually("the list", func() bool { return w.counter("lists") == n })
@@ -182,20 +182,20 @@
 			assert.Equal(t, body, w.ask("read", "", "").body)
 		}
 	}
-	told(line(t, 8, true, first, second))
+	sendList(line(t, 8, true, first, second))
 	require.Contains(t, w.callAdmin("OFFLINE s-00000002"), "OK")
 	only("1")
 	require.Contains(t, w.callAdmin("OFFLINE s-00000002"), "OK") // repeating the command has no effect
-	told(line(t, 9, false, second))
+	sendList(line(t, 9, false, second))
 	only("1")
 	second.status = "DELETED"
-	told(line(t, 10, false, second))
+	sendList(line(t, 10, false, second))
 	only("1")
 	second.status, second.sinceMS = "SERVING", time.Now().UnixMilli()
-	told(line(t, 11, false, second))
+	sendList(line(t, 11, false, second))
 	only("1")
-	told(line(t, 12, true, first))
-	told(line(t, 13, true, first, second))
+	sendList(line(t, 12, true, first))
+	sendList(line(t, 13, true, first, second))
 	only("1")
 	w.awaitFigure("members_unavailable", 1)
 	require.Contains(t, w.callAdmin("OFFLINE s-00000001"), "OK")
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -107,7 +107,7 @@
 			if !slices.IsSorted(j.AcceptedTokens) {
 				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
-			if j.HolderName != owner.name || j.Token != token || !m.plain && j.MaxToken != token {
+			if j.HolderName != owner.name || j.Token != token || !m.withoutRoles && j.MaxToken != token {
 				return false
 			}
 		}
@@ -313,10 +313,10 @@
 func TestOwnerDelayedEffects(t *testing.T) {
 	c := newRoleFleet(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
-	judge := c.peerProxy.OnFrame
+	observe := c.peerProxy.OnFrame
 	c.peerProxy.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
 		recorded.tap(call, w, topic, body)
-		judge(call, w, topic, body)
+		observe(call, w, topic, body)
 	}
 	c.start().ready(c.all...)
 	stop := c.serveAll()
@@ -325,8 +325,8 @@
 	c.peerProxy.SetFault(processcluster.LinkFault{Hold: true}, ways...)
 	_, later := c.awaitNextOwner("held", token, c.without(owner)...)
 	c.poll("the old owner has given up the role", func() bool {
-		j, told := owner.queryRole("report")
-		return told && j.HeldToken == 0
+		j, replied := owner.queryRole("report")
+		return replied && j.HeldToken == 0
 	})
 	c.poll("the new owner acts", func() bool {
 		r := c.without(owner)[0].report()
@@ -347,9 +347,9 @@
 	require.NoError(t, err)
 	defer conn.Close()
 	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
-	said := recorded.of(owner.name, token)
-	require.Greater(t, len(said), 2)
-	for _, frame := range said {
+	sent := recorded.of(owner.name, token)
+	require.Greater(t, len(sent), 2)
+	for _, frame := range sent {
 		_, err := conn.Write(frame)
 		require.NoError(t, err)
 	}
@@ -584,7 +584,7 @@
 // that are not electors don't know roles, like an earlier version: they ignore what is sent to all.
 func TestOwnerFleetShrinks(t *testing.T) {
 	c := newRoleFleet(t, 9, 5)
-	c.all[7].plain, c.all[8].plain = true, true
+	c.all[7].withoutRoles, c.all[8].withoutRoles = true, true
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	able := c.without(c.all[7:]...)
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -58,8 +58,8 @@
 	gone                atomic.Bool // true while it must not be sent requests
 	known               []endpoint
 	capture             bool     // its decisions are recorded
-	full                bool     // its disk is full
-	plain               bool     // it does not know roles, like an earlier version
+	diskFull            bool     // its disk is full
+	withoutRoles        bool     // it does not know roles, like an earlier version
 	inheritedSocket     *os.File // the clients' listening socket, where the platform holds it
 	asked, refused, bad atomic.Int64
 }
@@ -112,7 +112,7 @@
 
 func (m *fleetMember) fleet() map[string]any {
 	f := map[string]any{"name": "yard", "listen": m.peers, "advertise": m.advertise, "join": m.join, "dir": m.dir}
-	if len(m.c.electors) > 0 && !m.plain {
+	if len(m.c.electors) > 0 && !m.withoutRoles {
 		f["electors"], f["jobs"] = m.c.electors, []string{"report"}
 		if len(m.c.jobs) > 0 {
 			f["jobs"] = m.c.jobs
@@ -157,7 +157,7 @@
 	features := filepath.Join(m.tmp, "features.json")
 	require.NoError(m.c, os.WriteFile(features, text, 0o600))
 	m.cmd = program("serve", "--config", path, "--features", features)
-	if m.full { // no file of the process may hold a byte
+	if m.diskFull { // no file of the process may hold a byte
 		m.cmd.Path, m.cmd.Args = "/bin/sh", append([]string{"sh", "-c", `ulimit -f 0; exec "$0" "$@"`}, m.cmd.Args...)
 	}
 	m.cmd.Env = append(append(m.cmd.Env, "GW_OPS="+m.ops), m.env...)
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -21,8 +21,8 @@
 	lab "hazelwheel/internal/lab/load"
 )
 
-// from returns a client whose connections come from an address; kept reports whether it reuses them.
-func from(t *testing.T, address string, kept bool) *http.Client {
+// clientFrom returns a client whose connections come from an address; kept reports whether it reuses them.
+func clientFrom(t *testing.T, address string, kept bool) *http.Client {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(address)}}
 	c := &http.Client{Timeout: patience, Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: !kept}}
 	t.Cleanup(c.CloseIdleConnections)
@@ -62,7 +62,7 @@
 						require.LessOrEqual(t, again, 8, "of 40 requests")
 					}
 				}
-				kept, fresh := from(t, "127.0.0.3", true), from(t, "127.0.0.3", false)
+				kept, fresh := clientFrom(t, "127.0.0.3", true), clientFrom(t, "127.0.0.3", false)
 				for range 4 { // from now on the address is known
 					ask(kept)
 				}
@@ -83,7 +83,7 @@
 					assert.NoError(t, <-over)
 				})
 				w.eventually("the flood is there", func() bool { return w.isUnderPressure(kept) })
-				stranger := from(t, "127.0.0.4", false)
+				stranger := clientFrom(t, "127.0.0.4", false)
 				for range 12 {
 					ask(kept)
 					ask(fresh)
@@ -157,7 +157,7 @@
 	}
 	w.eventually("clients send requests", func() bool { return w.counter("malformed") == 0 && w.counter("descriptors") > 1 })
 	w.signal(syscall.SIGTERM)
-	said := time.Now()
+	signaledAt := time.Now()
 	ended := make(chan error, 1)
 	go func() { ended <- w.cmd.Wait() }()
 	select {
@@ -166,7 +166,7 @@
 	case <-time.After(patience):
 		t.Fatal("the program does not exit")
 	}
-	assert.Less(t, time.Since(said), 10*time.Second)
+	assert.Less(t, time.Since(signaledAt), 10*time.Second)
 	all := tally{}
 	for range clients {
 		n := <-tallies
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -361,7 +361,7 @@
 	w := newTestSidecar(t, s)
 	w.known[0].Address = address
 	drains := make(chan struct{})
-	w.discovery.tellOnce(8, drains, func() string { return strings.Replace(line(t, 8, false, s), s.Listener.Addr().String(), address, 1) })
+	w.discovery.sendVersionOnce(8, drains, func() string { return strings.Replace(line(t, 8, false, s), s.Listener.Addr().String(), address, 1) })
 	w.start()
 	answer := w.askAside("write", "", "")
 	w.eventually("the dial", func() bool { return w.counter("dials") == 1 })
--- a/cmd/hazelwheel/share_test.go
+++ b/cmd/hazelwheel/share_test.go
@@ -18,13 +18,13 @@
 	sent map[string]map[string]int // by sidecar and server
 }
 
-func (u *serverUsage) note(by, box string) {
+func (u *serverUsage) note(by, server string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.sent[by] == nil {
 		u.sent[by] = map[string]int{}
 	}
-	u.sent[by][box]++
+	u.sent[by][server]++
 }
 
 // fresh discards the counts and returns the new ones once each of some sidecars has sent so many requests.
@@ -54,7 +54,7 @@
 // One more sidecar moves the server subsets of the others by one or two servers each, and every server is used by at least two sidecars.
 // If sidecars knew only their own rank, each of the 20 would use a different half of the servers.
 func TestShareAddedSidecar(t *testing.T) {
-	const standing, boxes, each = 20, 40, 120
+	const standing, serverCount, each = 20, 40, 120
 	c := newTestFleet(t, standing+1)
 	c.replica = standing
 	c.settings = func(s map[string]any) { // low traffic and a tight objective: a sidecar uses half of the servers
@@ -63,7 +63,7 @@
 	}
 	u := &serverUsage{}
 	u.sent = map[string]map[string]int{}
-	for i := range boxes {
+	for i := range serverCount {
 		name := fmt.Sprintf("s-%08x", i+1)
 		b := c.server
 		if i > 0 {
@@ -118,9 +118,9 @@
 	moved, held := 0, 0
 	by := map[string]int{}
 	for _, m := range c.all {
-		for box := range after[m.name] {
-			by[box]++
-			if before[m.name][box] == 0 && m != newcomer {
+		for server := range after[m.name] {
+			by[server]++
+			if before[m.name][server] == 0 && m != newcomer {
 				moved++
 			}
 		}
@@ -129,10 +129,10 @@
 		}
 	}
 	t.Logf("%d sidecars used %d servers each; adding one sidecar moved %d of %d", standing, held/standing, moved, held)
-	require.Less(t, held, standing*boxes*3/4, "a sidecar uses a part of the servers")
+	require.Less(t, held, standing*serverCount*3/4, "a sidecar uses a part of the servers")
 	assert.Less(t, moved, 3*standing)
-	require.Len(t, by, boxes, "every server is used")
-	for box, n := range by {
-		assert.GreaterOrEqual(t, n, 2, "%s is held by one", box)
+	require.Len(t, by, serverCount, "every server is used")
+	for server, n := range by {
+		assert.GreaterOrEqual(t, n, 2, "%s is held by one", server)
 	}
 }
--- a/cmd/hazelwheel/shutdown_late_test.go
+++ b/cmd/hazelwheel/shutdown_late_test.go
@@ -131,13 +131,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newBackend(t, "s-00000001", c.answers)
 			w := newEnding(t, s)
-			var said time.Time
+			var signaledAt time.Time
 			still := newStallMeter(t)
 			check := c.acts(w, s, func() {
-				said = time.Now()
+				signaledAt = time.Now()
 				w.signal(syscall.SIGTERM)
 			})
-			assert.Less(t, w.awaitExit(said), longestDeadline+killAfter+still.total())
+			assert.Less(t, w.awaitExit(signaledAt), longestDeadline+killAfter+still.total())
 			check()
 		})
 	}
--- a/cmd/hazelwheel/shutdown_test.go
+++ b/cmd/hazelwheel/shutdown_test.go
@@ -55,7 +55,7 @@
 				w.setClassField("objectiveS", 20)
 				w.setClassField("giveUpS", 20)
 				if c.unlisted {
-					w.discovery.tellOnce(8, release, func() string { return listOf(t, 8, s.endpoint()) })
+					w.discovery.sendVersionOnce(8, release, func() string { return listOf(t, 8, s.endpoint()) })
 				} else {
 					w.known = append(w.known, s.endpoint())
 				}
@@ -224,13 +224,13 @@
 		_, err := conns[i].answer()
 		require.NoError(t, err)
 	}
-	said := time.Now()
+	signaledAt := time.Now()
 	w.signal(syscall.SIGTERM)
 	var all sync.WaitGroup
 	for i, conn := range conns {
 		all.Go(func() {
 			if i%2 == 0 { // at a random time, about when connections are closed
-				time.Sleep(time.Until(said.Add(650*time.Millisecond + time.Duration(i)*3*time.Millisecond)))
+				time.Sleep(time.Until(signaledAt.Add(650*time.Millisecond + time.Duration(i)*3*time.Millisecond)))
 			} else { // as soon as it sees the close
 				assert.Equal(t, io.EOF, conn.end())
 			}
@@ -247,7 +247,7 @@
 			assert.Empty(t, s.of(id))
 		})
 	}
-	w.awaitExit(said)
+	w.awaitExit(signaledAt)
 	all.Wait()
 }
 
@@ -257,10 +257,10 @@
 	const clients = 60
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
 	w := newCrossing(t, nil, s)
-	said := time.Now()
+	signaledAt := time.Now()
 	w.signal(syscall.SIGTERM)
 	w.awaitLog("msg=ending", 1)
-	time.Sleep(time.Until(said.Add(400 * time.Millisecond)))
+	time.Sleep(time.Until(signaledAt.Add(400 * time.Millisecond)))
 	w.freeze()
 	var ids []string
 	var conns []*client
@@ -269,7 +269,7 @@
 		conn.send(text("write", id, 8*time.Second, "body"))
 		ids, conns = append(ids, id), append(conns, conn)
 	}
-	time.Sleep(time.Until(said.Add(800 * time.Millisecond)))
+	time.Sleep(time.Until(signaledAt.Add(800 * time.Millisecond)))
 	w.signal(syscall.SIGCONT)
 	for i, conn := range conns {
 		a, err := conn.answer()
@@ -279,5 +279,5 @@
 			assert.Len(t, s.of(ids[i]), map[int]int{200: 1}[a.status])
 		}
 	}
-	w.awaitExit(said)
+	w.awaitExit(signaledAt)
 }
--- a/cmd/hazelwheel/testsidecar_test.go
+++ b/cmd/hazelwheel/testsidecar_test.go
@@ -410,7 +410,7 @@
 
 func newDiscovery(t *testing.T) *discovery {
 	d := &discovery{calls: make(chan string, 100), answers: make(chan func(watch), 100)}
-	d.rest = d.waits
+	d.rest = d.serveScripted
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls <- r.URL.String()
 		call := watch{w, r.URL.Query().Get("since"), r.Context().Done()}
@@ -425,8 +425,8 @@
 	return d
 }
 
-// waits handles a call once the test has a script for it.
-func (d *discovery) waits(w watch) {
+// serveScripted handles a call once the test has a script for it.
+func (d *discovery) serveScripted(w watch) {
 	select {
 	case f := <-d.answers:
 		f(w)
@@ -434,9 +434,9 @@
 	}
 }
 
-// tellOnce sends a version to each call that doesn't have one yet, once ready is closed. Danger: a watch that hears nothing for 3 s is
+// sendVersionOnce sends a version to each call that doesn't have one yet, once ready is closed. Danger: a watch that hears nothing for 3 s is
 // closed and reopened; a version that is sent to one call only is lost where the test takes longer on a busy machine.
-func (d *discovery) tellOnce(version int, ready <-chan struct{}, list func() string) {
+func (d *discovery) sendVersionOnce(version int, ready <-chan struct{}, list func() string) {
 	d.rest = func(w watch) {
 		select {
 		case <-ready:
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -271,7 +271,7 @@
 	})
 	w := newThriftTestSidecar(t, s)
 	drains := make(chan struct{})
-	w.discovery.tellOnce(8, drains, func() string { return line(t, 8, false, s, other) })
+	w.discovery.sendVersionOnce(8, drains, func() string { return line(t, 8, false, s, other) })
 	w.start()
 	c := w.dialThrift()
 	_, _ = c.Write(frame(thrift.Compact, thrift.Call, "write", 1, "a", "", ""))
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -145,15 +145,15 @@
 	}
 	p := protocol(c, t.way)
 	_, err = apache.NewTStandardClient(p, p).Call(r.Context(), class, &asked, &result)
-	var said apache.TApplicationException
-	excepted := errors.As(err, &said)
+	var exception apache.TApplicationException
+	excepted := errors.As(err, &exception)
 	if err != nil && !excepted {
 		c.Close()
 		return nil, err
 	}
 	t.idle <- c
 	if excepted {
-		return exceptionResponse(said), nil
+		return exceptionResponse(exception), nil
 	}
 	m, err := thrift.ParseMessage(append([]byte{0x82, 0x41, 0, 0}, result...))
 	if err != nil {
@@ -212,7 +212,7 @@
 			if err != nil {
 				return
 			}
-			go l.sort(peekedConn{c, bufio.NewReader(c)})
+			go l.dispatch(peekedConn{c, bufio.NewReader(c)})
 		}
 	}()
 	return l
@@ -227,7 +227,7 @@
 	}
 }
 
-func (l *protocolListener) sort(c peekedConn) {
+func (l *protocolListener) dispatch(c peekedConn) {
 	if first, err := c.r.Peek(1); err == nil && first[0] == 0 {
 		l.thrift(c)
 		return
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -309,14 +309,14 @@
 }
 
 // queryRole is like role, and reports whether the sidecar replied: without a reply the role's owner is unknown.
-func (m *fleetMember) queryRole(name string) (j coordination.RoleStatus, told bool) {
-	s, told := m.leaseStatus()
+func (m *fleetMember) queryRole(name string) (j coordination.RoleStatus, replied bool) {
+	s, replied := m.leaseStatus()
 	for _, k := range s.Roles {
 		if k.Role == name {
 			j = k
 		}
 	}
-	return j, told
+	return j, replied
 }
 
 // hold sends a request through a sidecar that a server holds open until it is released, and returns that server.
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -178,14 +178,14 @@
 	y := newMaintenanceFleet(t, 3, 3, 3).open()
 	y.startAgent("anna", nil)
 	b, hand := y.hold(y.all[0], "write"), y.all[2]
-	said := func(line string) {
+	setServer := func(line string) {
 		text, err := callOnce(hand.ops, line+" "+b.name+"\n")
 		require.NoError(t, err)
 		require.Contains(t, text, "OK")
 	}
 	y.submitPlan(y.all[1], "", b)
 	y.awaitBlocker(b, "has something out there", "m00")
-	said("ONLINE")
+	setServer("ONLINE")
 	before := b.requestCount()
 	y.poll("the server is used there", func() bool { return b.requestCount() > before })
 	b.release()
@@ -193,7 +193,7 @@
 	s, _ := hand.maintenanceStatus()
 	assert.Equal(t, []string{b.name}, s.Reinstated)
 	assert.Empty(t, y.records())
-	said("OFFLINE")
+	setServer("OFFLINE")
 	assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
 	ours := func() (n int) {
 		b.mu.Lock()
@@ -208,7 +208,7 @@
 	n, asked := ours(), hand.asked.Load()
 	y.poll("the sidecar uses other servers", func() bool { return hand.asked.Load() > asked+100 })
 	assert.Equal(t, n, ours(), "the operator has banned it there")
-	said("ONLINE")
+	setServer("ONLINE")
 	y.poll("the server is used there again", func() bool { return ours() > n })
 	y.serving()
 }
@@ -432,8 +432,8 @@
 	// meanwhile, which is agreed once the majority is back.
 	y.poll("no sidecar coordinates the plans", func() bool {
 		return !slices.ContainsFunc(left, func(m *fleetMember) bool {
-			j, told := m.queryRole("works")
-			return !told || j.HeldToken != 0
+			j, replied := m.queryRole("works")
+			return !replied || j.HeldToken != 0
 		})
 	})
 	bob, ends := y.startAgent("bob", nil)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -60,8 +60,8 @@
 	require.NoError(m.c, os.Rename(file+"-new", file)) // renamed, since the program may read it at any time
 }
 
-// hasFallen reports whether an armed sidecar has stopped or died.
-func (m *fleetMember) hasFallen(kill bool) bool {
+// hasStoppedOrDied reports whether an armed sidecar has stopped or died.
+func (m *fleetMember) hasStoppedOrDied(kill bool) bool {
 	if !kill {
 		return m.stopped()
 	}
@@ -80,7 +80,7 @@
 	owner.arm(step, kill, times)
 	moved := false
 	y.poll(owner.name+" comes to the step, or owns the job no more", func() bool {
-		if owner.hasFallen(kill) {
+		if owner.hasStoppedOrDied(kill) {
 			return true
 		}
 		s := y.newestStatus()
@@ -88,7 +88,7 @@
 		return moved
 	})
 	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // the owner is reaching the step right now
-		y.poll(owner.name+" falls", func() bool { return owner.hasFallen(kill) })
+		y.poll(owner.name+" falls", func() bool { return owner.hasStoppedOrDied(kill) })
 		return true
 	}
 	owner.frozen.Store(false)
@@ -203,8 +203,8 @@
 			}
 			y.poll("the old owner knows", func() bool {
 				s, ok := old.maintenanceStatus()
-				j, told := old.queryRole("works")
-				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
+				j, replied := old.queryRole("works")
+				return ok && replied && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
 			})
 			tokens := map[uint64]bool{}
 			for _, r := range y.records() {
