--- a/cmd/hazelwheel/deadline_test.go
+++ b/cmd/hazelwheel/deadline_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// turnsAway is a response that rejects an attempt before it has run.
-const turnsAway = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
+// rejectedNotStarted is a response that rejects an attempt before it has run.
+const rejectedNotStarted = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
 // answersAfter returns a responder that waits for the processing time after it has read an attempt, and then answers.
 func answersAfter(work time.Duration, answer string) responder {
@@ -41,7 +41,7 @@
 			return id, 0
 		}},
 		{name: "a server that turns away", wait: func(w *testSidecar, s *backend) (string, time.Duration) {
-			s.set(onceThen(answersAfter(400*time.Millisecond, turnsAway), sends(message(200, "sound"))))
+			s.set(onceThen(answersAfter(400*time.Millisecond, rejectedNotStarted), sends(message(200, "sound"))))
 			id, all := ask("body")
 			w.dial(0).send(all)
 			w.eventually("the next attempt", func() bool { return len(s.of(id)) == 2 })
@@ -98,10 +98,10 @@
 			id, waited := c.wait(w, s)
 			w.eventually("the attempt", func() bool { return len(s.of(id)) > 0 })
 			all := s.of(id)
-			told := all[len(all)-1].told
+			timeoutHeader := all[len(all)-1].timeout
 			const tick = 15 * time.Millisecond // resolution of the kernel's queueing time stamps, with a margin
-			assert.LessOrEqual(t, told, timeout-waited+tick)
-			assert.Greater(t, told, time.Second)
+			assert.LessOrEqual(t, timeoutHeader, timeout-waited+tick)
+			assert.Greater(t, timeoutHeader, time.Second)
 		})
 	}
 }
@@ -125,7 +125,7 @@
 				require.NoError(t, err)
 			}
 			require.Len(t, s.of(id), 1)
-			assert.LessOrEqual(t, s.of(id)[0].told, timeout-work+15*time.Millisecond)
+			assert.LessOrEqual(t, s.of(id)[0].timeout, timeout-work+15*time.Millisecond)
 		})
 	}
 }
@@ -134,11 +134,11 @@
 func TestShortDeadlines(t *testing.T) {
 	for _, timeout := range []time.Duration{50 * time.Millisecond, 120 * time.Millisecond, 280 * time.Millisecond} {
 		for name, answers := range map[string]responder{
-			"hangs":                   func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false },
-			"turns away":              sends(turnsAway),
-			"turns away near its end": answersAfter(timeout*9/10, turnsAway),
-			"errs near its end":       answersAfter(timeout*9/10, message(500, "")),
-			"answers late":            answersAfter(2*timeout, message(200, "late")),
+			"hangs":                func(c *net.TCPConn, _ attempt) bool { _, _ = c.Read(make([]byte, 1)); return false },
+			"rejects":              sends(rejectedNotStarted),
+			"rejects near its end": answersAfter(timeout*9/10, rejectedNotStarted),
+			"errs near its end":    answersAfter(timeout*9/10, message(500, "")),
+			"answers late":         answersAfter(2*timeout, message(200, "late")),
 		} {
 			t.Run(fmt.Sprint(timeout, ", server ", name), func(t *testing.T) {
 				still := newStallMeter(t)
@@ -154,11 +154,11 @@
 					took := time.Since(began)
 					require.NoError(t, err)
 					assert.NotEqual(t, 200, a.status)
-					assert.Less(t, took, timeout+500*time.Millisecond+still.sum(), class)
+					assert.Less(t, took, timeout+500*time.Millisecond+still.total(), class)
 					time.Sleep(timeout) // for attempts that must not arrive
 					for _, attempt := range s.of(id) {
-						assert.LessOrEqual(t, attempt.told, timeout)
-						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.sum(), class)
+						assert.LessOrEqual(t, attempt.timeout, timeout)
+						assert.Less(t, attempt.at.Sub(began), timeout+50*time.Millisecond+still.total(), class)
 					}
 					assert.LessOrEqual(t, len(s.of(id)), 3)
 				}
@@ -200,8 +200,8 @@
 		assert.Equal(t, 200, a.status)
 		assert.Len(t, s.of(id), 2)
 	})
-	t.Run("turned away after it", func(t *testing.T) { // nothing has run, so the window has not begun
-		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, turnsAway), sends(message(200, "sound"))))
+	t.Run("rejected after it", func(t *testing.T) { // nothing has run, so the window has not begun
+		s := newBackend(t, "s-00000001", onceThen(answersAfter(window, rejectedNotStarted), sends(message(200, "sound"))))
 		w := newCrossing(t, setWindow, s)
 		id, conn := newID(), w.dial(0)
 		conn.send(text("alert", id, 12*time.Second, ""))
@@ -210,7 +210,7 @@
 		assert.Equal(t, 200, a.status)
 		assert.Len(t, s.of(id), 2)
 	})
-	t.Run("its connection comes up after it", func(t *testing.T) {
+	t.Run("its connection is established after it", func(t *testing.T) {
 		errs := newBackend(t, "s-00000001", sends(message(500, "")))
 		late := newLateBackend(t, "s-00000002", sends(message(200, "sound")))
 		w := newCrossing(t, setWindow, errs, late)
@@ -310,11 +310,11 @@
 	<-stopped
 	late := 0
 	for _, a := range s.got() {
-		if a.told <= 0 {
+		if a.timeout <= 0 {
 			late++
 		}
 	}
-	t.Logf("%d attempts, %d without time", len(s.got()), late)
+	t.Logf("%d attempts, %d with no time left", len(s.got()), late)
 	assert.NotEmpty(t, s.got())
 	assert.Zero(t, late)
 }
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -34,9 +34,9 @@
 		attempts int // expected number of attempts
 	}{
 		{"no server is listed", goneWhileUnlisted, 0},
-		{"its connection comes up", goneWhileConnecting, 0},
+		{"its connection is being established", goneWhileConnecting, 0},
 		{"between two attempts", goneBetweenAttempts, 1},
-		{"it is not looked at yet", goneBeforeTheLook, 0},
+		{"it has not been read yet", goneBeforeTheLook, 0},
 	} {
 		for how, depart := range departures {
 			t.Run(c.name+", client "+how, func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// seen waits until the program has noticed that a client has disconnected. If that takes long, the test's other checks decide.
-func seen(w *testSidecar) {
+// awaitAbandoned waits until the program has noticed that a client has disconnected. If that takes long, the test's other checks decide.
+func awaitAbandoned(w *testSidecar) {
 	within(2*time.Second, func() bool { return w.counter("abandoned") == 1 })
 }
 
@@ -65,13 +65,13 @@
 	w := newCrossing(t, func(w *testSidecar) {
 		w.setClassField("objectiveS", 40) // a request is held for 4.8 s before it is checked again
 		w.setClassField("giveUpS", 40)
-		w.discovery.tellOnce(8, listed, func() string { return listOf(t, 8, s.endpoint()) })
+		w.discovery.sendVersionOnce(8, listed, func() string { return listOf(t, 8, s.endpoint()) })
 	})
 	id, conn := newID(), w.dial(0)
 	conn.send(text("write", id, 35*time.Second, "body"))
 	w.eventually("the request is open", func() bool { return w.counter("open") == 1 })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	close(listed)
 	w.eventually("the list", func() bool { return w.counter("lists") == 1 })
 	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
@@ -85,7 +85,7 @@
 	conn.send(text("write", id, 8*time.Second, "body"))
 	w.eventually("the dial", func() bool { return s.isIn(t, synSent) })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	s.comeUp(t)
 	return w, s, id
 }
@@ -105,9 +105,9 @@
 	id, conn := newID(), w.dial(0)
 	conn.send(text("write", id, 35*time.Second, "body"))
 	<-turnedAway
-	w.eventually("it waits", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
+	w.eventually("the first attempt was rejected", func() bool { return w.countOfOutcome("execution_ends", "rejected") == 1 })
 	departs(w, conn)
-	seen(w)
+	awaitAbandoned(w)
 	w.eventually("the request has ended", func() bool { return w.counter("open") == 0 })
 	return w, s, id
 }
@@ -149,7 +149,7 @@
 	w.eventually("no request is open", func() bool { return w.counter("open") == 0 })
 	for _, a := range s.got() {
 		if at, gone := closed[a.id]; gone {
-			assert.Less(t, a.at.Sub(at), atMost+still.sum())
+			assert.Less(t, a.at.Sub(at), atMost+still.total())
 			assert.Len(t, s.of(a.id), 1)
 		}
 	}
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -52,7 +52,7 @@
 		c.electors = append(c.electors, m.advertise)
 	}
 	c.effects = processcluster.NewEffectChecker()
-	c.board.OnFrame = c.effects.ObserveFrame
+	c.peerProxy.OnFrame = c.effects.ObserveFrame
 	t.Cleanup(func() {
 		for _, m := range c.all {
 			if t.Failed() && !m.gone.Load() && !m.frozen.Load() {
@@ -63,7 +63,7 @@
 		wrong, seen, refused, old := c.effects.Results()
 		assert.Empty(t, wrong, "no member relays an old owner's effect")
 		assert.NotZero(t, seen)
-		t.Logf("%d effects on the wire, %d under a token that was not the greatest any more, %d refusals", seen, old, refused)
+		t.Logf("%d effects on the wire, %d under an outdated token, %d refusals", seen, old, refused)
 	})
 	return c
 }
@@ -107,7 +107,7 @@
 			if !slices.IsSorted(j.AcceptedTokens) {
 				assert.Fail(c, "tokens that were taken go back", "%s: %v", m.name, j.AcceptedTokens)
 			}
-			if j.HolderName != owner.name || j.Token != token || !m.plain && j.MaxToken != token {
+			if j.HolderName != owner.name || j.Token != token || !m.withoutRoles && j.MaxToken != token {
 				return false
 			}
 		}
@@ -144,7 +144,7 @@
 // leader returns the leader of the electors.
 func (c *testFleet) leader(some ...*fleetMember) (leader *fleetMember) {
 	c.Helper()
-	c.poll("one leads", func() bool {
+	c.poll("a leader is elected", func() bool {
 		leader = nil
 		for _, m := range some {
 			if s, ok := m.leaseStatus(); ok && s.Local.IsLeader {
@@ -275,10 +275,10 @@
 			others := names(slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner }))
 			electors := names(slices.DeleteFunc(slices.Clone(c.all[:3]), func(m *fleetMember) bool { return m == owner }))
 			ways := cut(c, owner, electors, others)
-			c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			_, later := c.awaitNextOwner(name, token, c.without(owner)...)
 			c.poll("the old owner has given up the role", func() bool { return owner.reportRole().HeldToken != token })
-			c.board.SetFault(processcluster.LinkFault{}, ways...)
+			c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 			c.awaitOwner(later-1, c.all...)
 			stop()
 		})
@@ -295,14 +295,14 @@
 		owner, token := c.awaitOwner(0, c.all...)
 		others := slices.DeleteFunc(slices.Clone(c.all[3:]), func(m *fleetMember) bool { return m == owner })
 		ways := processcluster.Directions([]string{owner.name}, names(others), false)
-		c.board.SetFault(processcluster.LinkFault{Cut: true}, ways...)
+		c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 		from := others[0].report()
 		c.poll("the owner's reports go on", func() bool {
 			r, j := others[0].report(), others[0].reportRole()
 			held = r.Token == token && (from.Token != token && r.Round >= 2 || r.Round >= from.Round+2)
 			return held || j.Token > token
 		})
-		c.board.SetFault(processcluster.LinkFault{}, ways...)
+		c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 		c.awaitOwner(token-1, c.all...)
 	}
 	assert.True(t, held, "the owner's reports go on")
@@ -313,26 +313,26 @@
 func TestOwnerDelayedEffects(t *testing.T) {
 	c := newRoleFleet(t, 5, 3)
 	recorded := &messageRecord{hello: map[string][]byte{}, effects: map[string][][]byte{}, tokens: map[string][]uint64{}}
-	judge := c.board.OnFrame
-	c.board.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
+	observe := c.peerProxy.OnFrame
+	c.peerProxy.OnFrame = func(call uint64, w processcluster.Direction, topic frames.Topic, body []byte) {
 		recorded.tap(call, w, topic, body)
-		judge(call, w, topic, body)
+		observe(call, w, topic, body)
 	}
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	owner, token := c.awaitOwner(0, c.all...)
 	ways := processcluster.Directions([]string{owner.name}, names(c.without(owner)), true)
-	c.board.SetFault(processcluster.LinkFault{Hold: true}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{Hold: true}, ways...)
 	_, later := c.awaitNextOwner("held", token, c.without(owner)...)
 	c.poll("the old owner has given up the role", func() bool {
-		j, told := owner.queryRole("report")
-		return told && j.HeldToken == 0
+		j, replied := owner.queryRole("report")
+		return replied && j.HeldToken == 0
 	})
 	c.poll("the new owner acts", func() bool {
 		r := c.without(owner)[0].report()
 		return r.Token >= later && r.Round >= 2
 	})
-	c.board.SetFault(processcluster.LinkFault{}, ways...)
+	c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 	c.awaitOwner(later-1, c.all...)
 	c.awaitAgreement(c.all...)
 
@@ -347,9 +347,9 @@
 	require.NoError(t, err)
 	defer conn.Close()
 	require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
-	said := recorded.of(owner.name, token)
-	require.Greater(t, len(said), 2)
-	for _, frame := range said {
+	sent := recorded.of(owner.name, token)
+	require.Greater(t, len(sent), 2)
+	for _, frame := range sent {
 		_, err := conn.Write(frame)
 		require.NoError(t, err)
 	}
@@ -569,7 +569,7 @@
 				return slices.ContainsFunc(others, func(m *fleetMember) bool { return m.reportRole().HeldToken > token })
 			})
 			gap := time.Since(at)
-			t.Logf("%s gave the job up: another had it after %v", m.name, gap.Round(time.Millisecond))
+			t.Logf("%s gave up the role: another owner after %v", m.name, gap.Round(time.Millisecond))
 			assert.Less(t, gap, 5*time.Second)
 		}
 		<-m.ended
@@ -584,7 +584,7 @@
 // that are not electors don't know roles, like an earlier version: they ignore what is sent to all.
 func TestOwnerFleetShrinks(t *testing.T) {
 	c := newRoleFleet(t, 9, 5)
-	c.all[7].plain, c.all[8].plain = true, true
+	c.all[7].withoutRoles, c.all[8].withoutRoles = true, true
 	c.start().ready(c.all...)
 	stop := c.serveAll()
 	able := c.without(c.all[7:]...)
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -28,11 +28,11 @@
 // testFleet is several sidecars that know each other, each a process, with a fault-injecting proxy between all of them.
 type testFleet struct {
 	*testing.T
-	board   *processcluster.FaultProxy
-	server  *server
-	all     []*fleetMember
-	limits  map[string]any
-	replica int // the fleet's size as configured
+	peerProxy *processcluster.FaultProxy
+	server    *server
+	all       []*fleetMember
+	limits    map[string]any
+	replica   int // the fleet's size as configured
 
 	electors []string                      // addresses; empty: no electors and no roles
 	jobs     []string                      // empty: only the report
@@ -58,9 +58,9 @@
 	gone                atomic.Bool // true while it must not be sent requests
 	known               []endpoint
 	capture             bool     // its decisions are recorded
-	full                bool     // its disk is full
-	plain               bool     // it does not know roles, like an earlier version
-	passed              *os.File // the clients' listening socket, where the platform holds it
+	diskFull            bool     // its disk is full
+	withoutRoles        bool     // it does not know roles, like an earlier version
+	inheritedSocket     *os.File // the clients' listening socket, where the platform holds it
 	asked, refused, bad atomic.Int64
 }
 
@@ -72,9 +72,9 @@
 
 // newTestFleetIn is like newTestFleet, for a test that has a sidecar already.
 func newTestFleetIn(t *testing.T, n int) *testFleet {
-	c := &testFleet{T: t, board: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
+	c := &testFleet{T: t, peerProxy: processcluster.NewFaultProxy(), server: newServer(t, "s-00000001", says(200, "ok")), replica: n,
 		limits: map[string]any{"cores": 1, "sockets": 256}}
-	t.Cleanup(c.board.Close)
+	t.Cleanup(c.peerProxy.Close)
 	for range n {
 		c.add()
 	}
@@ -86,7 +86,7 @@
 	m := &fleetMember{c: c, name: fmt.Sprintf("m%02d", len(c.all)), dir: c.TempDir(), tmp: c.TempDir(), listen: freeAddress(c.T), ops: freeAddress(c.T), peers: freeAddress(c.T),
 		log: &syncBuffer{}}
 	var err error
-	m.advertise, err = c.board.Listen(m.name, m.peers)
+	m.advertise, err = c.peerProxy.Listen(m.name, m.peers)
 	require.NoError(c, err)
 	for _, o := range c.all[:min(len(c.all), 2)] {
 		m.join = append(m.join, o.advertise)
@@ -112,7 +112,7 @@
 
 func (m *fleetMember) fleet() map[string]any {
 	f := map[string]any{"name": "yard", "listen": m.peers, "advertise": m.advertise, "join": m.join, "dir": m.dir}
-	if len(m.c.electors) > 0 && !m.plain {
+	if len(m.c.electors) > 0 && !m.withoutRoles {
 		f["electors"], f["jobs"] = m.c.electors, []string{"report"}
 		if len(m.c.jobs) > 0 {
 			f["jobs"] = m.c.jobs
@@ -157,12 +157,12 @@
 	features := filepath.Join(m.tmp, "features.json")
 	require.NoError(m.c, os.WriteFile(features, text, 0o600))
 	m.cmd = program("serve", "--config", path, "--features", features)
-	if m.full { // no file of the process may hold a byte
+	if m.diskFull { // no file of the process may hold a byte
 		m.cmd.Path, m.cmd.Args = "/bin/sh", append([]string{"sh", "-c", `ulimit -f 0; exec "$0" "$@"`}, m.cmd.Args...)
 	}
 	m.cmd.Env = append(append(m.cmd.Env, "GW_OPS="+m.ops), m.env...)
-	if m.passed != nil {
-		m.cmd.ExtraFiles = []*os.File{m.passed, m.passed}
+	if m.inheritedSocket != nil {
+		m.cmd.ExtraFiles = []*os.File{m.inheritedSocket, m.inheritedSocket}
 	}
 	m.cmd.Stderr = m.log
 	require.NoError(m.c, m.cmd.Start())
@@ -210,7 +210,7 @@
 	m.c.Helper()
 	m.frozen.Store(true)
 	m.signal(syscall.SIGSTOP)
-	m.c.poll(m.name+" stands still", func() bool {
+	m.c.poll(m.name+" is paused", func() bool {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", m.cmd.Process.Pid))
 		if err != nil {
 			return false
@@ -371,7 +371,7 @@
 					}
 				case away:
 				case sentAfter >= silentMost:
-					c.Logf("%s: %v: the client stood still for %v before it sent its request", m.name, err, sentAfter)
+					c.Logf("%s: %v: the client was paused for %v before it sent its request", m.name, err, sentAfter)
 				default:
 					m.bad.Add(1)
 					c.Logf("%s: %v (the request was sent after %v)", m.name, err, sentAfter)
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -145,15 +145,15 @@
 	}
 	p := protocol(c, t.way)
 	_, err = apache.NewTStandardClient(p, p).Call(r.Context(), class, &asked, &result)
-	var said apache.TApplicationException
-	excepted := errors.As(err, &said)
+	var exception apache.TApplicationException
+	excepted := errors.As(err, &exception)
 	if err != nil && !excepted {
 		c.Close()
 		return nil, err
 	}
 	t.idle <- c
 	if excepted {
-		return told(said), nil
+		return exceptionResponse(exception), nil
 	}
 	m, err := thrift.ParseMessage(append([]byte{0x82, 0x41, 0, 0}, result...))
 	if err != nil {
@@ -174,8 +174,8 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// told returns the HTTP response that corresponds to an exception.
-func told(e apache.TApplicationException) *http.Response {
+// exceptionResponse returns the HTTP response that corresponds to an exception.
+func exceptionResponse(e apache.TApplicationException) *http.Response {
 	h := http.Header{}
 	if after, advised := strings.CutPrefix(e.Error(), "throttled; retry-after="); advised {
 		h.Set("Retry-After", after)
@@ -212,7 +212,7 @@
 			if err != nil {
 				return
 			}
-			go l.sort(peekedConn{c, bufio.NewReader(c)})
+			go l.dispatch(peekedConn{c, bufio.NewReader(c)})
 		}
 	}()
 	return l
@@ -227,7 +227,7 @@
 	}
 }
 
-func (l *protocolListener) sort(c peekedConn) {
+func (l *protocolListener) dispatch(c peekedConn) {
 	if first, err := c.r.Peek(1); err == nil && first[0] == 0 {
 		l.thrift(c)
 		return
@@ -340,8 +340,8 @@
 	return m, err
 }
 
-// said returns a summary of a reply: its sequence number, and the result or the exception's type and text.
-func said(t *testing.T, c io.Reader) string {
+// summarizeReply returns a summary of a reply: its sequence number, and the result or the exception's type and text.
+func summarizeReply(t *testing.T, c io.Reader) string {
 	t.Helper()
 	m, err := readFrame(c)
 	require.NoError(t, err)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -60,8 +60,8 @@
 	require.NoError(m.c, os.Rename(file+"-new", file)) // renamed, since the program may read it at any time
 }
 
-// hasFallen reports whether an armed sidecar has stopped or died.
-func (m *fleetMember) hasFallen(kill bool) bool {
+// hasStoppedOrDied reports whether an armed sidecar has stopped or died.
+func (m *fleetMember) hasStoppedOrDied(kill bool) bool {
 	if !kill {
 		return m.stopped()
 	}
@@ -80,7 +80,7 @@
 	owner.arm(step, kill, times)
 	moved := false
 	y.poll(owner.name+" comes to the step, or owns the job no more", func() bool {
-		if owner.hasFallen(kill) {
+		if owner.hasStoppedOrDied(kill) {
 			return true
 		}
 		s := y.newestStatus()
@@ -88,7 +88,7 @@
 		return moved
 	})
 	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // the owner is reaching the step right now
-		y.poll(owner.name+" falls", func() bool { return owner.hasFallen(kill) })
+		y.poll(owner.name+" falls", func() bool { return owner.hasStoppedOrDied(kill) })
 		return true
 	}
 	owner.frozen.Store(false)
@@ -106,15 +106,15 @@
 		at   maintenance.Stage // a server's stage when the coordinator is armed; Pending: no server is out
 		half bool              // a pause is sent that one member does not hear
 	}{
-		{"agreed that a box leaves, nobody told", "agreed", maintenance.Pending, false},
-		{"all told that it leaves", "told", maintenance.Pending, false},
-		{"half told", "told", maintenance.Draining, true},
-		{"it is empty, not agreed", "empty", maintenance.Draining, false},
-		{"agreed that it is empty, nobody told", "agreed", maintenance.Draining, false},
-		{"all told that it is empty", "told", maintenance.Draining, false},
-		{"agreed to hand it over, the mechanic not told", "handed", maintenance.Draining, false},
-		{"the mechanic is at work", "", maintenance.InMaintenance, false},
-		{"it is cold", "", maintenance.WarmingUp, false},
+		{"removal of a server agreed, no sidecar notified", "agreed", maintenance.Pending, false},
+		{"all sidecars notified of the removal", "told", maintenance.Pending, false},
+		{"half of the sidecars notified", "told", maintenance.Draining, true},
+		{"server is idle, not agreed yet", "empty", maintenance.Draining, false},
+		{"server agreed to be idle, no sidecar notified", "agreed", maintenance.Draining, false},
+		{"all sidecars notified that the server is idle", "told", maintenance.Draining, false},
+		{"handover agreed, the maintenance agent not notified", "handed", maintenance.Draining, false},
+		{"the maintenance agent is at work", "", maintenance.InMaintenance, false},
+		{"the server is warming up", "", maintenance.WarmingUp, false},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			y := newMaintenanceFleet(t, 5, 5, 4)
@@ -123,17 +123,17 @@
 			}
 			y.open()
 			var away atomic.Bool // whether the agent is away: else the plan could end while a sidecar restarts
-			y.mechanic("anna", func(m *maintenanceagent.Agent) {
+			y.startAgent("anna", func(m *maintenanceagent.Agent) {
 				m.WorkDuration = func(string) time.Duration { return time.Second }
 				m.AdminEndpoints = func() []string {
 					if away.Load() {
 						return nil
 					}
-					return y.doors()
+					return y.adminEndpoints()
 				}
 			})
 			give := func() {
-				y.submitPlan(y.awaitCoordinator(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.boxes[:3]...)
+				y.submitPlan(y.awaitCoordinator(y.all...), "gone = \"4s\"\ncold = \"2s\"\nsettle = \"1s\"", y.machines[:3]...)
 			}
 			over := func() bool { s := y.newestStatus(); return s.Plans[len(s.Plans)-1].Ended }
 			give()
@@ -166,10 +166,10 @@
 						owner.freeze()
 						fell = true
 					case k.half:
-						y.board.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
+						y.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, deaf...)
 						go y.command("fleet", "work", "pause", "--ops", others[1].ops) // the command may fail, as the owner may die first
 						fell = y.failAtStep(owner, k.step, kill, times)
-						y.board.SetFault(processcluster.LinkFault{}, deaf...)
+						y.peerProxy.SetFault(processcluster.LinkFault{}, deaf...)
 					default:
 						fell = y.failAtStep(owner, k.step, kill, times)
 					}
@@ -195,7 +195,7 @@
 				}
 				return len(all) > 0 && all[len(all)-1].StartedAt.After(from)
 			})
-			y.stood = append(y.stood, stallPeriod{old, from, time.Now()})
+			y.stalls = append(y.stalls, stallPeriod{old, from, time.Now()})
 			old.resume()
 			p := y.awaitEnd()
 			for _, b := range p.Servers {
@@ -203,8 +203,8 @@
 			}
 			y.poll("the old owner knows", func() bool {
 				s, ok := old.maintenanceStatus()
-				j, told := old.queryRole("works")
-				return ok && told && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
+				j, replied := old.queryRole("works")
+				return ok && replied && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
 			})
 			tokens := map[uint64]bool{}
 			for _, r := range y.records() {
