--- a/cmd/hazelwheel/backend_test.go
+++ b/cmd/hazelwheel/backend_test.go
@@ -51,16 +51,16 @@
 	}{
 		{name: "reset before the answer", first: cuts("", 0), again: true},
 		{name: "reset before the answer, long body", first: cuts("", 0), body: long, again: true},
-		{name: "reset long after the begin", first: cuts("", 1500*time.Millisecond)},
+		{name: "reset long after the start", first: cuts("", 1500*time.Millisecond)},
 		{name: "reset in the head", first: cuts("HTTP/1.1 200 O", 0), again: true},
 		{name: "reset in the body", first: cuts(message(200, "spoilt")[:40], 0), again: true},
 		{name: "reset in a chunk", first: cuts("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nhalf", 0), again: true},
 		{name: "reset before the last chunk", first: cuts("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", 0), again: true},
 		{name: "reset where the end is the length", first: cuts(close1+"half", 0), again: true},
 		{name: "reset some time later where the end is the length", first: cuts(close1+"half", 100*time.Millisecond), again: true},
-		{name: "reset behind a whole answer", first: cuts(message(200, "sound"), 0), served: true},
+		{name: "reset after a complete response", first: cuts(message(200, "sound"), 0), served: true},
 		{name: "answered twice", first: sends(message(200, "sound") + message(200, "other")), served: true},
-		{name: "answered by halves", first: func(conn *net.TCPConn, a attempt) bool {
+		{name: "answered in two halves", first: func(conn *net.TCPConn, a attempt) bool {
 			sends(message(200, "sound")[:30])(conn, a)
 			time.Sleep(50 * time.Millisecond) // so that they arrive in separate reads
 			return sends(message(200, "sound")[30:])(conn, a)
--- a/cmd/hazelwheel/fleet_test.go
+++ b/cmd/hazelwheel/fleet_test.go
@@ -61,7 +61,7 @@
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(path, raw, 0o600))
 			w.launch("serve", "--config", path)
-			w.eventually("served", func() bool { return w.ask("read", "/read/1", "").status == 200 })
+			w.eventually("a request is served", func() bool { return w.ask("read", "/read/1", "").status == 200 })
 			w.awaitLog("settings.replicasOfMe: missing, or out of range:", 1)
 			w.awaitLog("beginning without a list", 1)
 			w.awaitLog("by the sidecar's name", 1)
--- a/cmd/hazelwheel/fleetcases_test.go
+++ b/cmd/hazelwheel/fleetcases_test.go
@@ -108,12 +108,12 @@
 			c.peerProxy.SetFault(processcluster.LinkFault{Cut: true}, ways...)
 			// It is accused, refutes that, and is accused again after a while: by then it could have been declared dead.
 			refutations := uint64(0)
-			c.pollWith("it has said no twice", func() bool {
+			c.pollWith("the muted sidecar has refuted its suspicion twice", func() bool {
 				s, _ := mute.status()
 				refutations = s.View.Refutations
 				return refutations >= 2
 			}, func() string {
-				return fmt.Sprintf("%s has said no %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
+				return fmt.Sprintf("%s has refuted its suspicion %d times, watched by %v, not heard by %v", mute.name, refutations, names(watchers), names(watchers[:deaf]))
 			})
 			c.peerProxy.SetFault(processcluster.LinkFault{}, ways...)
 			c.awaitAgreement(c.all...)
@@ -206,7 +206,7 @@
 	}
 	assert.Len(t, ids, 4)
 	assert.True(t, ids[was], "one of the two keeps the identity")
-	c.poll("a sidecar reports it", func() bool {
+	c.poll("a sidecar reports that it changed its identity", func() bool {
 		return strings.Contains(c.all[2].log.String()+twin.log.String(), "goes on under another identity")
 	})
 	// The new identity is stored: after a restart all members keep theirs.
@@ -320,7 +320,7 @@
 	c.awaitAgreement(c.all...)
 	s, _ := m.status()
 	assert.False(t, s.IdentityStored)
-	c.poll("the log reports it", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
+	c.poll("the log reports that the identity is not kept", func() bool { return strings.Contains(m.log.String(), "the identity can't be kept") })
 
 	// A full disk: no byte of a file can be written.
 	m.kill()
--- a/cmd/hazelwheel/owner_test.go
+++ b/cmd/hazelwheel/owner_test.go
@@ -232,7 +232,7 @@
 		owner.log.forget()
 		owner.resume()
 		c.poll("the old owner knows that it lost the role", func() bool { j := owner.reportRole(); return j.HeldToken != token && j.MaxToken >= later })
-		c.poll("the log reports it", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
+		c.poll("the log reports the loss of the role", func() bool { return strings.Contains(owner.log.String(), "no longer the owner of a job") })
 		c.awaitOwner(later-1, c.all...)
 		if refused(others...) > before {
 			hits++
@@ -369,7 +369,7 @@
 	assert.GreaterOrEqual(t, e.Token, later)
 	after := victim.reportRole()
 	assert.Greater(t, after.Rejected, before.Rejected)
-	c.poll("the log reports it", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
+	c.poll("the log reports the refused effect", func() bool { return strings.Contains(victim.log.String(), "an old owner's effect is refused") })
 	stop()
 }
 
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -82,7 +82,7 @@
 					end()
 					assert.NoError(t, <-over)
 				})
-				w.eventually("the flood is there", func() bool { return w.isUnderPressure(kept) })
+				w.eventually("the program is under pressure", func() bool { return w.isUnderPressure(kept) })
 				stranger := clientFrom(t, "127.0.0.4", false)
 				for range 12 {
 					ask(kept)
--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -98,7 +98,7 @@
 	w.discovery.answers <- list(line(t, 8, true, first, second)) // sent once: the second process starts with the list of the first
 	p := newPlatform(w)
 	old := p.begin()
-	w.eventually("served", func() bool { return w.ask("read", "", "").status == 200 })
+	w.eventually("a request is served", func() bool { return w.ask("read", "", "").status == 200 })
 	require.Contains(t, old.call("OFFLINE s-00000002"), "OK")
 	before := second.requestCount()
 
@@ -132,7 +132,7 @@
 		})
 	}
 	// The first state is saved before there is a list. A successor that starts from it would wait for a list that is not sent again.
-	w.eventually("a state with both servers", func() bool {
+	w.eventually("the saved state has both servers", func() bool {
 		text, err := os.ReadFile(filepath.Join(p.dir, "hazelwheel", "state"))
 		if err != nil {
 			return false
@@ -142,7 +142,7 @@
 	})
 	for range 3 {
 		next := p.begin()
-		w.eventually("it goes on", func() bool { return strings.Contains(next.log.String(), "going on from another process's state") })
+		w.eventually("the new process continues from the saved state", func() bool { return strings.Contains(next.log.String(), "going on from another process's state") })
 		old.retire()
 		assert.Equal(t, "1", w.ask("read", "", "").body, "the ban stays in effect")
 		old = next
@@ -156,7 +156,7 @@
 	assert.Greater(t, total, 100)
 	assert.Equal(t, before, second.requestCount(), "no new requests to the banned server")
 	require.Contains(t, old.call("ONLINE s-00000002"), "OK")
-	w.eventually("back in use", func() bool { return w.ask("read", "", "").body == "2" })
+	w.eventually("the server is used again", func() bool { return w.ask("read", "", "").body == "2" })
 }
 
 // Commands at one process's admin endpoint also apply to the other process, and a drain by command is handed over.
@@ -168,7 +168,7 @@
 	next := p.begin()
 	unavailable := func(q *sidecarProcess, n int) {
 		t.Helper()
-		w.eventually(fmt.Sprint(n, " out"), func() bool { return strings.Contains(q.call("DUMP"), fmt.Sprint("gw_members_unavailable ", n, "\n")) })
+		w.eventually(fmt.Sprint(n, " servers unavailable"), func() bool { return strings.Contains(q.call("DUMP"), fmt.Sprint("gw_members_unavailable ", n, "\n")) })
 	}
 	require.Contains(t, next.call("OFFLINE s-00000001"), "OK")
 	unavailable(old, 1)
@@ -203,7 +203,7 @@
 	p := newPlatform(w)
 	old := p.begin()
 	saved := filepath.Join(p.dir, "hazelwheel", "state")
-	w.eventually("a state", func() bool { _, err := os.Stat(saved); return err == nil })
+	w.eventually("the state is saved", func() bool { _, err := os.Stat(saved); return err == nil })
 	next := p.begin()
 	require.NoError(t, next.cmd.Process.Kill())
 	<-next.end
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -120,7 +120,7 @@
 	assert.Less(t, p.took, 4*time.Second)
 	assert.Zero(t, w.counter("overdue"), "the policy answered, not the fallback timeout")
 	assert.EqualValues(t, 1, w.countOfOutcome("execution_ends", "timed_out"))
-	w.eventually("the given-up link is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
+	w.eventually("the abandoned connection is closed", func() bool { _, _, closed := s.counts(); return closed == 1 })
 	s.set(says(200, "own"))
 	assert.Equal(t, "own", w.ask("write", "", "").body, "the late response is not used for another request")
 }
--- a/cmd/hazelwheel/shutdown_test.go
+++ b/cmd/hazelwheel/shutdown_test.go
@@ -30,14 +30,14 @@
 		late          bool
 		headOf, sound string // the response: what is written before SIGTERM, and the rest
 	}{
-		{name: "its first line half read", class: "read", before: 8, sound: message(200, "sound")},
-		{name: "its head half read", class: "write", body: "body", before: 50, sound: message(200, "sound")},
-		{name: "its body half read", class: "write", body: strings.Repeat("x", half), before: half / 2, sound: message(200, "sound")},
-		{name: "its long body half read", class: "write", body: strings.Repeat("x", 30*half), before: 15 * half, sound: message(200, "sound")},
+		{name: "its first line is half read", class: "read", before: 8, sound: message(200, "sound")},
+		{name: "its head is half read", class: "write", body: "body", before: 50, sound: message(200, "sound")},
+		{name: "its body is half read", class: "write", body: strings.Repeat("x", half), before: half / 2, sound: message(200, "sound")},
+		{name: "its long body is half read", class: "write", body: strings.Repeat("x", 30*half), before: 15 * half, sound: message(200, "sound")},
 		{name: "no server is listed", class: "write", body: "body", unlisted: true, sound: message(200, "sound")},
-		{name: "its connection comes up", class: "write", body: "body", late: true, sound: message(200, "sound")},
-		{name: "its answer begun", class: "write", body: "body", headOf: message(200, "sound")[:30], sound: message(200, "sound")[30:]},
-		{name: "its large answer begun", class: "read", headOf: message(200, large)[:half], sound: message(200, large)[half:]},
+		{name: "its connection is being established", class: "write", body: "body", late: true, sound: message(200, "sound")},
+		{name: "its response has begun", class: "write", body: "body", headOf: message(200, "sound")[:30], sound: message(200, "sound")[30:]},
+		{name: "its large response has begun", class: "read", headOf: message(200, large)[:half], sound: message(200, large)[half:]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -86,7 +86,7 @@
 			a, err := conn.answer()
 			require.NoError(t, err)
 			want := message(200, large)[strings.Index(message(200, large), "\r\n\r\n")+4:]
-			if c.name != "its large answer begun" {
+			if c.name != "its large response has begun" {
 				want = "sound"
 			}
 			assert.Equal(t, 200, a.status)
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -250,7 +250,7 @@
 // awaitStage waits until a server has reached a stage in the newest status.
 func (y *maintenanceFleet) awaitStage(b *machine, to ...maintenance.Stage) (found maintenance.Server) {
 	y.Helper()
-	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
+	y.poll(fmt.Sprintf("%s reaches stage %v", b.name, to), func() bool {
 		s := y.newestStatus()
 		found = stage(&s, b)
 		return slices.Contains(to, found.Stage)
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -366,7 +366,7 @@
 				before[m] = lists(m)
 			}
 			y.registry.publish(e, false)
-			y.poll("all know", func() bool {
+			y.poll("all sidecars have received the list", func() bool {
 				return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return lists(m) == before[m] })
 			})
 			asked := y.all[0].asked.Load()
@@ -414,7 +414,7 @@
 	y.poll("the plan goes on without them", func() bool { return y.counts()[maintenance.Done] >= 3 })
 	dies()
 	var last *machine
-	y.poll("the last one is ready", func() bool {
+	y.poll("the last server is drained", func() bool {
 		s := y.newestStatus()
 		for _, b := range y.machines {
 			if k := stage(&s, b); k.Stage == maintenance.Drained {
@@ -492,7 +492,7 @@
 	old, ended := m.cmd, m.ended
 	m.ops = freeAddress(t) // each process has its own admin endpoint
 	m.start()
-	y.poll("the new process has the server out", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
+	y.poll("the new process does not use the server", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
 	require.NoError(t, old.Process.Signal(syscall.SIGTERM))
 	<-ended
 	y.awaitAgreement(y.all...)
--- a/cmd/hazelwheel/workstep_test.go
+++ b/cmd/hazelwheel/workstep_test.go
@@ -79,7 +79,7 @@
 	y.Helper()
 	owner.arm(step, kill, times)
 	moved := false
-	y.poll(owner.name+" comes to the step, or owns the job no more", func() bool {
+	y.poll(owner.name+" reaches the step, or no longer owns the role", func() bool {
 		if owner.hasStoppedOrDied(kill) {
 			return true
 		}
@@ -88,7 +88,7 @@
 		return moved
 	})
 	if !moved || os.Remove(filepath.Join(owner.tmp, "step")) != nil { // the owner is reaching the step right now
-		y.poll(owner.name+" falls", func() bool { return owner.hasStoppedOrDied(kill) })
+		y.poll(owner.name+" has stopped or died", func() bool { return owner.hasStoppedOrDied(kill) })
 		return true
 	}
 	owner.frozen.Store(false)
@@ -201,7 +201,7 @@
 			for _, b := range p.Servers {
 				assert.Equal(t, maintenance.Done, b.Stage, b.Name)
 			}
-			y.poll("the old owner knows", func() bool {
+			y.poll("the old owner knows that it lost the role and that the plan has ended", func() bool {
 				s, ok := old.maintenanceStatus()
 				j, replied := old.queryRole("works")
 				return ok && replied && len(s.Plans) > 0 && s.Plans[len(s.Plans)-1].Ended && j.HeldToken != token
