--- a/cmd/hazelwheel/capture_test.go
+++ b/cmd/hazelwheel/capture_test.go
@@ -144,7 +144,7 @@
 	require.NoError(t, f.Close())
 	w.awaitLog(`"k":"end"}`, 1)
 
-	last := w.askAside("write", "", "")
+	last := w.askAsync("write", "", "")
 	w.eventually("a request is in flight", func() bool { return w.counter("executions") == 1 })
 	w.signal(syscall.SIGTERM)
 	w.awaitLog("msg=ending", 1)
--- a/cmd/hazelwheel/drill_test.go
+++ b/cmd/hazelwheel/drill_test.go
@@ -179,7 +179,7 @@
 	assert.GreaterOrEqual(t, cut.took, 12*time.Second)
 	assert.Less(t, cut.took, 15*time.Second)
 
-	last := w.askAside("write", "", "")
+	last := w.askAsync("write", "", "")
 	w.eventually("another request is delayed", func() bool { return w.counter("open") == 1 })
 	w.signal(syscall.SIGTERM)
 	assert.Equal(t, 200, (<-last).status)
--- a/cmd/hazelwheel/flow_test.go
+++ b/cmd/hazelwheel/flow_test.go
@@ -189,10 +189,10 @@
 	s := newServer(t, "s-00000001", says(503, "", "Not-Started", "1"))
 	w := newTestSidecar(t, s).start()
 	body := strings.Repeat("x", 300_000)
-	asked := w.askAside("write", "", body)
+	reply := w.askAsync("write", "", body)
 	w.eventually("the first attempt", func() bool { return s.requestCount() > 0 })
 	s.set(says(200, "done"))
-	assert.Equal(t, "done", (<-asked).body)
+	assert.Equal(t, "done", (<-reply).body)
 	for _, got := range s.requests {
 		assert.Equal(t, hexDigest([]byte(body)), hexDigest([]byte(got)))
 	}
--- a/cmd/hazelwheel/gone_test.go
+++ b/cmd/hazelwheel/gone_test.go
@@ -36,7 +36,7 @@
 		{"no server is listed", goneWhileUnlisted, 0},
 		{"its connection is being established", goneWhileConnecting, 0},
 		{"between two attempts", goneBetweenAttempts, 1},
-		{"it has not been read yet", goneBeforeTheLook, 0},
+		{"it has not been read yet", goneBeforeRead, 0},
 	} {
 		for how, depart := range departures {
 			t.Run(c.name+", client "+how, func(t *testing.T) {
@@ -112,8 +112,8 @@
 	return w, s, id
 }
 
-// goneBeforeTheLook has both the request and the end of the stream in the socket when the program first reads it.
-func goneBeforeTheLook(t *testing.T, departs func(*testSidecar, *client)) (*testSidecar, *backend, string) {
+// goneBeforeRead has both the request and the end of the stream in the socket when the program first reads it.
+func goneBeforeRead(t *testing.T, departs func(*testSidecar, *client)) (*testSidecar, *backend, string) {
 	s := newBackend(t, "s-00000001", sends(message(200, "sound")))
 	w := newCrossing(t, nil, s)
 	id, conn := newID(), w.dial(0)
--- a/cmd/hazelwheel/health_test.go
+++ b/cmd/hazelwheel/health_test.go
@@ -97,7 +97,7 @@
 	address := w.withHealth(`,"health":{"max_inflight":0}`)
 	w.start()
 	w.eventually("ready", func() bool { return getHealth(t, address, "/ready").status == 200 })
-	last := w.askAside("write", "", "")
+	last := w.askAsync("write", "", "")
 	w.eventually("a request is in flight", func() bool { return getHealth(t, address, "/ready").Inflight == 1 })
 	assert.Equal(t, []string{"inflight 1 > 0"}, getHealth(t, address, "/ready").Reasons)
 	w.signal(syscall.SIGTERM)
--- a/cmd/hazelwheel/ops_test.go
+++ b/cmd/hazelwheel/ops_test.go
@@ -147,11 +147,11 @@
 	}
 	release := make(chan struct{})
 	s.set(func(http.ResponseWriter, *http.Request) { <-release })
-	asked := w.askAside("read", "", "")
+	reply := w.askAsync("read", "", "")
 	w.awaitFigure("pending", 1)
 	w.awaitFigure("upstream_requests", attempts+1)
 	close(release)
-	<-asked
+	<-reply
 }
 
 // A server that is banned by an operator gets no requests, whatever discovery says, until the ban is lifted.
@@ -250,7 +250,7 @@
 	assert.False(t, w.ask("read", "", "").last)
 	release := make(chan struct{})
 	s.set(func(http.ResponseWriter, *http.Request) { <-release })
-	open := w.askAside("read", "", "")
+	open := w.askAsync("read", "", "")
 	w.awaitFigure("pending", 1)
 	w.signal(syscall.SIGTERM)
 	w.eventually("a process that shuts down does not end its drain", func() bool { return w.callAdmin("JOIN") == "ERR this process has been told to end\n" })
--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -43,25 +43,25 @@
 
 // fleetMember is one sidecar across all restarts of its process.
 type fleetMember struct {
-	c                   *testFleet
-	name                string
-	dir                 string // folder of its state
-	tmp                 string
-	listen, ops         string
-	peers, advertise    string
-	join                []string
-	env                 []string
-	cmd                 *exec.Cmd
-	ended               chan struct{} // closed once the process has ended
-	log                 *syncBuffer
-	frozen              atomic.Bool
-	gone                atomic.Bool // true while it must not be sent requests
-	known               []endpoint
-	capture             bool     // its decisions are recorded
-	diskFull            bool     // its disk is full
-	withoutRoles        bool     // it does not know roles, like an earlier version
-	inheritedSocket     *os.File // the clients' listening socket, where the platform holds it
-	asked, refused, bad atomic.Int64
+	c                       *testFleet
+	name                    string
+	dir                     string // folder of its state
+	tmp                     string
+	listen, ops             string
+	peers, advertise        string
+	join                    []string
+	env                     []string
+	cmd                     *exec.Cmd
+	ended                   chan struct{} // closed once the process has ended
+	log                     *syncBuffer
+	frozen                  atomic.Bool
+	gone                    atomic.Bool // true while it must not be sent requests
+	known                   []endpoint
+	capture                 bool     // its decisions are recorded
+	diskFull                bool     // its disk is full
+	withoutRoles            bool     // it does not know roles, like an earlier version
+	inheritedSocket         *os.File // the clients' listening socket, where the platform holds it
+	responses, refused, bad atomic.Int64
 }
 
 // newTestFleet returns sidecars that are not started. They join by the addresses of the first two.
@@ -366,7 +366,7 @@
 				switch {
 				case err == nil:
 					p.Body.Close()
-					if m.asked.Add(1); p.StatusCode != 200 && !away {
+					if m.responses.Add(1); p.StatusCode != 200 && !away {
 						m.refused.Add(1)
 					}
 				case away:
@@ -385,7 +385,7 @@
 		for _, m := range c.all {
 			assert.Zero(c, m.bad.Load(), "%s left requests without an answer", m.name)
 			// On a busy machine the policy may reject some requests.
-			assert.LessOrEqual(c, m.refused.Load(), 1+m.asked.Load()/50, "%s did not serve", m.name)
+			assert.LessOrEqual(c, m.refused.Load(), 1+m.responses.Load()/50, "%s did not serve", m.name)
 		}
 	}
 }
--- a/cmd/hazelwheel/pressure_test.go
+++ b/cmd/hazelwheel/pressure_test.go
@@ -183,7 +183,7 @@
 	c, err := net.Dial("tcp", w.listen)
 	require.NoError(t, err)
 	defer c.Close()
-	late := w.askAside("write", "", "", "Request-Timeout", "1500m")
+	late := w.askAsync("write", "", "", "Request-Timeout", "1500m")
 	w.eventually("a request is in flight", func() bool { return w.counter("open") == 1 })
 	w.signal(syscall.SIGTERM)
 	assert.Equal(t, 504, (<-late).status)
--- a/cmd/hazelwheel/replace_test.go
+++ b/cmd/hazelwheel/replace_test.go
@@ -102,7 +102,7 @@
 	require.Contains(t, old.call("OFFLINE s-00000002"), "OK")
 	before := second.requestCount()
 
-	stop, asked := make(chan struct{}), make(chan int, 8)
+	stop, counts := make(chan struct{}), make(chan int, 8)
 	var clients sync.WaitGroup
 	for i := range 8 {
 		clients.Go(func() {
@@ -111,7 +111,7 @@
 			for {
 				select {
 				case <-stop:
-					asked <- n
+					counts <- n
 					return
 				default:
 				}
@@ -121,7 +121,7 @@
 					r, err = client.Do(w.request("write", "", "x"))
 				}
 				if !assert.NoError(t, err) {
-					asked <- n
+					counts <- n
 					return
 				}
 				r.Body.Close()
@@ -150,7 +150,7 @@
 	close(stop)
 	total := 0
 	for range 8 {
-		total += <-asked
+		total += <-counts
 	}
 	clients.Wait()
 	assert.Greater(t, total, 100)
--- a/cmd/hazelwheel/serve_test.go
+++ b/cmd/hazelwheel/serve_test.go
@@ -301,7 +301,7 @@
 		io.WriteString(rw, "first")
 	})
 	w := newTestSidecar(t, s).start()
-	first := w.askAside("write", "", "", "Request-Id", "a")
+	first := w.askAsync("write", "", "", "Request-Id", "a")
 	w.eventually("the attempt", func() bool { return s.requestCount() == 1 })
 	assert.Equal(t, 409, w.ask("write", "", "", "Request-Id", "a").status)
 	close(release)
@@ -363,7 +363,7 @@
 	drains := make(chan struct{})
 	w.discovery.sendVersionOnce(8, drains, func() string { return strings.Replace(line(t, 8, false, s), s.Listener.Addr().String(), address, 1) })
 	w.start()
-	answer := w.askAside("write", "", "")
+	answer := w.askAsync("write", "", "")
 	w.eventually("the dial", func() bool { return w.counter("dials") == 1 })
 	s.status = "DRAINING"
 	close(drains)
@@ -441,7 +441,7 @@
 		<-release
 		io.WriteString(rw, "late")
 	})
-	late := w.askAside("write", "", "")
+	late := w.askAsync("write", "", "")
 	w.eventually("the attempt", func() bool { return s.requestCount() == 2 })
 	w.signal(syscall.SIGTERM)
 	// An idle connection still serves a request that arrives soon after SIGTERM; the response closes the connection.
--- a/cmd/hazelwheel/testsidecar_test.go
+++ b/cmd/hazelwheel/testsidecar_test.go
@@ -299,8 +299,8 @@
 	return p
 }
 
-// askAside is like ask, but runs in the background.
-func (w *testSidecar) askAside(class, path, body string, header ...string) <-chan reply {
+// askAsync is like ask, but runs in the background.
+func (w *testSidecar) askAsync(class, path, body string, header ...string) <-chan reply {
 	c, r := make(chan reply, 1), w.request(class, path, body, header...)
 	go func() { c <- w.send(r) }()
 	return c
--- a/cmd/hazelwheel/thrift_test.go
+++ b/cmd/hazelwheel/thrift_test.go
@@ -253,7 +253,7 @@
 	})
 	w := newThriftTestSidecar(t, s).start()
 	c := w.dialThrift()
-	over := w.askAside("alert", "", "x", "Request-Id", "h", "Idempotency-Key", "k2")
+	over := w.askAsync("alert", "", "x", "Request-Id", "h", "Idempotency-Key", "k2")
 	_, _ = c.Write(frame(thrift.Binary, thrift.Call, "alert", 3, "t", "k2", "x"))
 	assert.Equal(t, "3 alert t=x", summarizeReply(t, c))
 	assert.Equal(t, "h=x", (<-over).body)
@@ -430,11 +430,11 @@
 					m, err := thrift.ParseMessage(raw)
 					require.NoError(t, err)
 					body := m.Body()
-					asked, got := values(raw[len(raw)-body.Remaining():]), values(nil)
-					_, err = client.Call(t.Context(), "read", &asked, &got)
+					sent, got := values(raw[len(raw)-body.Remaining():]), values(nil)
+					_, err = client.Call(t.Context(), "read", &sent, &got)
 					require.NoError(t, err, f[0])
 					mem := apache.NewTMemoryBuffer() // some are not encoded as the library does it
-					require.NoError(t, asked.Write(t.Context(), apache.NewTCompactProtocolConf(mem, nil)))
+					require.NoError(t, sent.Write(t.Context(), apache.NewTCompactProtocolConf(mem, nil)))
 					require.Equal(t, values(mem.Bytes()), got, f[0])
 					called++
 				}
--- a/cmd/hazelwheel/ways_test.go
+++ b/cmd/hazelwheel/ways_test.go
@@ -130,7 +130,7 @@
 	var w thrift.Writer
 	w.BeginMessage(nil, thrift.Compact, thrift.Call, "", 0)
 	arguments(&w, r.Header.Get("Request-Id"), r.Header.Get("Idempotency-Key"), rest, string(body), patienceMS)
-	asked, result := values(w.EndMessage()[8:]), values(nil) // after a message header with an empty name
+	request, result := values(w.EndMessage()[8:]), values(nil) // after a message header with an empty name
 
 	var c net.Conn
 	select {
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	p := protocol(c, t.way)
-	_, err = apache.NewTStandardClient(p, p).Call(r.Context(), class, &asked, &result)
+	_, err = apache.NewTStandardClient(p, p).Call(r.Context(), class, &request, &result)
 	var exception apache.TApplicationException
 	excepted := errors.As(err, &exception)
 	if err != nil && !excepted {
--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -324,7 +324,7 @@
 	y.Helper()
 	w := &testSidecar{T: y.T, listen: by.listen}
 	w.client.Timeout = 3 * patience
-	w.askAside(class, "/hold", "", header...)
+	w.askAsync(class, "/hold", "", header...)
 	var found *machine
 	y.poll("a server holds a request", func() bool {
 		for _, b := range y.machines {
--- a/cmd/hazelwheel/workcases_test.go
+++ b/cmd/hazelwheel/workcases_test.go
@@ -62,12 +62,12 @@
 	}
 	y.all[2].signal(syscall.SIGHUP)
 	y.ready(y.all[3:]...)
-	asked := map[*fleetMember]int64{}
+	responses := map[*fleetMember]int64{}
 	for _, m := range y.all {
-		asked[m] = m.asked.Load()
+		responses[m] = m.responses.Load()
 	}
 	y.poll("all have served", func() bool {
-		return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+50 })
+		return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.responses.Load() < responses[m]+50 })
 	})
 	for _, m := range y.all {
 		y.poll(m.name+" does not use the server", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
@@ -205,8 +205,8 @@
 		}
 		return n
 	}
-	n, asked := ours(), hand.asked.Load()
-	y.poll("the sidecar uses other servers", func() bool { return hand.asked.Load() > asked+100 })
+	n, responses := ours(), hand.responses.Load()
+	y.poll("the sidecar uses other servers", func() bool { return hand.responses.Load() > responses+100 })
 	assert.Equal(t, n, ours(), "the operator has banned it there")
 	setServer("ONLINE")
 	y.poll("the server is used there again", func() bool { return ours() > n })
@@ -314,8 +314,8 @@
 	assert.Contains(t, bob.Records()[0].CompletionErrors[0], "is not worked on under")
 	stop()
 	lost := y.machines[1].requestCount()
-	asked := owner.asked.Load()
-	y.poll("the others serve", func() bool { return owner.asked.Load() > asked+100 })
+	responses := owner.responses.Load()
+	y.poll("the others serve", func() bool { return owner.responses.Load() > responses+100 })
 	assert.Equal(t, lost, y.machines[1].requestCount(), "a lost server stays out")
 	out, code := y.command("fleet", "work", "done", y.machines[0].name, formatToken(first.Token-1), "--ops", owner.ops)
 	assert.Equal(t, 1, code)
@@ -369,8 +369,8 @@
 			y.poll("all sidecars have received the list", func() bool {
 				return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return lists(m) == before[m] })
 			})
-			asked := y.all[0].asked.Load()
-			y.poll("the sidecars go on serving", func() bool { return y.all[0].asked.Load() > asked+100 })
+			responses := y.all[0].responses.Load()
+			y.poll("the sidecars go on serving", func() bool { return y.all[0].responses.Load() > responses+100 })
 			assert.Zero(t, moved.requestCount(), "the server is out at whichever address it is listed")
 			close(over)
 			assert.Equal(t, maintenance.Done, y.awaitEnd().Servers[0].Stage)
@@ -478,13 +478,13 @@
 	y.submitPlan(y.all[0], "", b)
 	out := func() {
 		t.Helper()
-		asked := map[*fleetMember]int64{}
+		responses := map[*fleetMember]int64{}
 		for _, m := range y.all {
 			y.poll(m.name+" does not use the server", func() bool { s, ok := m.maintenanceStatus(); return ok && slices.Equal(s.Cordoned, []string{b.name}) })
-			asked[m] = m.asked.Load()
+			responses[m] = m.responses.Load()
 		}
 		y.poll("all serve", func() bool {
-			return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.asked.Load() < asked[m]+30 })
+			return !slices.ContainsFunc(y.all, func(m *fleetMember) bool { return m.responses.Load() < responses[m]+30 })
 		})
 	}
 	y.awaitStage(b, maintenance.InMaintenance)
