--- a/cmd/hazelwheel/peers_test.go
+++ b/cmd/hazelwheel/peers_test.go
@@ -371,7 +371,7 @@
 					}
 				case away:
 				case sentAfter >= silentMost:
-					c.Logf("%s: %v: the client was paused for %v before it sent its request", m.name, err, sentAfter)
+					c.Logf("%s: %v: the client stalled for %v before it sent its request", m.name, err, sentAfter)
 				default:
 					m.bad.Add(1)
 					c.Logf("%s: %v (the request was sent after %v)", m.name, err, sentAfter)
