--- a/cmd/hazelwheel/work_test.go
+++ b/cmd/hazelwheel/work_test.go
@@ -250,7 +250,7 @@
 // awaitStage waits until a server has reached a stage in the newest status.
 func (y *maintenanceFleet) awaitStage(b *machine, to ...maintenance.Stage) (found maintenance.Server) {
 	y.Helper()
-	y.poll(fmt.Sprintf("%s comes to %v", b.name, to), func() bool {
+	y.poll(fmt.Sprintf("%s reaches stage %v", b.name, to), func() bool {
 		s := y.newestStatus()
 		found = stage(&s, b)
 		return slices.Contains(to, found.Stage)
@@ -324,7 +324,7 @@
 	y.Helper()
 	w := &testSidecar{T: y.T, listen: by.listen}
 	w.client.Timeout = 3 * patience
-	w.askAside(class, "/hold", "", header...)
+	w.askAsync(class, "/hold", "", header...)
 	var found *machine
 	y.poll("a server holds a request", func() bool {
 		for _, b := range y.machines {
