--- a/internal/peers/frames/frames.go
+++ b/internal/peers/frames/frames.go
@@ -63,7 +63,7 @@
 	// ErrTooLong is the error of a frame that is longer than MaxFrameBytes.
 	ErrTooLong = errors.New("a frame is longer than allowed")
 	// ErrVersion is the error of a frame of another version.
-	ErrVersion = errors.New("unsupported frame version")
+	ErrVersion = errors.New("a frame is of a version that is not spoken here")
 )
 
 // Next returns the first frame of received data: its topic, its body, which is part of data, and its length with the header. The
--- a/internal/sidecarconfig/config.go
+++ b/internal/sidecarconfig/config.go
@@ -97,7 +97,7 @@
 func parse(raw []byte, getenv func(string) string, initial *[4]string) (Config, error) {
 	f := file{Limits: Limits{Cores: defaultCores, MemoryMB: defaultMemoryMB, Sockets: defaultSockets}}
 	if err := json.Unmarshal(raw, &f); err != nil {
-		return Config{}, fmt.Errorf("%s: invalid JSON, or a field of the wrong type: %w", EnvFile, err)
+		return Config{}, fmt.Errorf("%s: not the JSON that is wanted: %w", EnvFile, err)
 	}
 	current := f.overridable()
 	if initial == nil {
